--- a/src/main/java/hopdrum/FleetServer.java
+++ b/src/main/java/hopdrum/FleetServer.java
@@ -11,8 +11,7 @@
 
 /** A front door as one of a fleet. A plain serve loads nothing of this. */
 final class FleetServer {
-    private FleetServer() {
-    }
+    private FleetServer() {}
 
     static int serve(String configFile, String fleetFile) {
         FleetFile file;
@@ -27,7 +26,8 @@
             return 1;
         }
         return Server.serve(configFile, (config, loop) -> {
-            Fleet fleet = Fleet.start(file, terms, termsMs, config.settings().ordinal(), config.seed(), loop.offsetUs());
+            Fleet fleet =
+                    Fleet.start(file, terms, termsMs, config.settings().ordinal(), config.seed(), loop.offsetUs());
             fleet.zones(config.zones());
             return new Server.Beside() {
                 @Override
--- a/src/main/java/hopdrum/Main.java
+++ b/src/main/java/hopdrum/Main.java
@@ -9,8 +9,7 @@
 
 /** The command line. */
 public final class Main {
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) {
         if (args.length == 3 && args[0].equals("serve") && args[1].equals("--fleet")) {
--- a/src/main/java/hopdrum/benchlink/BenchLink.java
+++ b/src/main/java/hopdrum/benchlink/BenchLink.java
@@ -41,11 +41,12 @@
                 try {
                     oneRecord(batch, nowUs);
                 } catch (BufferUnderflowException e) {
-                    throw new IOException("frame " + frame + ": record " + record + " at byte " + at
-                            + " runs past the frame's end", e);
+                    throw new IOException(
+                            "frame " + frame + ": record " + record + " at byte " + at + " runs past the frame's end",
+                            e);
                 } catch (MalformedRecord e) {
-                    throw new IOException("frame " + frame + ": record " + record + " at byte " + at + ": "
-                            + e.getMessage(), e);
+                    throw new IOException(
+                            "frame " + frame + ": record " + record + " at byte " + at + ": " + e.getMessage(), e);
                 }
             }
             if (batch.hasRemaining()) {
@@ -69,8 +70,8 @@
         }
         byte[] body = in.readNBytes(size - 4);
         if (body.length < size - 4) {
-            throw new EOFException("frame " + frame + ": input ends after " + (body.length + 4) + " of " + size
-                    + " bytes");
+            throw new EOFException(
+                    "frame " + frame + ": input ends after " + (body.length + 4) + " of " + size + " bytes");
         }
         return ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
     }
--- a/src/main/java/hopdrum/benchlink/Instance.java
+++ b/src/main/java/hopdrum/benchlink/Instance.java
@@ -148,12 +148,19 @@
             int state = in.get();
             double weight = in.getFloat();
             long startedAtUs = in.getLong();
-            entries.add(new Listed(backend, zone, kind, cell, switch (state) {
-                case 0 -> Listed.State.DRAINING;
-                case 1 -> Listed.State.GONE;
-                case 2 -> Listed.State.READY;
-                default -> throw new MalformedRecord("unknown state " + state + " of a backend");
-            }, weight, startedAtUs));
+            entries.add(new Listed(
+                    backend,
+                    zone,
+                    kind,
+                    cell,
+                    switch (state) {
+                        case 0 -> Listed.State.DRAINING;
+                        case 1 -> Listed.State.GONE;
+                        case 2 -> Listed.State.READY;
+                        default -> throw new MalformedRecord("unknown state " + state + " of a backend");
+                    },
+                    weight,
+                    startedAtUs));
         }
         Listed.Form meaning = switch (form) {
             case 0 -> Listed.Form.NONE;
@@ -278,7 +285,9 @@
 
     @Override
     public void tell(int gateway, byte[] message) {
-        reply.record(87, number, 9 + message.length).putShort((short) gateway).putShort((short) message.length)
+        reply.record(87, number, 9 + message.length)
+                .putShort((short) gateway)
+                .putShort((short) message.length)
                 .put(message);
     }
 
--- a/src/main/java/hopdrum/fleet/Fleet.java
+++ b/src/main/java/hopdrum/fleet/Fleet.java
@@ -39,8 +39,9 @@
     private static final int TICKS_A_PERIOD = 10;
     private static final long STATUS_US = 10_000_000;
     private static final int MAP_PERIODS = 2;
-    private static final double LEAST_SURE = 0.3;  // below, a way is old, contradicted, or one member's word
-    private static final double SHORTER = 0.02;    // of the difference, a tick: nobody turns to a site at once that has come near
+    private static final double LEAST_SURE = 0.3; // below, a way is old, contradicted, or one member's word
+    private static final double SHORTER =
+            0.02; // of the difference, a tick: nobody turns to a site at once that has come near
 
     private final FleetFile file;
     private final Member self;
@@ -48,33 +49,31 @@
     private final Store store;
     private final Links links;
     private final Membership membership; // under this object's lock
-    private final Partners partners;     // the same; null where no shards are divided
+    private final Partners partners; // the same; null where no shards are divided
     private final Deque<Said> unsaid = new ArrayDeque<>(); // the same; emptied once what changed is handed out
     private final long loopOffsetUs;
     private final Thread ticker;
     private final Thread keeper;
     private final BlockingQueue<Vote> votes = new LinkedBlockingQueue<>(); // a few for each view; emptied by the keeper
     private volatile Sharers sharers = new Sharers(Long.MIN_VALUE / 2, List.of());
-    private volatile Distances distances;          // null: not to be gone by
-    private volatile Shards shards;                // null: nothing is divided yet
+    private volatile Distances distances; // null: not to be gone by
+    private volatile Shards shards; // null: nothing is divided yet
     private Map<String, List<Shards.Door>> doors = Map.of();
-    private BiConsumer<Integer, List<Shards.Door>> onDoors = (tier, there) -> { };
+    private BiConsumer<Integer, List<Shards.Door>> onDoors = (tier, there) -> {};
     private boolean leaves;
-    private long termsMs;                          // when the terms that are followed were written
+    private long termsMs; // when the terms that are followed were written
     private long termsUs;
     private List<String> zones = List.of();
-    private double[] shown = {};                   // by zone, as last handed out
+    private double[] shown = {}; // by zone, as last handed out
     private volatile boolean closed;
     private String claimed = "";
     private long statusUs;
     private long mapUs;
 
     /** What is to be kept, and what is done then. */
-    private record Vote(Store.Kept kept, Runnable then) {
-    }
+    private record Vote(Store.Kept kept, Runnable then) {}
 
-    private record Said(String to, Message message) {
-    }
+    private record Said(String to, Message message) {}
 
     private final class Ears implements Links.Owner {
         @Override
@@ -90,7 +89,8 @@
             }
             synchronized (Fleet.this) {
                 Member known = membership.reach().known(hello.who().name());
-                boolean sameStart = known != null && known.start() == hello.who().start();
+                boolean sameStart =
+                        known != null && known.start() == hello.who().start();
                 return sameStart && !known.equals(hello.who()) ? "the name is another's" : null;
             }
         }
@@ -120,24 +120,70 @@
             long start = Math.max(System.currentTimeMillis() * 1000, kept == null ? 0 : kept.lastStart() + 1);
             SplittableRandom random = new SplittableRandom(seed ^ start); // the seed may be another member's too
             long voter = kept == null ? random.nextLong() | 1 : kept.voter();
-            self = new Member(file.name(), start, voter, file.operator(), file.site(), gateway, file.advertise(), file.serves());
+            self = new Member(
+                    file.name(), start, voter, file.operator(), file.site(), gateway, file.advertise(), file.serves());
             log = new FleetLog(file.log(), self.name(), self.start());
-            log.event("starts", "fleet", file.fleet(), "operator", self.operator(), "site", self.site(), "gateway", gateway,
-                    "address", self.address(), "voter", voter, "kept", kept != null);
+            log.event(
+                    "starts",
+                    "fleet",
+                    file.fleet(),
+                    "operator",
+                    self.operator(),
+                    "site",
+                    self.site(),
+                    "gateway",
+                    gateway,
+                    "address",
+                    self.address(),
+                    "voter",
+                    voter,
+                    "kept",
+                    kept != null);
             if (store.damage() != null) {
                 log.event("store_damaged", "why", store.damage());
             }
-            store.write(kept == null ? new Store.Kept(voter, start, View.NONE, null, null, null)
-                    : new Store.Kept(voter, start, kept.view(), kept.promised(), kept.acceptedIn(), kept.accepted()));
+            store.write(
+                    kept == null
+                            ? new Store.Kept(voter, start, View.NONE, null, null, null)
+                            : new Store.Kept(
+                                    voter, start, kept.view(), kept.promised(), kept.acceptedIn(), kept.accepted()));
             int colon = file.listen().lastIndexOf(':');
-            links = new Links(new InetSocketAddress(file.listen().substring(0, colon),
-                    Integer.parseInt(file.listen().substring(colon + 1))), new Message.Hello(Message.VERSION, file.fleet(), file.shards(),
-                    file.shards() == 0 ? 0 : file.mostAloneMs(), self),
-                    random.split(), new Ears(), log);
-            partners = file.shards() == 0 ? null : new Partners(self, file.shards(), file.mostAloneMs(), file.timing(), random.split(),
-                    this::say, log::event, System::currentTimeMillis);
-            membership = new Membership(self, file.seeds(), file.founders(), kept, file.timing(), random.split(), this::say,
-                    this::keep, partners, log::event, nowUs());
+            links = new Links(
+                    new InetSocketAddress(
+                            file.listen().substring(0, colon),
+                            Integer.parseInt(file.listen().substring(colon + 1))),
+                    new Message.Hello(
+                            Message.VERSION,
+                            file.fleet(),
+                            file.shards(),
+                            file.shards() == 0 ? 0 : file.mostAloneMs(),
+                            self),
+                    random.split(),
+                    new Ears(),
+                    log);
+            partners = file.shards() == 0
+                    ? null
+                    : new Partners(
+                            self,
+                            file.shards(),
+                            file.mostAloneMs(),
+                            file.timing(),
+                            random.split(),
+                            this::say,
+                            log::event,
+                            System::currentTimeMillis);
+            membership = new Membership(
+                    self,
+                    file.seeds(),
+                    file.founders(),
+                    kept,
+                    file.timing(),
+                    random.split(),
+                    this::say,
+                    this::keep,
+                    partners,
+                    log::event,
+                    nowUs());
             ticker = new Thread(null, this::keepTime, "fleet-view", 256 << 10);
             ticker.setDaemon(true);
             keeper = new Thread(null, this::keepVotes, "fleet-store", 256 << 10);
@@ -156,7 +202,8 @@
      * @param gateway this front door's number in its operator's tier
      * @param loopOffsetUs what the front door's clock is ahead of this machine's monotonic one
      */
-    public static Fleet start(FleetFile file, Terms terms, long termsMs, int gateway, long seed, long loopOffsetUs) throws IOException {
+    public static Fleet start(FleetFile file, Terms terms, long termsMs, int gateway, long seed, long loopOffsetUs)
+            throws IOException {
         Fleet fleet = new Fleet(file, gateway, seed, loopOffsetUs);
         fleet.termsMs = termsMs;
         if (fleet.partners != null) {
@@ -229,13 +276,15 @@
                 shown = new double[0];
                 return;
             }
-            next[i] = zones.get(i).equals(self.site()) ? 0 : Math.max(0, way.rttUs() - (home == null ? 0 : home.rttUs()));
+            next[i] =
+                    zones.get(i).equals(self.site()) ? 0 : Math.max(0, way.rttUs() - (home == null ? 0 : home.rttUs()));
         }
         for (int i = 0; i < next.length && shown.length == next.length; i++) {
             next[i] = next[i] < shown[i] ? shown[i] + SHORTER * (next[i] - shown[i]) : next[i];
         }
         shown = next;
-        distances = new Distances(java.util.Arrays.stream(next).mapToLong(d -> (long) d).toArray());
+        distances = new Distances(
+                java.util.Arrays.stream(next).mapToLong(d -> (long) d).toArray());
     }
 
     private void keepTime() {
@@ -307,7 +356,8 @@
             return;
         }
         long now = nowUs();
-        shards = partners.table(membership.council().leases(), file.operators(), leaves || membership.isOut(now), loopOffsetUs, now);
+        shards = partners.table(
+                membership.council().leases(), file.operators(), leaves || membership.isOut(now), loopOffsetUs, now);
         Map<String, List<Shards.Door>> before = doors;
         doors = partners.doors();
         tellDoors(before);
@@ -315,7 +365,9 @@
 
     /** The operator's terms, read anew once their file is another; one that cannot be used changes nothing. */
     private void follow() {
-        if (partners == null || file.terms() == null || nowUs() - termsUs < file.timing().periodUs()) {
+        if (partners == null
+                || file.terms() == null
+                || nowUs() - termsUs < file.timing().periodUs()) {
             return;
         }
         termsUs = nowUs();
@@ -347,7 +399,8 @@
             most = Math.max(most, gateways.cardinality());
             views.add(gateways);
         }
-        String claim = until + "/" + most + "/" + views.size() + "/" + membership.council().view().number();
+        String claim = until + "/" + most + "/" + views.size() + "/"
+                + membership.council().view().number();
         if (!claim.equals(claimed)) {
             claimed = claim;
             log.event("claim", "until_us", Math.max(0, until), "of", most, "operator", self.operator());
@@ -365,8 +418,15 @@
         TreeSet<String> sites = new TreeSet<>();
         membership.reach().present().forEach(m -> sites.add(m.site()));
         Map<String, Object> ways = new TreeMap<>();
-        membership.latency().fromHere(sites, now).forEach((site, way) -> ways.put(site, List.of(way.rttUs(),
-                Math.round(way.sure() * 1000) / 1000.0, way.kind().name())));
+        membership
+                .latency()
+                .fromHere(sites, now)
+                .forEach((site, way) -> ways.put(
+                        site,
+                        List.of(
+                                way.rttUs(),
+                                Math.round(way.sure() * 1000) / 1000.0,
+                                way.kind().name())));
         log.event("map", "site", self.site(), "ways", ways);
     }
 
@@ -377,10 +437,27 @@
         }
         statusUs = now;
         View view = membership.council().view();
-        long alive = membership.reach().believed().values().stream().filter(s -> s == State.ALIVE).count();
-        log.event("status", "era", view.era(), "number", view.number(), "in_view", view.has(self), "members", view.members().size(),
-                "alive", alive + 1, "cut_off", membership.council().leases().isCutOff(), "bytes_out", links.bytesOut(),
-                "messages_out", links.messagesOut());
+        long alive = membership.reach().believed().values().stream()
+                .filter(s -> s == State.ALIVE)
+                .count();
+        log.event(
+                "status",
+                "era",
+                view.era(),
+                "number",
+                view.number(),
+                "in_view",
+                view.has(self),
+                "members",
+                view.members().size(),
+                "alive",
+                alive + 1,
+                "cut_off",
+                membership.council().leases().isCutOff(),
+                "bytes_out",
+                links.bytesOut(),
+                "messages_out",
+                links.messagesOut());
     }
 
     /** Good-bye: told to peers at once; nothing is claimed from here on. */
--- a/src/main/java/hopdrum/fleet/FleetFile.java
+++ b/src/main/java/hopdrum/fleet/FleetFile.java
@@ -22,9 +22,24 @@
 import org.yaml.snakeyaml.nodes.SequenceNode;
 
 /** The file that serve --fleet names, read whole: all its faults are found before one is said. docs/fleet.md has its keys. */
-public record FleetFile(String fleet, String operator, List<String> operators, String site, String name, String listen,
-                        String advertise, List<String> seeds, List<String> founders, Path store, Path log, Timing timing,
-                        boolean places, int shards, String serves, Path terms, long mostAloneMs) {
+public record FleetFile(
+        String fleet,
+        String operator,
+        List<String> operators,
+        String site,
+        String name,
+        String listen,
+        String advertise,
+        List<String> seeds,
+        List<String> founders,
+        Path store,
+        Path log,
+        Timing timing,
+        boolean places,
+        int shards,
+        String serves,
+        Path terms,
+        long mostAloneMs) {
     private static final String NAME = "a name: letters, digits, dot, dash, underscore, 64 at most";
     private static final String ADDRESS = "a numeric address and a port, as 127.0.0.1:7401";
 
@@ -52,7 +67,8 @@
 
         void open() {
             try {
-                Node root = new Yaml(new SafeConstructor(new LoaderOptions())).compose(new StringReader(Files.readString(file)));
+                Node root = new Yaml(new SafeConstructor(new LoaderOptions()))
+                        .compose(new StringReader(Files.readString(file)));
                 if (!(root instanceof MappingNode mapping)) {
                     fault(root, "the file holds no keys, expected 'fleet: NAME' and more");
                     return;
@@ -64,7 +80,9 @@
                     }
                 }
             } catch (MarkedYAMLException e) {
-                faults.add(file + ":" + (e.getProblemMark() == null ? 1 : e.getProblemMark().getLine() + 1) + ": no YAML: " + e.getProblem());
+                faults.add(file + ":"
+                        + (e.getProblemMark() == null ? 1 : e.getProblemMark().getLine() + 1) + ": no YAML: "
+                        + e.getProblem());
             } catch (IOException e) {
                 faults.add(file + ": cannot be read: " + e.getMessage());
             }
@@ -73,14 +91,17 @@
         String text(String key, String absent, Predicate<String> holds, String expected) {
             Node node = values.remove(key);
             if (node == null) {
-                if (absent == null && faults.stream().noneMatch(f -> f.contains("no YAML") || f.contains("cannot be read"))) {
+                if (absent == null
+                        && faults.stream().noneMatch(f -> f.contains("no YAML") || f.contains("cannot be read"))) {
                     fault(null, key + ": is missing, expected " + expected);
                 }
                 return absent;
             }
             if (!(node instanceof ScalarNode scalar) || !holds.test(scalar.getValue())) {
-                fault(node, key + ": " + (node instanceof ScalarNode s ? "'" + s.getValue() + "'" : "a list or a mapping")
-                        + ", expected " + expected);
+                fault(
+                        node,
+                        key + ": " + (node instanceof ScalarNode s ? "'" + s.getValue() + "'" : "a list or a mapping")
+                                + ", expected " + expected);
                 return absent;
             }
             return scalar.getValue();
@@ -106,15 +127,21 @@
                     }
                     all.add(scalar.getValue());
                 } else {
-                    fault(item, key + ": " + (item instanceof ScalarNode s ? "'" + s.getValue() + "'" : "no plain value")
-                            + ", expected " + expected);
+                    fault(
+                            item,
+                            key + ": " + (item instanceof ScalarNode s ? "'" + s.getValue() + "'" : "no plain value")
+                                    + ", expected " + expected);
                 }
             }
             return all;
         }
 
         long whole(String key, long absent, long least, long most) {
-            String text = text(key, Long.toString(absent), t -> isWhole(t, least, most), "a whole number from " + least + " to " + most);
+            String text = text(
+                    key,
+                    Long.toString(absent),
+                    t -> isWhole(t, least, most),
+                    "a whole number from " + least + " to " + most);
             return Long.parseLong(text);
         }
 
@@ -165,16 +192,32 @@
         long leaseMs = r.whole("lease_ms", 10_000, 500, 600_000);
         long forgetS = r.whole("forget_s", 3_600, 60, 604_800);
         if (leaseMs < 5 * periodMs) {
-            r.fault(lease, "lease_ms: " + leaseMs + ", expected five times probe_period_ms at least, so " + 5 * periodMs);
+            r.fault(
+                    lease,
+                    "lease_ms: " + leaseMs + ", expected five times probe_period_ms at least, so " + 5 * periodMs);
         }
         if (!operators.isEmpty() && operator != null && !operators.contains(operator)) {
             r.fault(null, "operators: lacks this member's own operator '" + operator + "'");
         }
         r.end();
-        return new FleetFile(fleet, operator, operators.isEmpty() ? List.of(operator) : operators, site, name, listen, advertise,
-                seeds, founders, Path.of(store), log.isEmpty() ? null : Path.of(log),
-                new Timing(periodMs * 1_000, leaseMs * 1_000, forgetS * 1_000_000), placement.equals("map"),
-                (int) shards, serves.isEmpty() ? null : serves, terms.isEmpty() ? null : Path.of(terms), aloneMs);
+        return new FleetFile(
+                fleet,
+                operator,
+                operators.isEmpty() ? List.of(operator) : operators,
+                site,
+                name,
+                listen,
+                advertise,
+                seeds,
+                founders,
+                Path.of(store),
+                log.isEmpty() ? null : Path.of(log),
+                new Timing(periodMs * 1_000, leaseMs * 1_000, forgetS * 1_000_000),
+                placement.equals("map"),
+                (int) shards,
+                serves.isEmpty() ? null : serves,
+                terms.isEmpty() ? null : Path.of(terms),
+                aloneMs);
     }
 
     private static int lineOf(String fault) {
--- a/src/main/java/hopdrum/fleet/FleetLog.java
+++ b/src/main/java/hopdrum/fleet/FleetLog.java
@@ -24,8 +24,12 @@
     private final Map<String, long[]> limited = new HashMap<>(); // as many as there are kinds of such lines
 
     public FleetLog(Path file, String name, long start) throws IOException {
-        this.to = file == null ? System.err : new PrintStream(Files.newOutputStream(file, StandardOpenOption.CREATE,
-                StandardOpenOption.APPEND), true, java.nio.charset.StandardCharsets.UTF_8);
+        this.to = file == null
+                ? System.err
+                : new PrintStream(
+                        Files.newOutputStream(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND),
+                        true,
+                        java.nio.charset.StandardCharsets.UTF_8);
         this.name = name;
         this.start = start;
     }
--- a/src/main/java/hopdrum/fleet/TermsFile.java
+++ b/src/main/java/hopdrum/fleet/TermsFile.java
@@ -15,13 +15,13 @@
 
 /** What an operator wants of its partners and would agree to: the file that terms names. docs/fleet.md has its keys. */
 public final class TermsFile {
-    private static final Pattern PARTY = Pattern.compile("([A-Za-z0-9][A-Za-z0-9._-]*) brings (\\d{1,6}), owed (\\d{1,6}), floor (\\d{1,6})");
+    private static final Pattern PARTY =
+            Pattern.compile("([A-Za-z0-9][A-Za-z0-9._-]*) brings (\\d{1,6}), owed (\\d{1,6}), floor (\\d{1,6})");
     private static final String PARTY_FORM = "a party, as 'north brings 100, owed 60, floor 20'";
     private static final String TIME_FORM = "a moment, as 2026-12-02T00:00:00Z";
     private static final long DAY_MS = 86_400_000;
 
-    private TermsFile() {
-    }
+    private TermsFile() {}
 
     /** Throws Faulty with all faults where the file cannot be used. */
     public static Terms read(Path file) throws FleetFile.Faulty {
@@ -52,19 +52,39 @@
             for (String text : parties) {
                 Matcher m = PARTY.matcher(text);
                 m.matches();
-                all.add(new Party(m.group(1), Integer.parseInt(m.group(2)), Integer.parseInt(m.group(3)), Integer.parseInt(m.group(4))));
+                all.add(new Party(
+                        m.group(1),
+                        Integer.parseInt(m.group(2)),
+                        Integer.parseInt(m.group(3)),
+                        Integer.parseInt(m.group(4))));
             }
             all.sort(Comparator.comparing(Party::operator));
             try {
-                agreement = new Agreement(name, (int) revision, all, Instant.parse(from).toEpochMilli(), Instant.parse(until).toEpochMilli(),
-                        alone, standIn.equals("true"), (int) moves, epoch, notice);
+                agreement = new Agreement(
+                        name,
+                        (int) revision,
+                        all,
+                        Instant.parse(from).toEpochMilli(),
+                        Instant.parse(until).toEpochMilli(),
+                        alone,
+                        standIn.equals("true"),
+                        (int) moves,
+                        epoch,
+                        notice);
             } catch (IllegalArgumentException e) {
                 r.fault(null, "parties: " + e.getMessage());
             }
             r.end();
         }
-        return new Terms(agreement, Double.parseDouble(leastPart), (int) mostBrings, (int) leastFloor, mostAlone, (int) mostMoves,
-                mostDays * DAY_MS, notices.equals("true"));
+        return new Terms(
+                agreement,
+                Double.parseDouble(leastPart),
+                (int) mostBrings,
+                (int) leastFloor,
+                mostAlone,
+                (int) mostMoves,
+                mostDays * DAY_MS,
+                notices.equals("true"));
     }
 
     private static boolean isFlag(String text) {
--- a/src/main/java/hopdrum/fleet/latency/LatencyMap.java
+++ b/src/main/java/hopdrum/fleet/latency/LatencyMap.java
@@ -20,42 +20,43 @@
  */
 public final class LatencyMap {
     /** What is known of a way: SEEN by this member itself, MEASURED by others, TOLD by one alone, or ESTIMATED. */
-    public enum Kind { SEEN, MEASURED, TOLD, ESTIMATED }
+    public enum Kind {
+        SEEN,
+        MEASURED,
+        TOLD,
+        ESTIMATED
+    }
 
     /** @param sure from 0, a guess, to 1 */
-    public record Way(long rttUs, double sure, Kind kind, long ageUs) {
-    }
+    public record Way(long rttUs, double sure, Kind kind, long ageUs) {}
 
     private static final int MOST_READINGS = 5_000;
     private static final int READINGS_A_MESSAGE = 16;
     private static final int MOST_ASKED = 64;
-    private static final long OLDEST_US = 60_000_000;      // older ones are dropped
-    private static final int MANY = 3;                     // observers that one liar cannot outweigh
-    private static final double RUMOUR = 2;                // how far one alone may move what is otherwise known: half to twice
+    private static final long OLDEST_US = 60_000_000; // older ones are dropped
+    private static final int MANY = 3; // observers that one liar cannot outweigh
+    private static final double RUMOUR = 2; // how far one alone may move what is otherwise known: half to twice
     private static final double TOLD_SURE = 0.3;
 
     private static final class Own {
-        long lastUs;                   // the sample before
+        long lastUs; // the sample before
         long lastAtUs = Long.MIN_VALUE / 2;
         long leastUs = Long.MAX_VALUE; // ever seen: the way itself takes so long
         long seq;
     }
 
-    private record Key(String observer, String to) {
-    }
+    private record Key(String observer, String to) {}
 
-    private record Held(Reading reading, long bornUs) {
-    }
+    private record Held(Reading reading, long bornUs) {}
 
-    private record Asked(Member peer, long atUs) {
-    }
+    private record Asked(Member peer, long atUs) {}
 
     private final Member self;
-    private final long halfLifeUs;                             // of a reading's weight
-    private final Map<String, Own> own = new HashMap<>();      // by site; as many as there are sites
-    private final Map<Key, Held> held = new HashMap<>();       // own ones too; emptied by age and its bound
+    private final long halfLifeUs; // of a reading's weight
+    private final Map<String, Own> own = new HashMap<>(); // by site; as many as there are sites
+    private final Map<Key, Held> held = new HashMap<>(); // own ones too; emptied by age and its bound
     private final Map<Long, Asked> asked = new LinkedHashMap<>(); // emptied by answers and its bound
-    private final Map<String, Long> askedAt = new HashMap<>();  // by site; as many as there are sites
+    private final Map<String, Long> askedAt = new HashMap<>(); // by site; as many as there are sites
     private long asks;
 
     /** A reading weighs half after three periods: by then there is a fresher one. */
@@ -125,22 +126,36 @@
         if (nowUs - born > OLDEST_US || before == null && held.size() >= MOST_READINGS) {
             return;
         }
-        boolean later = before == null || r.start() > before.reading.start()
+        boolean later = before == null
+                || r.start() > before.reading.start()
                 || r.start() == before.reading.start() && r.seq() > before.reading.seq();
         boolean same = before != null && r.start() == before.reading.start() && r.seq() == before.reading.seq();
         if (later) {
             held.put(key, new Held(r, born));
         } else if (same && born < before.bornUs) {
-            held.put(key, new Held(before.reading, born)); // a message's way makes a reading look younger: the older age is right
+            held.put(
+                    key,
+                    new Held(
+                            before.reading,
+                            born)); // a message's way makes a reading look younger: the older age is right
         }
     }
 
     /** What to tell a peer: the youngest readings, with their ages now. */
     public List<Reading> readings(long nowUs) {
         held.values().removeIf(h -> nowUs - h.bornUs > OLDEST_US);
-        return held.values().stream().sorted(Comparator.comparingLong((Held h) -> -h.bornUs)).limit(READINGS_A_MESSAGE)
-                .map(h -> new Reading(h.reading.observer(), h.reading.start(), h.reading.from(), h.reading.to(), h.reading.seq(),
-                        h.reading.rttUs(), Math.max(0, nowUs - h.bornUs))).toList();
+        return held.values().stream()
+                .sorted(Comparator.comparingLong((Held h) -> -h.bornUs))
+                .limit(READINGS_A_MESSAGE)
+                .map(h -> new Reading(
+                        h.reading.observer(),
+                        h.reading.start(),
+                        h.reading.from(),
+                        h.reading.to(),
+                        h.reading.seq(),
+                        h.reading.rttUs(),
+                        Math.max(0, nowUs - h.bornUs)))
+                .toList();
     }
 
     // ---- What is known ----
@@ -152,7 +167,8 @@
         Way mine = null;
         for (Held h : held.values()) {
             Reading r = h.reading;
-            boolean ofPair = r.from().equals(from) && r.to().equals(to) || r.from().equals(to) && r.to().equals(from);
+            boolean ofPair =
+                    r.from().equals(from) && r.to().equals(to) || r.from().equals(to) && r.to().equals(from);
             long age = nowUs - h.bornUs;
             if (ofPair && age <= OLDEST_US) {
                 seen.add(new double[] {r.rttUs(), weight(age)});
--- a/src/main/java/hopdrum/fleet/link/Frames.java
+++ b/src/main/java/hopdrum/fleet/link/Frames.java
@@ -15,12 +15,14 @@
     static final int MOST_BYTES = 512 << 10;
     private static final int WHOLE_MS = 5_000; // from its first byte on: guards against one that dribbles
 
-    private Frames() {
-    }
+    private Frames() {}
 
     static void write(OutputStream to, Message message) throws IOException {
         byte[] body = Codec.bytes(message);
-        to.write(ByteBuffer.allocate(4 + body.length).putInt(body.length).put(body).array());
+        to.write(ByteBuffer.allocate(4 + body.length)
+                .putInt(body.length)
+                .put(body)
+                .array());
         to.flush();
     }
 
@@ -62,5 +64,4 @@
             have += n;
         }
     }
-
 }
--- a/src/main/java/hopdrum/fleet/link/Links.java
+++ b/src/main/java/hopdrum/fleet/link/Links.java
@@ -44,7 +44,7 @@
     private final ServerSocket listener;
     private final SplittableRandom random;
     private final Map<String, PeerLink> out = new HashMap<>(); // one goes as its thread ends, idle or told to
-    private final Set<Socket> in = new HashSet<>();            // one goes as its thread ends
+    private final Set<Socket> in = new HashSet<>(); // one goes as its thread ends
     private final AtomicLong bytesOut = new AtomicLong();
     private final AtomicLong messagesOut = new AtomicLong();
     private boolean closed;
@@ -139,7 +139,8 @@
                 owner.heard(theirs.who(), m);
             }
         } catch (IOException | RuntimeException e) {
-            if (!isClosed() && !(e instanceof java.net.SocketTimeoutException || e instanceof java.net.SocketException)) {
+            if (!isClosed()
+                    && !(e instanceof java.net.SocketTimeoutException || e instanceof java.net.SocketException)) {
                 log.limited("peer_dropped", e.getMessage());
             }
         } finally {
--- a/src/main/java/hopdrum/fleet/link/PeerLink.java
+++ b/src/main/java/hopdrum/fleet/link/PeerLink.java
@@ -16,15 +16,14 @@
  * again. It ends when it has had nothing to write for a while.
  */
 final class PeerLink implements Runnable {
-    private static final int MOST_QUEUED = 256;      // the oldest goes first: later ones say more
-    private static final long STALE_US = 2_000_000;  // older ones answer nothing any more
+    private static final int MOST_QUEUED = 256; // the oldest goes first: later ones say more
+    private static final long STALE_US = 2_000_000; // older ones answer nothing any more
     private static final int CONNECT_MS = 1_000;
     private static final long IDLE_MS = 60_000;
     private static final long FIRST_BACK_OFF_MS = 50;
     private static final long LAST_BACK_OFF_MS = 1_000;
 
-    private record Queued(Message message, long atUs) {
-    }
+    private record Queued(Message message, long atUs) {}
 
     private final Links links;
     private final String address;
@@ -128,7 +127,9 @@
         synchronized (this) {
             socket = fresh;
         }
-        fresh.connect(new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))), CONNECT_MS);
+        fresh.connect(
+                new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
+                CONNECT_MS);
         fresh.setTcpNoDelay(true);
         write(links.hello());
         Message answer = Frames.read(fresh, new BufferedInputStream(fresh.getInputStream(), 1 << 10), CONNECT_MS);
@@ -136,7 +137,8 @@
             links.owner().turnedDown(address, down.why());
             throw new IOException("turned down: " + down.why());
         }
-        if (!(answer instanceof Message.Hello theirs) || theirs.version() != Message.VERSION
+        if (!(answer instanceof Message.Hello theirs)
+                || theirs.version() != Message.VERSION
                 || !theirs.fleet().equals(links.hello().fleet())) {
             throw new IOException("no hello of this fleet");
         }
@@ -169,7 +171,11 @@
         if (to == null) {
             throw new IOException("cut");
         }
-        to.getOutputStream().write(ByteBuffer.allocate(4 + body.length).putInt(body.length).put(body).array());
+        to.getOutputStream()
+                .write(ByteBuffer.allocate(4 + body.length)
+                        .putInt(body.length)
+                        .put(body)
+                        .array());
         links.wrote(4 + body.length);
         synchronized (this) {
             writingSinceUs = 0;
--- a/src/main/java/hopdrum/fleet/message/Agreement.java
+++ b/src/main/java/hopdrum/fleet/message/Agreement.java
@@ -18,8 +18,17 @@
  * @param epochMs an epoch's length
  * @param noticeMs after how long a party that gives notice is out
  */
-public record Agreement(String name, int revision, List<Party> parties, long fromMs, long untilMs, long aloneMs,
-                        boolean standIn, int moves, long epochMs, long noticeMs) {
+public record Agreement(
+        String name,
+        int revision,
+        List<Party> parties,
+        long fromMs,
+        long untilMs,
+        long aloneMs,
+        boolean standIn,
+        int moves,
+        long epochMs,
+        long noticeMs) {
     private static final int MOST_PARTIES = 30;
     private static final int MOST_WEIGHT = 1_000_000;
     private static final long LAST_MS = 7_258_118_400_000L; // the year 2200
@@ -36,7 +45,9 @@
     public record Party(String operator, int brings, int owed, int floor) {
         public Party {
             Member.check(Member.isName(operator), "a party's name");
-            Member.check(brings >= 0 && brings <= MOST_WEIGHT && owed >= 0 && owed <= MOST_WEIGHT && floor >= 0, "a party's figures");
+            Member.check(
+                    brings >= 0 && brings <= MOST_WEIGHT && owed >= 0 && owed <= MOST_WEIGHT && floor >= 0,
+                    "a party's figures");
         }
     }
 
@@ -46,15 +57,25 @@
         parties = List.copyOf(parties);
         Set<String> names = new HashSet<>();
         parties.forEach(p -> Member.check(names.add(p.operator()), "a party twice"));
-        Member.check(fromMs >= 0 && fromMs < LAST_MS && untilMs >= 0 && untilMs < LAST_MS && noticeMs >= 0 && noticeMs < LAST_MS,
+        Member.check(
+                fromMs >= 0
+                        && fromMs < LAST_MS
+                        && untilMs >= 0
+                        && untilMs < LAST_MS
+                        && noticeMs >= 0
+                        && noticeMs < LAST_MS,
                 "an agreement's times");
-        Member.check(aloneMs >= 0 && aloneMs <= MOST_ALONE_MS && epochMs > 0 && epochMs <= MOST_EPOCH_MS && moves >= 0,
+        Member.check(
+                aloneMs >= 0 && aloneMs <= MOST_ALONE_MS && epochMs > 0 && epochMs <= MOST_EPOCH_MS && moves >= 0,
                 "an agreement's figures");
     }
 
     /** Null for one that is no party. */
     public Party party(String operator) {
-        return parties.stream().filter(p -> p.operator().equals(operator)).findFirst().orElse(null);
+        return parties.stream()
+                .filter(p -> p.operator().equals(operator))
+                .findFirst()
+                .orElse(null);
     }
 
     public List<String> operators() {
@@ -78,7 +99,8 @@
         }
         for (Party p : parties) {
             if (p.floor() > p.owed()) {
-                faults.add("floor: " + p.operator() + "'s " + p.floor() + " is above the " + p.owed() + " that it is owed");
+                faults.add("floor: " + p.operator() + "'s " + p.floor() + " is above the " + p.owed()
+                        + " that it is owed");
             }
         }
         if (untilMs <= fromMs) {
@@ -88,7 +110,8 @@
             faults.add("until: has passed");
         }
         if (aloneMs > mostAloneMs) {
-            faults.add("alone: " + aloneMs + " ms, where this fleet lets nobody act alone for more than " + mostAloneMs);
+            faults.add(
+                    "alone: " + aloneMs + " ms, where this fleet lets nobody act alone for more than " + mostAloneMs);
         }
         if (moves == 0) {
             faults.add("moves: none, so no share could ever be reached");
--- a/src/main/java/hopdrum/fleet/message/Codec.java
+++ b/src/main/java/hopdrum/fleet/message/Codec.java
@@ -14,15 +14,18 @@
     private static final int MOST_TEXT = 256;
     private static final int DEEPEST = 12;
     private static final ObjectMapper MAPPER = CBORMapper.builder(CBORFactory.builder()
-                    .streamReadConstraints(StreamReadConstraints.builder().maxStringLength(MOST_TEXT).maxNestingDepth(DEEPEST).build())
+                    .streamReadConstraints(StreamReadConstraints.builder()
+                            .maxStringLength(MOST_TEXT)
+                            .maxNestingDepth(DEEPEST)
+                            .build())
                     .build())
-            .defaultPropertyInclusion(JsonInclude.Value.construct(JsonInclude.Include.NON_NULL, JsonInclude.Include.NON_NULL))
+            .defaultPropertyInclusion(
+                    JsonInclude.Value.construct(JsonInclude.Include.NON_NULL, JsonInclude.Include.NON_NULL))
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
 
-    private Codec() {
-    }
+    private Codec() {}
 
     public static byte[] bytes(Message message) {
         try {
@@ -40,9 +43,11 @@
                 throw new IllegalArgumentException("no message");
             }
             return message;
-        } catch (IOException | RuntimeException e) { // the library has a fault of its own for some bytes, as where a kind is no text
+        } catch (IOException
+                | RuntimeException e) { // the library has a fault of its own for some bytes, as where a kind is no text
             String why = e instanceof JsonProcessingException j ? j.getOriginalMessage() : e.getMessage();
-            throw new IllegalArgumentException("no message: " + String.valueOf(why).lines().findFirst().orElse(""), e);
+            throw new IllegalArgumentException(
+                    "no message: " + String.valueOf(why).lines().findFirst().orElse(""), e);
         }
     }
 }
--- a/src/main/java/hopdrum/fleet/message/Division.java
+++ b/src/main/java/hopdrum/fleet/message/Division.java
@@ -20,10 +20,20 @@
  * @param epoch the epoch of the last move
  * @param moved how many moved in it
  */
-public record Division(long asOfMs, List<String> operators, String owners, List<Move> moves, Agreement agreement,
-                       List<String> agreedBy, boolean expired, Map<String, Long> goneMs, long epoch, int moved) {
+public record Division(
+        long asOfMs,
+        List<String> operators,
+        String owners,
+        List<Move> moves,
+        Agreement agreement,
+        List<String> agreedBy,
+        boolean expired,
+        Map<String, Long> goneMs,
+        long epoch,
+        int moved) {
     /** The longest text that a message may hold, and a character a shard. */
     public static final int MOST_SHARDS = 256;
+
     public static final char NOBODY = '-';
     private static final int MOST_OPERATORS = 40;
 
@@ -35,17 +45,27 @@
      */
     public record Move(int shard, String from, long number, long atMs) {
         public Move {
-            Member.check(shard >= 0 && shard < MOST_SHARDS && from != null && (from.isEmpty() || Member.isName(from)), "a move");
+            Member.check(
+                    shard >= 0 && shard < MOST_SHARDS && from != null && (from.isEmpty() || Member.isName(from)),
+                    "a move");
             Member.check(number > 0, "a move's number");
         }
     }
 
     public Division {
-        Member.check(operators != null && operators.size() <= MOST_OPERATORS && operators.stream().allMatch(Member::isName), "operators");
+        Member.check(
+                operators != null
+                        && operators.size() <= MOST_OPERATORS
+                        && operators.stream().allMatch(Member::isName),
+                "operators");
         Member.check(owners != null && !owners.isEmpty() && owners.length() <= MOST_SHARDS, "owners");
         Member.check(moves != null && moves.size() <= owners.length(), "moves");
         Member.check(goneMs != null && goneMs.size() <= MOST_OPERATORS, "who is gone");
-        Member.check(agreedBy != null && agreedBy.size() <= MOST_OPERATORS && agreedBy.stream().allMatch(Member::isName), "who agreed");
+        Member.check(
+                agreedBy != null
+                        && agreedBy.size() <= MOST_OPERATORS
+                        && agreedBy.stream().allMatch(Member::isName),
+                "who agreed");
         operators = List.copyOf(operators);
         agreedBy = List.copyOf(agreedBy);
         moves = List.copyOf(moves);
@@ -54,7 +74,9 @@
             Member.check(moves.get(i - 1).shard() < moves.get(i).shard(), "moves");
         }
         for (int i = 0; i < owners.length(); i++) {
-            Member.check(owners.charAt(i) == NOBODY || owners.charAt(i) >= 'A' && owners.charAt(i) < 'A' + operators.size(), "an owner");
+            Member.check(
+                    owners.charAt(i) == NOBODY || owners.charAt(i) >= 'A' && owners.charAt(i) < 'A' + operators.size(),
+                    "an owner");
         }
     }
 
@@ -83,8 +105,12 @@
 
     /** Nothing but the time that it was made at is another. */
     public boolean isLike(Division other) {
-        return other != null && owners.equals(other.owners) && operators.equals(other.operators) && expired == other.expired
-                && Objects.equals(agreement, other.agreement) && goneMs.keySet().equals(other.goneMs.keySet());
+        return other != null
+                && owners.equals(other.owners)
+                && operators.equals(other.operators)
+                && expired == other.expired
+                && Objects.equals(agreement, other.agreement)
+                && goneMs.keySet().equals(other.goneMs.keySet());
     }
 
     public int count(String operator) {
--- a/src/main/java/hopdrum/fleet/message/Member.java
+++ b/src/main/java/hopdrum/fleet/message/Member.java
@@ -14,8 +14,8 @@
  * @param address where its peers reach it, a numeric address and a port
  * @param serves where RPCs reach it; null where it takes none from partners
  */
-public record Member(String name, long start, long voter, String operator, String site, int gateway, String address,
-                     String serves) {
+public record Member(
+        String name, long start, long voter, String operator, String site, int gateway, String address, String serves) {
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
     private static final Pattern ADDRESS = Pattern.compile("(\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:.]+]):\\d{1,5}");
     private static final int MOST_GATEWAYS = 100_000;
--- a/src/main/java/hopdrum/fleet/message/Message.java
+++ b/src/main/java/hopdrum/fleet/message/Message.java
@@ -8,17 +8,29 @@
 
 /** One message between members. Making one throws IllegalArgumentException where a figure cannot be. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
-@JsonSubTypes({@Type(value = Message.Hello.class, name = "hello"), @Type(value = Message.TurnedDown.class, name = "turneddown"),
-    @Type(value = Message.Ping.class, name = "ping"), @Type(value = Message.Ack.class, name = "ack"),
-    @Type(value = Message.PingFor.class, name = "pingfor"), @Type(value = Message.Nack.class, name = "nack"),
-    @Type(value = Message.Exchange.class, name = "exchange"), @Type(value = Message.NameTaken.class, name = "taken"),
-    @Type(value = Message.Prepare.class, name = "prepare"), @Type(value = Message.Promise.class, name = "promise"),
-    @Type(value = Message.Accept.class, name = "accept"), @Type(value = Message.Accepted.class, name = "accepted"),
-    @Type(value = Message.Overruled.class, name = "overruled"), @Type(value = Message.Settled.class, name = "settled"),
-    @Type(value = Message.AskSettled.class, name = "asksettled"), @Type(value = Message.Renew.class, name = "renew"),
-    @Type(value = Message.Renewed.class, name = "renewed"), @Type(value = Message.Latency.class, name = "latency"),
-    @Type(value = Message.Held.class, name = "held"), @Type(value = Message.Offers.class, name = "offers"),
-    @Type(value = Message.Opened.class, name = "opened")})
+@JsonSubTypes({
+    @Type(value = Message.Hello.class, name = "hello"),
+    @Type(value = Message.TurnedDown.class, name = "turneddown"),
+    @Type(value = Message.Ping.class, name = "ping"),
+    @Type(value = Message.Ack.class, name = "ack"),
+    @Type(value = Message.PingFor.class, name = "pingfor"),
+    @Type(value = Message.Nack.class, name = "nack"),
+    @Type(value = Message.Exchange.class, name = "exchange"),
+    @Type(value = Message.NameTaken.class, name = "taken"),
+    @Type(value = Message.Prepare.class, name = "prepare"),
+    @Type(value = Message.Promise.class, name = "promise"),
+    @Type(value = Message.Accept.class, name = "accept"),
+    @Type(value = Message.Accepted.class, name = "accepted"),
+    @Type(value = Message.Overruled.class, name = "overruled"),
+    @Type(value = Message.Settled.class, name = "settled"),
+    @Type(value = Message.AskSettled.class, name = "asksettled"),
+    @Type(value = Message.Renew.class, name = "renew"),
+    @Type(value = Message.Renewed.class, name = "renewed"),
+    @Type(value = Message.Latency.class, name = "latency"),
+    @Type(value = Message.Held.class, name = "held"),
+    @Type(value = Message.Offers.class, name = "offers"),
+    @Type(value = Message.Opened.class, name = "opened")
+})
 public sealed interface Message {
     int VERSION = 2;
     int MOST_RUMOURS = 2_000;
@@ -46,8 +58,7 @@
     }
 
     /** Instead of a hello, and the connection's last. */
-    record TurnedDown(String why) implements Message {
-    }
+    record TurnedDown(String why) implements Message {}
 
     // ---- Reachability ----
 
@@ -75,8 +86,7 @@
     }
 
     /** The member asked to ping lives, and the one that it pinged has not answered yet. */
-    record Nack(long seq) implements Message {
-    }
+    record Nack(long seq) implements Message {}
 
     /** All that the sender believes; one that is no answer asks for the same. */
     record Exchange(boolean answer, long era, long number, List<Rumour> rumours) implements Message {
@@ -122,7 +132,9 @@
         public Accept {
             named(era, number);
             Member.check(ballot != null && view != null, "nothing to accept");
-            Member.check(number == 0 ? view.number() == 1 && view.era() > 0 : view.isNamed(era, number + 1), "a view's number");
+            Member.check(
+                    number == 0 ? view.number() == 1 && view.era() > 0 : view.isNamed(era, number + 1),
+                    "a view's number");
         }
     }
 
@@ -189,7 +201,8 @@
     record Opened(long era, Map<Integer, Long> numbers) implements Message {
         public Opened {
             Member.check(era >= 0 && numbers != null && numbers.size() <= Division.MOST_SHARDS, "shards");
-            numbers.forEach((shard, number) -> Member.check(shard >= 0 && shard < Division.MOST_SHARDS && number > 0, "a shard"));
+            numbers.forEach((shard, number) ->
+                    Member.check(shard >= 0 && shard < Division.MOST_SHARDS && number > 0, "a shard"));
             numbers = Map.copyOf(numbers);
         }
     }
--- a/src/main/java/hopdrum/fleet/message/Offer.java
+++ b/src/main/java/hopdrum/fleet/message/Offer.java
@@ -16,7 +16,8 @@
     public Offer {
         Member.check(terms != null && Member.isName(by), "an offer");
         Member.check(said != null && said.size() <= terms.parties().size() + 1, "what was said");
-        said.forEach((operator, text) -> Member.check(Member.isName(operator) && text != null && text.length() <= MOST_TEXT, "a word"));
+        said.forEach((operator, text) ->
+                Member.check(Member.isName(operator) && text != null && text.length() <= MOST_TEXT, "a word"));
         said = Collections.unmodifiableMap(new TreeMap<>(said));
     }
 
@@ -27,12 +28,13 @@
     /** The same in whatever order, however often. */
     public Offer merged(Offer other) {
         Map<String, String> all = new TreeMap<>(said);
-        other.said.forEach((operator, text) -> all.merge(operator, text,
-                (a, b) -> a.isEmpty() || b.isEmpty() ? "" : a.compareTo(b) > 0 ? a : b));
+        other.said.forEach((operator, text) ->
+                all.merge(operator, text, (a, b) -> a.isEmpty() || b.isEmpty() ? "" : a.compareTo(b) > 0 ? a : b));
         return new Offer(terms, by.compareTo(other.by) < 0 ? by : other.by, all);
     }
 
     public Offer with(String operator, String text) {
-        return merged(new Offer(terms, by, Map.of(operator, text.length() > MOST_TEXT ? text.substring(0, MOST_TEXT) : text)));
+        return merged(new Offer(
+                terms, by, Map.of(operator, text.length() > MOST_TEXT ? text.substring(0, MOST_TEXT) : text)));
     }
 }
--- a/src/main/java/hopdrum/fleet/message/Rumour.java
+++ b/src/main/java/hopdrum/fleet/message/Rumour.java
@@ -8,7 +8,12 @@
  */
 public record Rumour(Member about, long incarnation, State state, String by) {
     /** In the order in which, of one incarnation, they outdo each other. */
-    public enum State { ALIVE, SUSPECT, DEAD, LEFT }
+    public enum State {
+        ALIVE,
+        SUSPECT,
+        DEAD,
+        LEFT
+    }
 
     public Rumour {
         Member.check(about != null && state != null && Member.isName(by), "a rumour");
--- a/src/main/java/hopdrum/fleet/message/View.java
+++ b/src/main/java/hopdrum/fleet/message/View.java
@@ -16,6 +16,7 @@
 public record View(long era, long number, List<Member> members, Division division) {
     /** What stands before a fleet is founded. */
     public static final View NONE = new View(0, 0, List.of());
+
     private static final int MOST_MEMBERS = 2_000;
 
     public View {
--- a/src/main/java/hopdrum/fleet/shards/Negotiation.java
+++ b/src/main/java/hopdrum/fleet/shards/Negotiation.java
@@ -18,15 +18,17 @@
  * first by name of those that are there. What all parties agree to is put in force with the next view. Not thread-safe.
  */
 final class Negotiation {
-    private static final long KEEP_US = 60_000_000;    // an offer that its own operator has not named for so long is forgotten
+    private static final long KEEP_US =
+            60_000_000; // an offer that its own operator has not named for so long is forgotten
 
     private final Member self;
     private final Rule rule;
     private final Decisions log;
-    private final Map<Agreement, Offer> offers = new LinkedHashMap<>();  // emptied by tick(): what is in force, old or too much
-    private final Map<Agreement, Long> namedUs = new LinkedHashMap<>();  // the same
+    private final Map<Agreement, Offer> offers =
+            new LinkedHashMap<>(); // emptied by tick(): what is in force, old or too much
+    private final Map<Agreement, Long> namedUs = new LinkedHashMap<>(); // the same
     private Terms terms = Terms.NONE;
-    private Agreement notice;    // that this member has given; null if none
+    private Agreement notice; // that this member has given; null if none
     private Agreement countered; // what it said that it would take instead; null if none
 
     Negotiation(Member self, Rule rule, Decisions log) {
@@ -39,12 +41,19 @@
     void follow(Terms now) {
         terms = now;
         countered = null;
-        log.event("terms", "proposes", now.proposes() == null ? "" : say(now.proposes()), "gives_notice", now.givesNotice());
+        log.event(
+                "terms",
+                "proposes",
+                now.proposes() == null ? "" : say(now.proposes()),
+                "gives_notice",
+                now.givesNotice());
     }
 
     /** What peers are told: of what this operator proposed, only what it still does. */
     List<Offer> offers() {
-        return offers.values().stream().filter(o -> !o.by().equals(self.operator()) || isMine(o.terms())).toList();
+        return offers.values().stream()
+                .filter(o -> !o.by().equals(self.operator()) || isMine(o.terms()))
+                .toList();
     }
 
     private boolean isMine(Agreement a) {
@@ -56,7 +65,8 @@
         Offer first = null;
         for (Offer o : offers.values()) {
             if (rule.mayFollow(view, o.terms(), agreedBy(o), nowMs)
-                    && (first == null || o.terms().toString().compareTo(first.terms().toString()) < 0)) { // the same one at all
+                    && (first == null
+                            || o.terms().toString().compareTo(first.terms().toString()) < 0)) { // the same one at all
                 first = o;
             }
         }
@@ -64,7 +74,10 @@
     }
 
     static List<String> agreedBy(Offer offer) {
-        return offer.said().entrySet().stream().filter(e -> e.getValue().isEmpty()).map(Map.Entry::getKey).toList();
+        return offer.said().entrySet().stream()
+                .filter(e -> e.getValue().isEmpty())
+                .map(Map.Entry::getKey)
+                .toList();
     }
 
     void heard(Member from, Message.Offers said, long nowUs) {
@@ -82,7 +95,14 @@
         Offer now = known == null ? heard : known.merged(heard);
         if (!now.equals(known)) {
             offers.put(heard.terms(), now);
-            log.event(known == null ? "offer" : "offer_said", "terms", say(heard.terms()), "by", heard.by(), "said", now.said());
+            log.event(
+                    known == null ? "offer" : "offer_said",
+                    "terms",
+                    say(heard.terms()),
+                    "by",
+                    heard.by(),
+                    "said",
+                    now.said());
         }
         if (fromOwn) {
             namedUs.put(heard.terms(), nowUs);
@@ -95,21 +115,39 @@
     void tick(View view, boolean speaks, long nowMs, long nowUs) {
         Agreement last = view.division() == null ? null : view.division().agreement();
         int revision = last == null ? 0 : last.revision();
-        offers.keySet().removeIf(a -> a.revision() <= revision || a.untilMs() <= nowMs || nowUs - namedUs.get(a) > KEEP_US);
+        offers.keySet()
+                .removeIf(a -> a.revision() <= revision || a.untilMs() <= nowMs || nowUs - namedUs.get(a) > KEEP_US);
         namedUs.keySet().retainAll(offers.keySet());
         if (!speaks) {
             return;
         }
         Agreement mine = terms.proposes();
         namedUs.replaceAll((a, at) -> isMine(a) ? nowUs : at);
-        if (mine != null && mine.revision() == revision + 1 && !offers.containsKey(mine) && mine.faults(nowMs, rule.mostAloneMs()).isEmpty()) {
+        if (mine != null
+                && mine.revision() == revision + 1
+                && !offers.containsKey(mine)
+                && mine.faults(nowMs, rule.mostAloneMs()).isEmpty()) {
             take(new Offer(mine, self.operator(), Map.of(self.operator(), "")), true, nowUs);
             agreed(mine);
         }
-        if (terms.givesNotice() && last != null && last.party(self.operator()) != null && nowMs + last.noticeMs() < last.untilMs()
-                && offers.keySet().stream().noneMatch(a -> a.untilMs() <= nowMs + last.noticeMs() && a.parties().equals(last.parties()))) {
-            Agreement ends = new Agreement(last.name(), revision + 1, last.parties(), last.fromMs(), nowMs + last.noticeMs(), last.aloneMs(),
-                    last.standIn(), last.moves(), last.epochMs(), last.noticeMs());
+        if (terms.givesNotice()
+                && last != null
+                && last.party(self.operator()) != null
+                && nowMs + last.noticeMs() < last.untilMs()
+                && offers.keySet().stream()
+                        .noneMatch(a -> a.untilMs() <= nowMs + last.noticeMs()
+                                && a.parties().equals(last.parties()))) {
+            Agreement ends = new Agreement(
+                    last.name(),
+                    revision + 1,
+                    last.parties(),
+                    last.fromMs(),
+                    nowMs + last.noticeMs(),
+                    last.aloneMs(),
+                    last.standIn(),
+                    last.moves(),
+                    last.epochMs(),
+                    last.noticeMs());
             notice = ends;
             take(new Offer(ends, self.operator(), Map.of(self.operator(), "")), true, nowUs);
             log.event("gives_notice", "until_ms", ends.untilMs());
@@ -136,8 +174,11 @@
         take(offer.with(self.operator(), text), false, nowUs);
         log.event("refuses", "terms", say(offer.terms()), "why", text);
         Agreement counter = offer.by().equals(self.operator()) ? null : terms.counter(offer.terms(), self.operator());
-        if (counter != null && !offers.containsKey(counter) && counter.faults(nowMs, rule.mostAloneMs()).isEmpty()
-                && objections(new Offer(counter, self.operator(), Map.of()), revision, nowMs).isEmpty()) {
+        if (counter != null
+                && !offers.containsKey(counter)
+                && counter.faults(nowMs, rule.mostAloneMs()).isEmpty()
+                && objections(new Offer(counter, self.operator(), Map.of()), revision, nowMs)
+                        .isEmpty()) {
             countered = counter;
             take(new Offer(counter, self.operator(), Map.of(self.operator(), "")), true, nowUs);
             log.event("counters", "terms", say(counter));
@@ -153,9 +194,12 @@
             why.add("revision: " + a.revision() + ", where " + revision + " is in force");
         }
         for (Offer other : offers.values()) {
-            if (other.by().equals(offer.by()) && !other.terms().equals(a) && other.terms().revision() == a.revision()
+            if (other.by().equals(offer.by())
+                    && !other.terms().equals(a)
+                    && other.terms().revision() == a.revision()
                     && other.agrees(self.operator())) {
-                why.add("revision: " + offer.by() + " has proposed another " + a.revision() + ", which is agreed to here");
+                why.add("revision: " + offer.by() + " has proposed another " + a.revision()
+                        + ", which is agreed to here");
             }
         }
         why.addAll(terms.objections(a, self.operator(), nowMs));
--- a/src/main/java/hopdrum/fleet/shards/Ownership.java
+++ b/src/main/java/hopdrum/fleet/shards/Ownership.java
@@ -28,10 +28,10 @@
     /** One start of another operator's front door. */
     private static final class Door {
         final Member member;
-        long lastIn;                    // the last view seen that had it
+        long lastIn; // the last view seen that had it
         long droppedUs = Long.MAX_VALUE; // when a view without it was seen
-        long heard;                     // the latest view that it has said it holds
-        boolean over;                   // it left, or its store's next start has spoken
+        long heard; // the latest view that it has said it holds
+        boolean over; // it left, or its store's next start has spoken
 
         Door(Member member) {
             this.member = member;
@@ -41,17 +41,18 @@
     private final Member self;
     private final Timing timing;
     private final long mostAloneUs;
-    private final Map<Long, Door> doors = new HashMap<>();        // by start and name's hash; emptied once surely stopped
+    private final Map<Long, Door> doors = new HashMap<>(); // by start and name's hash; emptied once surely stopped
     private final TreeMap<Long, Adopted> adopted = new TreeMap<>(); // by number; the last 64
-    private final Map<Integer, Long> opened = new HashMap<>();    // shard: the number of the move that it is open for; bounded by shards
-    private final Map<Integer, Long> openedUs = new HashMap<>();  // shard: when it opened here, or was said to be; the same
+    private final Map<Integer, Long> opened =
+            new HashMap<>(); // shard: the number of the move that it is open for; bounded by shards
+    private final Map<Integer, Long> openedUs =
+            new HashMap<>(); // shard: when it opened here, or was said to be; the same
     private View view = View.NONE;
-    private long firstNumber;           // what came before it is not known here
+    private long firstNumber; // what came before it is not known here
     private long longestAloneUs;
 
     /** A view as it was adopted here. */
-    private record Adopted(long atUs, Division division) {
-    }
+    private record Adopted(long atUs, Division division) {}
 
     Ownership(Member self, Timing timing, long mostAloneUs) {
         this.self = self;
@@ -118,7 +119,8 @@
             d.heard = Math.max(d.heard, number);
         }
         for (Door other : doors.values()) { // one store serves one process: that before has ended
-            other.over |= other.member.name().equals(from.name()) && other.member.voter() == from.voter()
+            other.over |= other.member.name().equals(from.name())
+                    && other.member.voter() == from.voter()
                     && other.member.start() < from.start();
         }
     }
@@ -154,7 +156,9 @@
         }
         Map.Entry<Long, Adopted> at = adopted.ceilingEntry(move.number());
         long atUs = (at == null ? adopted.lastEntry() : at).getValue().atUs;
-        if (move.from().isEmpty() || firstNumber >= move.number() || adopted.firstKey() >= move.number() && firstNumber > 0) {
+        if (move.from().isEmpty()
+                || firstNumber >= move.number()
+                || adopted.firstKey() >= move.number() && firstNumber > 0) {
             return atUs + spanUs(mostAloneUs); // who had it, and until when, was never seen here
         }
         long opens = PAST;
@@ -172,12 +176,15 @@
      */
     private boolean mayHold(Door d, Move move) {
         Long from = adopted.floorKey(d.heard);
-        for (Adopted a : adopted.subMap(from == null ? adopted.firstKey() : from, move.number()).values()) {
+        for (Adopted a : adopted.subMap(from == null ? adopted.firstKey() : from, move.number())
+                .values()) {
             if (a.division == null || d.member.operator().equals(a.division.owner(move.shard()))) {
                 return true;
             }
         }
-        return from == null && d.heard < adopted.firstKey() && adopted.firstKey() > 1; // by views that are not known here any more
+        return from == null
+                && d.heard < adopted.firstKey()
+                && adopted.firstKey() > 1; // by views that are not known here any more
     }
 
     /** What this member may act on now, as one snapshot. Times in it are this clock's. */
@@ -220,7 +227,9 @@
     private int mine(Division d) {
         Agreement terms = d.agreement();
         Party p = terms == null ? null : terms.party(self.operator());
-        long all = terms == null ? 0 : terms.parties().stream().mapToLong(Party::floor).sum();
+        long all = terms == null
+                ? 0
+                : terms.parties().stream().mapToLong(Party::floor).sum();
         return p == null ? 0 : all == 0 ? d.shards() : Rule.floorShards(d.shards(), p.floor(), all);
     }
 
@@ -233,6 +242,12 @@
      * @param allUntilUs until when it may be more than the floor
      * @param floor so many of its shards, the first ones, are in its floor
      */
-    record Rights(long number, List<String> owners, long[] fromUs, long[] sinceUs, long untilUs, long allUntilUs, int floor) {
-    }
+    record Rights(
+            long number,
+            List<String> owners,
+            long[] fromUs,
+            long[] sinceUs,
+            long untilUs,
+            long allUntilUs,
+            int floor) {}
 }
--- a/src/main/java/hopdrum/fleet/shards/Partners.java
+++ b/src/main/java/hopdrum/fleet/shards/Partners.java
@@ -29,7 +29,7 @@
  * agreements alone are by the wall clock.
  */
 public final class Partners implements Dividing {
-    private static final int TOLD = 3;          // peers that are told of offers, each period
+    private static final int TOLD = 3; // peers that are told of offers, each period
     private static final int OPENED_PERIODS = 5;
     private static final int TELL_TAKERS_PERIODS = 3;
 
@@ -53,8 +53,15 @@
     private long saidUntilUs;
 
     /** @param wallMs the wall clock, milliseconds */
-    public Partners(Member self, int shards, long mostAloneMs, Timing timing, SplittableRandom random, Out out, Decisions log,
-                    LongSupplier wallMs) {
+    public Partners(
+            Member self,
+            int shards,
+            long mostAloneMs,
+            Timing timing,
+            SplittableRandom random,
+            Out out,
+            Decisions log,
+            LongSupplier wallMs) {
         this.self = self;
         this.timing = timing;
         this.rule = new Rule(shards, mostAloneMs);
@@ -83,16 +90,25 @@
         members.forEach(m -> present.add(m.operator()));
         long now = wallMs.getAsLong();
         Offer ready = negotiation.ready(before, now);
-        Division next = rule.next(before, present, ready == null ? null : ready.terms(),
-                ready == null ? List.of() : Negotiation.agreedBy(ready), now);
+        Division next = rule.next(
+                before,
+                present,
+                ready == null ? null : ready.terms(),
+                ready == null ? List.of() : Negotiation.agreedBy(ready),
+                now);
         return next.isLike(before.division()) ? before.division() : next;
     }
 
     @Override
     public String objection(View before, View proposed) {
         boolean same = proposed.division() != null && proposed.division().equals(before.division());
-        return same && rule.next(before, proposed.operators(), null, List.of(), wallMs.getAsLong()).goneMs().keySet()
-                .equals(before.division().goneMs().keySet()) ? null : rule.objection(before, proposed, wallMs.getAsLong());
+        return same
+                        && rule.next(before, proposed.operators(), null, List.of(), wallMs.getAsLong())
+                                .goneMs()
+                                .keySet()
+                                .equals(before.division().goneMs().keySet())
+                ? null
+                : rule.objection(before, proposed, wallMs.getAsLong());
     }
 
     @Override
@@ -105,9 +121,26 @@
             return;
         }
         if (!d.isLike(before.division())) {
-            log.event("division", "era", now.era(), "number", now.number(), "operators", d.operators(), "owners", d.owners(),
-                    "agreement", d.agreement() == null ? Map.of() : Negotiation.say(d.agreement()), "agreed_by", d.agreedBy(),
-                    "expired", d.expired(), "gone", d.goneMs().keySet(), "as_of_ms", d.asOfMs());
+            log.event(
+                    "division",
+                    "era",
+                    now.era(),
+                    "number",
+                    now.number(),
+                    "operators",
+                    d.operators(),
+                    "owners",
+                    d.owners(),
+                    "agreement",
+                    d.agreement() == null ? Map.of() : Negotiation.say(d.agreement()),
+                    "agreed_by",
+                    d.agreedBy(),
+                    "expired",
+                    d.expired(),
+                    "gone",
+                    d.goneMs().keySet(),
+                    "as_of_ms",
+                    d.asOfMs());
         }
         tellTakersUntilUs = nowUs + TELL_TAKERS_PERIODS * timing.periodUs();
         tellTakers(nowUs);
@@ -162,7 +195,9 @@
             nextTellUs = nowUs + timing.periodUs();
             if (!negotiation.offers().isEmpty()) {
                 for (int i = 0; i < TOLD; i++) {
-                    out.send(peers.get(random.nextInt(peers.size())).address(), new Message.Offers(negotiation.offers()));
+                    out.send(
+                            peers.get(random.nextInt(peers.size())).address(),
+                            new Message.Offers(negotiation.offers()));
                 }
             }
         }
@@ -217,12 +252,24 @@
         if (rights == null) {
             return null;
         }
-        String acts = ShardTable.of(rights, self.operator(), operators, Set.of(), 0, 0).acts(nowUs);
+        String acts = ShardTable.of(rights, self.operator(), operators, Set.of(), 0, 0)
+                .acts(nowUs);
         long until = acts.indexOf('x') < 0 ? 0 : Math.max(0, rights.untilUs());
         if (!acts.equals(said) || until != saidUntilUs) {
             said = acts;
             saidUntilUs = until;
-            log.event("acts", "era", view.era(), "number", view.number(), "operator", self.operator(), "on", acts, "until_us", until);
+            log.event(
+                    "acts",
+                    "era",
+                    view.era(),
+                    "number",
+                    view.number(),
+                    "operator",
+                    self.operator(),
+                    "on",
+                    acts,
+                    "until_us",
+                    until);
         }
         return ShardTable.of(rights, self.operator(), operators, doors().keySet(), timing.periodUs(), offsetUs);
     }
--- a/src/main/java/hopdrum/fleet/shards/Rule.java
+++ b/src/main/java/hopdrum/fleet/shards/Rule.java
@@ -22,9 +22,9 @@
  */
 public final class Rule {
     private static final long CLOCKS_APART_MS = 10_000;
-    private static final long KEEP_MOVES_MS = 600_000;   // far longer than anybody may act alone
-    private static final long PLAIN_EPOCH_MS = 60_000;   // without an agreement
-    private static final int PLAIN_PART = 8;             // of the shards, in an epoch, without an agreement
+    private static final long KEEP_MOVES_MS = 600_000; // far longer than anybody may act alone
+    private static final long PLAIN_EPOCH_MS = 60_000; // without an agreement
+    private static final int PLAIN_PART = 8; // of the shards, in an epoch, without an agreement
 
     private final int shards;
     private final long mostAloneMs;
@@ -46,17 +46,29 @@
     /** Whether the terms can come in force after what the view has, with the word of these alone. */
     public boolean mayFollow(View before, Agreement terms, List<String> agreedBy, long nowMs) {
         Agreement last = before.division() == null ? null : before.division().agreement();
-        return terms.revision() == (last == null ? 1 : last.revision() + 1) && nowMs >= terms.fromMs()
-                && (isNotice(last, terms, agreedBy, nowMs) || terms.faults(nowMs, mostAloneMs).isEmpty()
-                && agreedBy.containsAll(terms.operators()));
+        return terms.revision() == (last == null ? 1 : last.revision() + 1)
+                && nowMs >= terms.fromMs()
+                && (isNotice(last, terms, agreedBy, nowMs)
+                        || terms.faults(nowMs, mostAloneMs).isEmpty() && agreedBy.containsAll(terms.operators()));
     }
 
     /** One party alone may end an agreement sooner, as the terms that all have agreed to say: nothing else may change. */
     private static boolean isNotice(Agreement last, Agreement terms, List<String> by, long nowMs) {
-        return last != null && by.stream().anyMatch(o -> last.party(o) != null) && terms.untilMs() < last.untilMs()
+        return last != null
+                && by.stream().anyMatch(o -> last.party(o) != null)
+                && terms.untilMs() < last.untilMs()
                 && terms.untilMs() >= nowMs + last.noticeMs() - CLOCKS_APART_MS
-                && terms.equals(new Agreement(last.name(), last.revision() + 1, last.parties(), last.fromMs(), terms.untilMs(),
-                last.aloneMs(), last.standIn(), last.moves(), last.epochMs(), last.noticeMs()));
+                && terms.equals(new Agreement(
+                        last.name(),
+                        last.revision() + 1,
+                        last.parties(),
+                        last.fromMs(),
+                        terms.untilMs(),
+                        last.aloneMs(),
+                        last.standIn(),
+                        last.moves(),
+                        last.epochMs(),
+                        last.noticeMs()));
     }
 
     /** Null if a proposed division follows by this rule, else what does not. */
@@ -66,14 +78,17 @@
         if (next == null) {
             return "it divides nothing";
         }
-        if (next.asOfMs() > nowMs + CLOCKS_APART_MS || last != null && next.asOfMs() < last.asOfMs() - CLOCKS_APART_MS) {
+        if (next.asOfMs() > nowMs + CLOCKS_APART_MS
+                || last != null && next.asOfMs() < last.asOfMs() - CLOCKS_APART_MS) {
             return "its time cannot be";
         }
         boolean other = !Objects.equals(next.agreement(), last == null ? null : last.agreement());
-        if (other && (next.agreement() == null || !mayFollow(before, next.agreement(), next.agreedBy(), next.asOfMs()))) {
+        if (other
+                && (next.agreement() == null || !mayFollow(before, next.agreement(), next.agreedBy(), next.asOfMs()))) {
             return "its agreement is not one that all parties have agreed to";
         }
-        Division right = next(before, proposed.operators(), other ? next.agreement() : null, next.agreedBy(), next.asOfMs());
+        Division right =
+                next(before, proposed.operators(), other ? next.agreement() : null, next.agreedBy(), next.asOfMs());
         return right.equals(next) ? null : "its shards are not divided by the rule";
     }
 
@@ -137,13 +152,27 @@
             String from = last == null ? null : last.owner(shard);
             moves.put(shard, new Move(shard, from == null ? "" : from, before.number() + 1, nowMs));
         }
-        return new Division(nowMs, names, new String(owners), List.copyOf(moves.values()), terms,
-                ready != null ? agreedBy : last == null ? List.of() : last.agreedBy(), expired, gone, epoch, moved);
+        return new Division(
+                nowMs,
+                names,
+                new String(owners),
+                List.copyOf(moves.values()),
+                terms,
+                ready != null ? agreedBy : last == null ? List.of() : last.agreedBy(),
+                expired,
+                gone,
+                epoch,
+                moved);
     }
 
     /** Who is gone keeps what it has, unless others stand in, or it was owed less from some time on. */
-    private Map<String, Integer> targets(Set<String> operators, Map<String, Long> gone, Map<String, Integer> has, Agreement terms,
-                                         boolean expired, long nowMs) {
+    private Map<String, Integer> targets(
+            Set<String> operators,
+            Map<String, Long> gone,
+            Map<String, Integer> has,
+            Agreement terms,
+            boolean expired,
+            long nowMs) {
         Map<String, Integer> weights = new TreeMap<>();
         for (String o : operators) {
             Party p = terms == null ? null : terms.party(o);
@@ -177,7 +206,8 @@
             given += whole;
         }
         int left = free;
-        byRest.sort(Comparator.comparingLong((String o) -> -(left * (long) weights.get(o) % sum)).thenComparing(o -> o));
+        byRest.sort(Comparator.comparingLong((String o) -> -(left * (long) weights.get(o) % sum))
+                .thenComparing(o -> o));
         for (int i = 0; i < free - given && !byRest.isEmpty(); i++) {
             target.merge(byRest.get(i), 1, Integer::sum);
         }
@@ -191,8 +221,12 @@
     }
 
     /** A lender below what its own capacity guarantees it comes before all others; then who lacks the largest part. */
-    private String neediest(List<String> names, Map<String, Integer> over, Map<String, Integer> has, Map<String, Integer> target,
-                            Agreement terms) {
+    private String neediest(
+            List<String> names,
+            Map<String, Integer> over,
+            Map<String, Integer> has,
+            Map<String, Integer> target,
+            Agreement terms) {
         String best = null;
         double bestLack = 0;
         for (String o : names) {
@@ -200,8 +234,10 @@
                 continue;
             }
             Party p = terms == null ? null : terms.party(o);
-            double guaranteed = p == null || p.owed() == 0 ? 0 : target.get(o) * (double) Math.min(p.owed(), p.brings()) / p.owed();
-            double lack = -over.get(o) / (double) target.get(o) + (has.getOrDefault(o, 0) < Math.floor(guaranteed) ? 1 : 0);
+            double guaranteed =
+                    p == null || p.owed() == 0 ? 0 : target.get(o) * (double) Math.min(p.owed(), p.brings()) / p.owed();
+            double lack =
+                    -over.get(o) / (double) target.get(o) + (has.getOrDefault(o, 0) < Math.floor(guaranteed) ? 1 : 0);
             if (lack > bestLack) {
                 best = o;
                 bestLack = lack;
--- a/src/main/java/hopdrum/fleet/shards/ShardTable.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardTable.java
@@ -9,11 +9,11 @@
 /** What one front door knows of who owns which shard, for its own clock; never changed. */
 public final class ShardTable implements Shards {
     private static final long NOBODY = -1;
-    private final boolean[] own;     // by shard
-    private final long[] tiers;      // by shard: whom to ask where this one may not act; NOBODY
-    private final long[] fromUs;     // by shard, where it is its own
-    private final long[] untilUs;    // the same
-    private final long[] sinceUs;    // the same: when it opened here
+    private final boolean[] own; // by shard
+    private final long[] tiers; // by shard: whom to ask where this one may not act; NOBODY
+    private final long[] fromUs; // by shard, where it is its own
+    private final long[] untilUs; // the same
+    private final long[] sinceUs; // the same: when it opened here
     private final long retryUs;
 
     private ShardTable(int shards, long retryUs) {
@@ -31,7 +31,13 @@
      * @param retryUs how soon to ask again where nobody is known
      * @param offsetUs what the snapshot's clock is ahead of the one in the rights
      */
-    static ShardTable of(Ownership.Rights rights, String self, List<String> operators, Set<String> there, long retryUs, long offsetUs) {
+    static ShardTable of(
+            Ownership.Rights rights,
+            String self,
+            List<String> operators,
+            Set<String> there,
+            long retryUs,
+            long offsetUs) {
         int n = rights.owners().size();
         ShardTable t = new ShardTable(n, retryUs);
         int mine = 0;
@@ -52,7 +58,8 @@
 
     /** The shard that a customer falls into, the same at all front doors: MurmurHash3, x86, 32 bits, seed 0. */
     public static int shard(long customer, int shards) {
-        return Integer.remainderUnsigned(MurmurHash3.hash32x86(ByteBuffer.allocate(8).putLong(customer).array(), 0, 8, 0), shards);
+        return Integer.remainderUnsigned(
+                MurmurHash3.hash32x86(ByteBuffer.allocate(8).putLong(customer).array(), 0, 8, 0), shards);
     }
 
     @Override
--- a/src/main/java/hopdrum/fleet/shards/Terms.java
+++ b/src/main/java/hopdrum/fleet/shards/Terms.java
@@ -18,8 +18,15 @@
  * @param mostMs how long it binds itself from the agreement's start
  * @param givesNotice whether it wants out
  */
-public record Terms(Agreement proposes, double leastPart, int mostBrings, int leastFloor, long mostAloneMs, int mostMoves, long mostMs,
-                    boolean givesNotice) {
+public record Terms(
+        Agreement proposes,
+        double leastPart,
+        int mostBrings,
+        int leastFloor,
+        long mostAloneMs,
+        int mostMoves,
+        long mostMs,
+        boolean givesNotice) {
     /** Of one without a file: it proposes nothing and agrees to nothing. */
     public static final Terms NONE = new Terms(null, 2, 0, 0, 0, 0, 0, false);
 
@@ -37,7 +44,8 @@
             return why; // its own
         }
         if (part(a, operator) < leastPart - 1e-9) {
-            why.add(String.format(Locale.ROOT, "owed: %.3f of all for %s, which wants %.3f", part(a, operator), operator, leastPart));
+            why.add(String.format(
+                    Locale.ROOT, "owed: %.3f of all for %s, which wants %.3f", part(a, operator), operator, leastPart));
         }
         if (p.brings() > mostBrings) {
             why.add("brings: " + p.brings() + ", where " + operator + " has " + mostBrings);
@@ -60,17 +68,33 @@
     /** The same with this operator's own figures as near as it would agree to; null where no figure of its own would help. */
     Agreement counter(Agreement a, String operator) {
         List<Party> parties = new ArrayList<>();
-        double others = a.parties().stream().filter(p -> !p.operator().equals(operator)).mapToLong(Party::owed).sum();
+        double others = a.parties().stream()
+                .filter(p -> !p.operator().equals(operator))
+                .mapToLong(Party::owed)
+                .sum();
         if (leastPart >= 1) {
             return null;
         }
         for (Party p : a.parties()) {
-            int owed = !p.operator().equals(operator) || part(a, operator) >= leastPart ? p.owed()
+            int owed = !p.operator().equals(operator) || part(a, operator) >= leastPart
+                    ? p.owed()
                     : (int) Math.ceil(others * leastPart / (1 - leastPart));
-            parties.add(!p.operator().equals(operator) ? p : new Party(operator, Math.min(p.brings(), mostBrings), owed,
-                    Math.max(p.floor(), leastFloor)));
+            parties.add(
+                    !p.operator().equals(operator)
+                            ? p
+                            : new Party(
+                                    operator, Math.min(p.brings(), mostBrings), owed, Math.max(p.floor(), leastFloor)));
         }
-        return new Agreement(a.name(), a.revision(), parties, a.fromMs(), a.untilMs(), Math.min(a.aloneMs(), mostAloneMs), a.standIn(),
-                Math.min(a.moves(), mostMoves), a.epochMs(), a.noticeMs());
+        return new Agreement(
+                a.name(),
+                a.revision(),
+                parties,
+                a.fromMs(),
+                a.untilMs(),
+                Math.min(a.aloneMs(), mostAloneMs),
+                a.standIn(),
+                Math.min(a.moves(), mostMoves),
+                a.epochMs(),
+                a.noticeMs());
     }
 }
--- a/src/main/java/hopdrum/fleet/store/Store.java
+++ b/src/main/java/hopdrum/fleet/store/Store.java
@@ -26,8 +26,7 @@
      * @param promised below this ballot nothing is accepted for the view after it
      * @param acceptedIn the ballot in which a view was accepted; null if none was
      */
-    public record Kept(long voter, long lastStart, View view, Ballot promised, Ballot acceptedIn, View accepted) {
-    }
+    public record Kept(long voter, long lastStart, View view, Ballot promised, Ballot acceptedIn, View accepted) {}
 
     private static final ObjectMapper MAPPER = new CBORMapper();
     private static final int HEAD = 12; // "hdf1", length, checksum
@@ -65,7 +64,9 @@
             }
             byte[] bytes = Files.readAllBytes(file);
             ByteBuffer head = ByteBuffer.wrap(bytes);
-            if (bytes.length < HEAD || head.getInt() != MAGIC || head.getInt() != bytes.length - HEAD
+            if (bytes.length < HEAD
+                    || head.getInt() != MAGIC
+                    || head.getInt() != bytes.length - HEAD
                     || head.getInt() != checksum(bytes, HEAD)) {
                 damage = "its length or checksum is wrong";
             } else {
@@ -94,11 +95,15 @@
     /** Returns once the state would outlast the machine's fall; what fails here must not be answered. */
     public void write(Kept kept) throws IOException {
         byte[] body = MAPPER.writeValueAsBytes(kept);
-        ByteBuffer bytes = ByteBuffer.allocate(HEAD + body.length).putInt(MAGIC).putInt(body.length).putInt(checksum(body, 0))
-                .put(body).flip();
+        ByteBuffer bytes = ByteBuffer.allocate(HEAD + body.length)
+                .putInt(MAGIC)
+                .putInt(body.length)
+                .putInt(checksum(body, 0))
+                .put(body)
+                .flip();
         Path fresh = folder.resolve(FILE + ".new");
-        try (FileChannel file = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
-                StandardOpenOption.WRITE)) {
+        try (FileChannel file = FileChannel.open(
+                fresh, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             while (bytes.hasRemaining()) {
                 file.write(bytes);
             }
--- a/src/main/java/hopdrum/fleet/view/Council.java
+++ b/src/main/java/hopdrum/fleet/view/Council.java
@@ -32,9 +32,10 @@
         void write(Kept kept, Runnable then);
     }
 
-    private static final int STILL_PERIODS = 1;      // before a change is proposed
-    private static final int BATCH_PERIODS = 6;      // the longest that a change waits for suspicions to be decided
-    private static final int LEAST_PATIENCE = 2;     // periods that a proposal waits for votes; twice as many after each that failed
+    private static final int STILL_PERIODS = 1; // before a change is proposed
+    private static final int BATCH_PERIODS = 6; // the longest that a change waits for suspicions to be decided
+    private static final int LEAST_PATIENCE =
+            2; // periods that a proposal waits for votes; twice as many after each that failed
     private static final int MOST_PATIENCE = 32;
     private static final long NOTHING = Long.MIN_VALUE / 2;
 
@@ -59,23 +60,33 @@
     private final Decisions log;
     private final Leases leases;
     private final Dividing dividing;
-    private final Deque<Message> toSelf = new ArrayDeque<>();   // emptied at the end of each call
+    private final Deque<Message> toSelf = new ArrayDeque<>(); // emptied at the end of each call
     private View view;
     private Ballot promised;
-    private Ballot acceptedIn;      // null: nothing accepted for the next number
+    private Ballot acceptedIn; // null: nothing accepted for the next number
     private View accepted;
     private long highestRound;
     private Proposal proposal;
     private int patience = LEAST_PATIENCE;
-    private long notBeforeUs;       // after a try that came to nothing
-    private List<Member> wanted;    // as last seen, and since when
+    private long notBeforeUs; // after a try that came to nothing
+    private List<Member> wanted; // as last seen, and since when
     private long wantedSinceUs;
     private long changeSinceUs = NOTHING;
     private boolean superseded;
     private long askedUs = NOTHING;
 
-    public Council(Member self, List<String> founders, Kept kept, Timing timing, SplittableRandom random, Out out,
-                   Reachability reach, Keeper keeper, Dividing dividing, Decisions log, long nowUs) {
+    public Council(
+            Member self,
+            List<String> founders,
+            Kept kept,
+            Timing timing,
+            SplittableRandom random,
+            Out out,
+            Reachability reach,
+            Keeper keeper,
+            Dividing dividing,
+            Decisions log,
+            long nowUs) {
         this.self = self;
         this.dividing = dividing;
         this.founders = founders.stream().sorted().toList();
@@ -153,8 +164,16 @@
 
     public void tick(long nowUs) {
         if (proposal != null && nowUs >= proposal.untilUs) {
-            log.event("proposal_failed", "ballot", proposal.ballot.round(), "promised", proposal.promised.size(),
-                    "accepted", proposal.accepted.size(), "needed", quorum());
+            log.event(
+                    "proposal_failed",
+                    "ballot",
+                    proposal.ballot.round(),
+                    "promised",
+                    proposal.promised.size(),
+                    "accepted",
+                    proposal.accepted.size(),
+                    "needed",
+                    quorum());
             patience = Math.min(MOST_PATIENCE, 2 * patience); // a voter's disk may be slow
             backOff(nowUs);
         }
@@ -195,8 +214,10 @@
         }
         changeSinceUs = changeSinceUs == NOTHING ? nowUs : changeSinceUs;
         boolean still = nowUs - wantedSinceUs >= STILL_PERIODS * timing.periodUs() && !anySuspect();
-        if (!(still || nowUs - changeSinceUs >= BATCH_PERIODS * timing.periodUs()) || proposal != null
-                || nowUs < notBeforeUs || !chair) {
+        if (!(still || nowUs - changeSinceUs >= BATCH_PERIODS * timing.periodUs())
+                || proposal != null
+                || nowUs < notBeforeUs
+                || !chair) {
             return;
         }
         long era = view.era() == 0 ? System.currentTimeMillis() * 1000 : view.era();
@@ -225,11 +246,12 @@
             if (later && state == State.ALIVE) {
                 next.add(known); // a restart
             } else if (known == null || known.start() < m.start() || state == State.ALIVE || state == State.SUSPECT) {
-                next.add(m);     // nobody knows better, or it is not decided yet
+                next.add(m); // nobody knows better, or it is not decided yet
             }
         }
         for (Member m : reach.present()) {
-            if (view.named(m.name()) == null && reach.state(m.name()) == State.ALIVE
+            if (view.named(m.name()) == null
+                    && reach.state(m.name()) == State.ALIVE
                     && (m.is(self) || nowUs - reach.sinceUs(m.name()) >= STILL_PERIODS * timing.periodUs())) {
                 next.add(m);
             }
@@ -261,8 +283,16 @@
         proposal.ballot = new Ballot(++highestRound, self.name());
         proposal.value = value;
         proposal.untilUs = nowUs + patience * timing.periodUs();
-        log.event("proposes", "era", value.era(), "number", value.number(), "ballot", proposal.ballot.round(),
-                "members", names(value));
+        log.event(
+                "proposes",
+                "era",
+                value.era(),
+                "number",
+                value.number(),
+                "ballot",
+                proposal.ballot.round(),
+                "members",
+                names(value));
         toAll(voters(), new Message.Prepare(view.era(), view.number(), proposal.ballot));
     }
 
@@ -273,7 +303,10 @@
 
     public void heard(Member from, Message.Promise promise, long nowUs) {
         Proposal p = proposal;
-        if (p == null || p.accepting || !view.isNamed(promise.era(), promise.number()) || !promise.ballot().equals(p.ballot)
+        if (p == null
+                || p.accepting
+                || !view.isNamed(promise.era(), promise.number())
+                || !promise.ballot().equals(p.ballot)
                 || !mayVote(from)) {
             return;
         }
@@ -292,7 +325,10 @@
 
     public void heard(Member from, Message.Accepted said, long nowUs) {
         Proposal p = proposal;
-        if (p == null || !p.accepting || !view.isNamed(said.era(), said.number()) || !said.ballot().equals(p.ballot)
+        if (p == null
+                || !p.accepting
+                || !view.isNamed(said.era(), said.number())
+                || !said.ballot().equals(p.ballot)
                 || !mayVote(from)) {
             return;
         }
@@ -317,7 +353,8 @@
     }
 
     public void heard(Member from, Message.Overruled overruled, long nowUs) {
-        if (proposal != null && view.isNamed(overruled.era(), overruled.number())
+        if (proposal != null
+                && view.isNamed(overruled.era(), overruled.number())
                 && overruled.by().compareTo(proposal.ballot) > 0) {
             highestRound = Math.max(highestRound, overruled.by().round());
             backOff(nowUs);
@@ -349,7 +386,8 @@
                 reply(from, new Message.Overruled(prepare.era(), prepare.number(), promised));
             } else {
                 highestRound = Math.max(highestRound, prepare.ballot().round());
-                Message promise = new Message.Promise(prepare.era(), prepare.number(), prepare.ballot(), acceptedIn, accepted);
+                Message promise =
+                        new Message.Promise(prepare.era(), prepare.number(), prepare.ballot(), acceptedIn, accepted);
                 keep(prepare.ballot(), acceptedIn, accepted, () -> reply(from, promise));
             }
         }
@@ -361,12 +399,31 @@
             if (accept.ballot().compareTo(promised) < 0) {
                 reply(from, new Message.Overruled(accept.era(), accept.number(), promised));
             } else if (dividing.objection(view, accept.view()) != null) {
-                log.event("objects", "era", accept.era(), "number", accept.view().number(), "why", dividing.objection(view, accept.view()));
+                log.event(
+                        "objects",
+                        "era",
+                        accept.era(),
+                        "number",
+                        accept.view().number(),
+                        "why",
+                        dividing.objection(view, accept.view()));
             } else {
                 View of = accept.view();
                 keep(accept.ballot(), accept.ballot(), of, () -> {
-                    log.event("accepted", "era", of.era(), "number", of.number(), "ballot", accept.ballot().round(),
-                            "proposer", accept.ballot().proposer(), "members", names(of), "voter", self.voter());
+                    log.event(
+                            "accepted",
+                            "era",
+                            of.era(),
+                            "number",
+                            of.number(),
+                            "ballot",
+                            accept.ballot().round(),
+                            "proposer",
+                            accept.ballot().proposer(),
+                            "members",
+                            names(of),
+                            "voter",
+                            self.voter());
                     reply(from, new Message.Accepted(accept.era(), accept.number(), accept.ballot()));
                 });
             }
@@ -430,7 +487,7 @@
         boolean follows = next && settled.number() == view.number() + 1;
         View before = view;
         view = settled;
-        keep(Ballot.NONE, null, null, () -> { }); // nothing is promised by it: a start that has forgotten it asks again
+        keep(Ballot.NONE, null, null, () -> {}); // nothing is promised by it: a start that has forgotten it asks again
         proposal = null;
         wanted = null;
         changeSinceUs = NOTHING;
--- a/src/main/java/hopdrum/fleet/view/Dividing.java
+++ b/src/main/java/hopdrum/fleet/view/Dividing.java
@@ -29,7 +29,6 @@
         }
 
         @Override
-        public void settled(View view, long nowUs) {
-        }
+        public void settled(View view, long nowUs) {}
     };
 }
--- a/src/main/java/hopdrum/fleet/view/Leases.java
+++ b/src/main/java/hopdrum/fleet/view/Leases.java
@@ -23,24 +23,23 @@
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     /** What may be claimed by a view until its successor has surely taken its place everywhere. */
-    public record Claim(View view, long untilUs) {
-    }
+    public record Claim(View view, long untilUs) {}
 
     private final Member self;
     private final Timing timing;
     private final Out out;
     private final Decisions log;
     private final long startedUs;
-    private final List<Claim> former = new ArrayList<>();       // emptied as they lapse
-    private final Map<String, Long> answered = new HashMap<>();  // the chair's: by member, its clock; emptied by a view
-    private final Set<String> inRound = new HashSet<>();         // emptied by the next round
-    private Map<String, Long> before = Map.of();                 // as answered stood when the round began
+    private final List<Claim> former = new ArrayList<>(); // emptied as they lapse
+    private final Map<String, Long> answered = new HashMap<>(); // the chair's: by member, its clock; emptied by a view
+    private final Set<String> inRound = new HashSet<>(); // emptied by the next round
+    private Map<String, Long> before = Map.of(); // as answered stood when the round began
     private long round;
     private boolean roundHeld;
     private long nextRoundUs;
     private View view = View.NONE;
-    private long heldSinceUs = NEVER;  // of the present view or the one right before, by this clock
-    private long gapUntilUs;           // views were skipped: what they gave is not known
+    private long heldSinceUs = NEVER; // of the present view or the one right before, by this clock
+    private long gapUntilUs; // views were skipped: what they gave is not known
     private boolean cutOff;
 
     Leases(Member self, Timing timing, Out out, Decisions log, long nowUs) {
@@ -109,7 +108,8 @@
 
     void tick(View now, boolean chair, List<Member> all, long nowUs) {
         former.removeIf(c -> nowUs >= c.untilUs);
-        boolean lapsed = now.has(self) && nowUs > Math.max(heldSinceUs, startedUs) + timing.leaseUs() && nowUs > gapUntilUs;
+        boolean lapsed =
+                now.has(self) && nowUs > Math.max(heldSinceUs, startedUs) + timing.leaseUs() && nowUs > gapUntilUs;
         if (lapsed != cutOff) {
             cutOff = lapsed;
             log.event(lapsed ? "cut_off" : "held_again", "era", now.era(), "number", now.number());
@@ -158,7 +158,8 @@
             }
         }
         if (before.size() < now.majority()) {
-            nextRoundUs = Math.min(nextRoundUs, nowUs + timing.periodUs() / 4); // the first of a view tell nobody a time
+            nextRoundUs =
+                    Math.min(nextRoundUs, nowUs + timing.periodUs() / 4); // the first of a view tell nobody a time
         }
     }
 
@@ -176,7 +177,10 @@
 
     /** Told by a chair; a time that this clock has not shown since the start is nobody's. */
     public void heard(Message.Held said, View now, long nowUs) {
-        if (now.isNamed(said.era(), said.number()) && said.atUs() >= startedUs && said.atUs() <= nowUs && now.has(self)) {
+        if (now.isNamed(said.era(), said.number())
+                && said.atUs() >= startedUs
+                && said.atUs() <= nowUs
+                && now.has(self)) {
             held(said.atUs());
         }
     }
--- a/src/main/java/hopdrum/fleet/view/Membership.java
+++ b/src/main/java/hopdrum/fleet/view/Membership.java
@@ -33,8 +33,18 @@
     private boolean left;
 
     /** @param partners what operators split; null where they split nothing */
-    public Membership(Member self, List<String> seeds, List<String> founders, Kept kept, Timing timing,
-                      SplittableRandom random, Out out, Council.Keeper keeper, Partners partners, Decisions log, long nowUs) {
+    public Membership(
+            Member self,
+            List<String> seeds,
+            List<String> founders,
+            Kept kept,
+            Timing timing,
+            SplittableRandom random,
+            Out out,
+            Council.Keeper keeper,
+            Partners partners,
+            Decisions log,
+            long nowUs) {
         this.self = self;
         this.timing = timing;
         this.random = random;
@@ -46,7 +56,17 @@
         if (partners != null) {
             partners.watches(reach);
         }
-        council = new Council(self, founders, kept, timing, random, out, reach, keeper, partners == null ? Dividing.NONE : partners, log,
+        council = new Council(
+                self,
+                founders,
+                kept,
+                timing,
+                random,
+                out,
+                reach,
+                keeper,
+                partners == null ? Dividing.NONE : partners,
+                log,
                 nowUs);
     }
 
@@ -180,11 +200,18 @@
 
     /** One that was settled on is told so by no other: it is the other that must go. */
     private void taken(Message.NameTaken said, long nowUs) {
-        if (said.holder().name().equals(self.name()) && !said.holder().is(self) && !council.view().has(self)) {
-            outUntilUs = nowUs + OUT_PERIODS * timing.periodUs() / 2
-                    + random.nextLong(OUT_PERIODS * timing.periodUs());
-            log.event("refused", "why", "the name is another's", "its_start", said.holder().start(),
-                    "at_address", said.holder().address());
+        if (said.holder().name().equals(self.name())
+                && !said.holder().is(self)
+                && !council.view().has(self)) {
+            outUntilUs = nowUs + OUT_PERIODS * timing.periodUs() / 2 + random.nextLong(OUT_PERIODS * timing.periodUs());
+            log.event(
+                    "refused",
+                    "why",
+                    "the name is another's",
+                    "its_start",
+                    said.holder().start(),
+                    "at_address",
+                    said.holder().address());
         }
     }
 }
--- a/src/main/java/hopdrum/fleet/view/Reachability.java
+++ b/src/main/java/hopdrum/fleet/view/Reachability.java
@@ -24,13 +24,13 @@
  * what was changed. Not thread-safe. Times are microseconds of one monotonic clock.
  */
 public final class Reachability {
-    private static final int HELPERS = 3;            // members asked to ping in one's stead; confirmations that count
-    private static final int MOST_RUMOURS = 8;       // on one ping: its size stays flat as the fleet grows
-    private static final int SAID_PER_DOUBLING = 4;  // a rumour is said so often for each doubling of the fleet
-    private static final int WORST_HEALTH = 8;       // of the observer, by whose multiples it waits longer
+    private static final int HELPERS = 3; // members asked to ping in one's stead; confirmations that count
+    private static final int MOST_RUMOURS = 8; // on one ping: its size stays flat as the fleet grows
+    private static final int SAID_PER_DOUBLING = 4; // a rumour is said so often for each doubling of the fleet
+    private static final int WORST_HEALTH = 8; // of the observer, by whose multiples it waits longer
     private static final int EXCHANGE_PERIODS = 10;
-    private static final int EXCHANGE_MEMBERS = 16;  // beyond, exchanges come more seldom: their bytes stay flat
-    private static final int SEEK_PERIODS = 3;       // between two tries to reach a seed or one of the dead
+    private static final int EXCHANGE_MEMBERS = 16; // beyond, exchanges come more seldom: their bytes stay flat
+    private static final int SEEK_PERIODS = 3; // between two tries to reach a seed or one of the dead
     private static final int MOST_RELAYED = 512;
 
     /** What is believed of one other member. */
@@ -39,8 +39,8 @@
         long incarnation;
         State state;
         long sinceUs;
-        long heardUs = Long.MIN_VALUE / 2;       // it spoke to us itself
-        long lookUs;                             // when a suspect may be looked at again
+        long heardUs = Long.MIN_VALUE / 2; // it spoke to us itself
+        long lookUs; // when a suspect may be looked at again
         final Set<String> accusers = new HashSet<>(2); // of a suspicion; emptied with it
 
         Entry(Rumour of, long nowUs) {
@@ -86,8 +86,7 @@
         int said;
     }
 
-    private record Relayed(String origin, long seq, long atUs) {
-    }
+    private record Relayed(String origin, long seq, long atUs) {}
 
     /** A ping at a suspect by one that others' word made look. */
     private static final class Check {
@@ -110,16 +109,18 @@
     private final Out out;
     private final Decisions log;
     private final Pings pings;
-    private final Map<String, Entry> entries = new LinkedHashMap<>();   // by name; emptied by forget()
-    private final Map<String, Pending> rumours = new LinkedHashMap<>(); // by name; emptied as they have been said enough
-    private final Map<Long, Relayed> relayed = new LinkedHashMap<>();   // pings in others' stead; emptied by age and bound
-    private final Map<Long, Check> checks = new LinkedHashMap<>();      // pings at suspects; emptied by answers and by age
-    private final List<Entry> ring = new ArrayList<>();                 // who is pinged next; made anew when empty
+    private final Map<String, Entry> entries = new LinkedHashMap<>(); // by name; emptied by forget()
+    private final Map<String, Pending> rumours =
+            new LinkedHashMap<>(); // by name; emptied as they have been said enough
+    private final Map<Long, Relayed> relayed =
+            new LinkedHashMap<>(); // pings in others' stead; emptied by age and bound
+    private final Map<Long, Check> checks = new LinkedHashMap<>(); // pings at suspects; emptied by answers and by age
+    private final List<Entry> ring = new ArrayList<>(); // who is pinged next; made anew when empty
     private long incarnation;
     private boolean leaving;
-    private Member rival;                    // a later start of this name elsewhere
-    private View view = View.NONE;           // named in pings
-    private int health;                      // 0: this observer is well
+    private Member rival; // a later start of this name elsewhere
+    private View view = View.NONE; // named in pings
+    private int health; // 0: this observer is well
     private long seq;
     private long lastTickUs;
     private Entry probed;
@@ -131,8 +132,15 @@
     private long nextExchangeUs;
     private long nextSeekUs;
 
-    public Reachability(Member self, List<String> seeds, Timing timing, SplittableRandom random, Out out, Decisions log,
-                        Pings pings, long nowUs) {
+    public Reachability(
+            Member self,
+            List<String> seeds,
+            Timing timing,
+            SplittableRandom random,
+            Out out,
+            Decisions log,
+            Pings pings,
+            long nowUs) {
         this.self = self;
         this.seeds = List.copyOf(seeds);
         this.timing = timing;
@@ -237,7 +245,8 @@
             }
         }
         if (nowUs >= nextSeekUs) {
-            nextSeekUs = nowUs + SEEK_PERIODS * timing.periodUs() / 2 + random.nextLong(SEEK_PERIODS * timing.periodUs());
+            nextSeekUs =
+                    nowUs + SEEK_PERIODS * timing.periodUs() / 2 + random.nextLong(SEEK_PERIODS * timing.periodUs());
             seek();
         }
     }
@@ -304,7 +313,9 @@
             return; // Lifeguard: an observer that is not well gives its probes longer
         }
         if (probed != null) {
-            health = Math.min(WORST_HEALTH, health + Math.max(nacksAwaited, there() <= 1 ? 1 : 0)); // helpers are mute too: it may be us
+            health = Math.min(
+                    WORST_HEALTH,
+                    health + Math.max(nacksAwaited, there() <= 1 ? 1 : 0)); // helpers are mute too: it may be us
             if (probed.isThere()) {
                 suspect(probed, nowUs);
             }
@@ -399,7 +410,9 @@
     public void heard(Member from, Message.Ping ping, long nowUs) {
         Entry e = heardFrom(from, nowUs);
         hear(ping.rumours(), nowUs);
-        out.send(from.address(), new Message.Ack(ping.seq(), view.era(), view.number(), e == null ? List.of() : gossipFor(e)));
+        out.send(
+                from.address(),
+                new Message.Ack(ping.seq(), view.era(), view.number(), e == null ? List.of() : gossipFor(e)));
     }
 
     public void heard(Member from, Message.Ack ack, long nowUs) {
@@ -426,8 +439,9 @@
             relayed.put(mine, new Relayed(from.address(), asked.seq(), nowUs));
         }
         Entry whom = entries.get(asked.whom().name());
-        out.send(asked.whom().address(), new Message.Ping(mine, view.era(), view.number(),
-                whom == null ? List.of() : gossipFor(whom)));
+        out.send(
+                asked.whom().address(),
+                new Message.Ping(mine, view.era(), view.number(), whom == null ? List.of() : gossipFor(whom)));
         out.send(from.address(), new Message.Nack(asked.seq()));
     }
 
@@ -504,8 +518,11 @@
         } else if (r.incarnation() > e.incarnation
                 || r.incarnation() == e.incarnation && r.state().ordinal() > e.state.ordinal()) {
             take(e, r, nowUs);
-        } else if (r.incarnation() == e.incarnation && r.state() == State.SUSPECT && e.state == State.SUSPECT
-                && e.accusers.size() <= HELPERS && e.accusers.add(r.by())) {
+        } else if (r.incarnation() == e.incarnation
+                && r.state() == State.SUSPECT
+                && e.state == State.SUSPECT
+                && e.accusers.size() <= HELPERS
+                && e.accusers.add(r.by())) {
             say(r);
         }
     }
@@ -555,8 +572,18 @@
     }
 
     private void believed(Entry e, String by) {
-        log.event("member", "who", e.member.name(), "its_start", e.member.start(), "state", e.state.name(), "by", by,
-                "incarnation", e.incarnation);
+        log.event(
+                "member",
+                "who",
+                e.member.name(),
+                "its_start",
+                e.member.start(),
+                "state",
+                e.state.name(),
+                "by",
+                by,
+                "incarnation",
+                e.incarnation);
         say(e.rumour(by));
     }
 
--- a/src/main/java/hopdrum/frontdoor/Clients.java
+++ b/src/main/java/hopdrum/frontdoor/Clients.java
@@ -23,7 +23,7 @@
     private static final long PAUSE_US = 50_000;
     private static final long LEAST_IDLE_US = 250_000;
     private static final long LEAST_SILENT_US = 50_000;
-    private static final int MOST_AT_ONCE = 32;         // accepted: guards what is under way against a burst
+    private static final int MOST_AT_ONCE = 32; // accepted: guards what is under way against a burst
 
     /** Who takes RPCs. */
     interface Owner {
@@ -38,11 +38,11 @@
     private final Budget budget;
     private final Owner owner;
     private final ServerSocketChannel listener;
-    private SelectionKey key;       // null until open()
-    private final Set<ClientConnection> open = new LinkedHashSet<>();  // one goes as it is closed
-    private final Set<ClientConnection> silent = new LinkedHashSet<>();    // have not said anything yet; the same
+    private SelectionKey key; // null until open()
+    private final Set<ClientConnection> open = new LinkedHashSet<>(); // one goes as it is closed
+    private final Set<ClientConnection> silent = new LinkedHashSet<>(); // have not said anything yet; the same
     private final Set<ClientConnection> lingering = new LinkedHashSet<>(); // have their last answer; the same
-    private final Set<ClientConnection> idle = new LinkedHashSet<>();  // longest idle first; the same
+    private final Set<ClientConnection> idle = new LinkedHashSet<>(); // longest idle first; the same
     private boolean paused;
     private boolean stopping;
 
--- a/src/main/java/hopdrum/frontdoor/Counter.java
+++ b/src/main/java/hopdrum/frontdoor/Counter.java
@@ -24,7 +24,7 @@
     }
 
     private final Loop loop;
-    private SocketAddress address;                  // null without a counter
+    private SocketAddress address; // null without a counter
     private final long timeOutUs;
     private final Budget budget;
     private final Owner owner;
--- a/src/main/java/hopdrum/frontdoor/Discovery.java
+++ b/src/main/java/hopdrum/frontdoor/Discovery.java
@@ -15,13 +15,16 @@
 final class Discovery {
     private static final Log LOG = new Log("discovery");
     private static final int MOST_BYTES = 64 << 10;
-    // What a silent watch misses counts as told 6 s later: the silence, and two new watches that say nothing, stay within.
-    private static final long SILENT_US = 3_000_000;    // an empty line comes every 2 s: guards against a silent connection
-    private static final long FIRST_WORD_US = 700_000;  // of a watch opened for a silent one: it is answered at once
-    private static final long MOST_FIRST_WORD_US = 2_000_000; // each further one is waited for longer, an outage may last
+    // What a silent watch misses counts as told 6 s later: the silence, and two new watches that say nothing, stay
+    // within.
+    private static final long SILENT_US =
+            3_000_000; // an empty line comes every 2 s: guards against a silent connection
+    private static final long FIRST_WORD_US = 700_000; // of a watch opened for a silent one: it is answered at once
+    private static final long MOST_FIRST_WORD_US =
+            2_000_000; // each further one is waited for longer, an outage may last
     private static final long AGAIN_US = 250_000;
-    private static final long CUT_US = 125_000;         // no bytes amid a message for so long: it was cut short
-    private static final long NO_LIST_US = 1_000_000;   // a list that is asked for comes at once
+    private static final long CUT_US = 125_000; // no bytes amid a message for so long: it was cut short
+    private static final long NO_LIST_US = 1_000_000; // a list that is asked for comes at once
 
     /** Who is told of the list. */
     interface Owner {
@@ -39,9 +42,9 @@
     private long version;
     private Connection watch;
     private Connection fetch;
-    private Connection former;      // the watch at the address before, until the new one has told its whole list
+    private Connection former; // the watch at the address before, until the new one has told its whole list
     private long lastHeardUs;
-    private long firstWordUs = SILENT_US;   // what a new watch has for its first word
+    private long firstWordUs = SILENT_US; // what a new watch has for its first word
     private boolean wholeNeeded;
     private boolean closed;
 
@@ -139,7 +142,8 @@
             return;
         }
         try {
-            if (!(Json.parse(line) instanceof Map<?, ?> message) || !(message.get("seq") instanceof Double seq)
+            if (!(Json.parse(line) instanceof Map<?, ?> message)
+                    || !(message.get("seq") instanceof Double seq)
                     || !(message.get("whole") instanceof Boolean whole)) {
                 throw new IllegalArgumentException("no list");
             }
--- a/src/main/java/hopdrum/frontdoor/FrontDoor.java
+++ b/src/main/java/hopdrum/frontdoor/FrontDoor.java
@@ -3,9 +3,9 @@
 import hopdrum.frontdoor.lifecycle.Config;
 import hopdrum.frontdoor.lifecycle.Log;
 import hopdrum.frontdoor.lifecycle.Loop;
+import hopdrum.frontdoor.memory.Attempt;
 import hopdrum.frontdoor.memory.BackendConnection;
 import hopdrum.frontdoor.memory.Budget;
-import hopdrum.frontdoor.memory.Attempt;
 import hopdrum.frontdoor.memory.ClientConnection;
 import hopdrum.frontdoor.memory.Directory;
 import hopdrum.frontdoor.memory.OpenRpc;
@@ -39,7 +39,8 @@
     private static final float[] NO_REPORT = {};
     private static final long ACCEPT_ON_US = 500_000;
     private static final long SLOW_US = 2_500_000;
-    private static final long NO_LIST_US = 3_000_000;   // one that serves its callers in turn takes seconds after a release
+    private static final long NO_LIST_US =
+            3_000_000; // one that serves its callers in turn takes seconds after a release
     private static final long SLOW_END_US = 3_500_000;
     private static final long CHECK_US = 250_000;
     private static final long TALLY_US = 10_000_000;
@@ -59,10 +60,10 @@
     private final Tally tally = new Tally();
     private Loop.Timer wake;
     private boolean listKnown;
-    private Runnable lost = () -> { };
+    private Runnable lost = () -> {};
     private Supplier<Sharers> sharers = () -> null;
     private Supplier<Distances> distances = () -> null;
-    private Supplier<Shards> shards;      // null where no partners share the customers
+    private Supplier<Shards> shards; // null where no partners share the customers
 
     /** What happened since the last line that said so. */
     private static final class Tally {
@@ -82,11 +83,16 @@
         this.loop = loop;
         budget = new Budget(config.sockets(), config.memoryMb() * (1L << 20) / 6, SLOW_US);
         directory = new Directory(config.zones(), config.kinds());
-        head = new RpcHead(config.methods(), config.plans(), config.settings().methods(),
-                config.settings().gateways(), config.mostUnits());
+        head = new RpcHead(
+                config.methods(),
+                config.plans(),
+                config.settings().methods(),
+                config.settings().gateways(),
+                config.mostUnits());
         policy = new Policy(config.settings(), config.seed(), this);
         counter = new Counter(loop, config.counter(), config.settings().countWaitUs(), budget, this);
-        peers = config.peerListen() == null || !config.settings().mayTell() ? null
+        peers = config.peerListen() == null || !config.settings().mayTell()
+                ? null
                 : new Peers(loop, config.peerListen(), config.peers(), policy::heard);
         long version = known();
         discovery = new Discovery(loop, config.discovery(), version, budget, this);
@@ -142,9 +148,12 @@
 
     private void tell() {
         if (!tally.isEmpty()) {
-            LOG.info("in 10 s", "taken=" + tally.taken + " ok=" + tally.ok + " refused=" + tally.refused + " aborted="
-                    + tally.aborted + " left=" + tally.left + "; now open=" + rpcs.size() + " clients=" + budget.clients()
-                    + " backends=" + budget.backends());
+            LOG.info(
+                    "in 10 s",
+                    "taken=" + tally.taken + " ok=" + tally.ok + " refused=" + tally.refused + " aborted="
+                            + tally.aborted + " left=" + tally.left + "; now open=" + rpcs.size() + " clients="
+                            + budget.clients()
+                            + " backends=" + budget.backends());
             tally.taken = tally.ok = tally.refused = tally.aborted = tally.left = 0;
         }
         loop.in(TALLY_US, this::tell);
@@ -212,7 +221,9 @@
             clients.stopAccepting();
             stopIfEmpty();
         });
-        loop.in(SLOW_END_US, () -> LOG.info("not ended yet", rpcs.size() + " RPCs under way, clients=" + budget.clients()));
+        loop.in(
+                SLOW_END_US,
+                () -> LOG.info("not ended yet", rpcs.size() + " RPCs under way, clients=" + budget.clients()));
     }
 
     private void stopIfEmpty() {
@@ -259,8 +270,8 @@
             head.firstGateway = 0;
             head.gateways = config.settings().gateways();
         }
-        rpc.handle = policy.take(rpc.id, head.method, head.customer, head.plan, head.units, head.firstGateway,
-                head.gateways, leftUs);
+        rpc.handle = policy.take(
+                rpc.id, head.method, head.customer, head.plan, head.units, head.firstGateway, head.gateways, leftUs);
         rpcs.closeIfOver(rpc);
     }
 
@@ -300,8 +311,8 @@
         attempt.ended = true;
         attempt.timeOut.cancel();
         OpenRpc rpc = attempt.rpc;
-        rpc.handle.attemptEnded(attempt.number, outcome, nowUs() - attempt.sentUs, outcome == Outcome.OK || attempt.passed, 0,
-                report);
+        rpc.handle.attemptEnded(
+                attempt.number, outcome, nowUs() - attempt.sentUs, outcome == Outcome.OK || attempt.passed, 0, report);
         rpcs.closeIfOver(rpc);
     }
 
@@ -383,8 +394,8 @@
             LOG.warning("no descriptor or memory left for more connections to backends", null);
             return null;
         }
-        BackendConnection connection = new BackendConnection(loop, pool, config.dialTimeOutUs(),
-                config.settings().reportFields(), budget, this);
+        BackendConnection connection = new BackendConnection(
+                loop, pool, config.dialTimeOutUs(), config.settings().reportFields(), budget, this);
         budget.backend(1);
         pool.opened(connection);
         return connection;
@@ -450,6 +461,5 @@
 
     /** The watch is kept up from the start, whether it has to be asked for or not. */
     @Override
-    public void followList() {
-    }
+    public void followList() {}
 }
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Config.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Config.java
@@ -13,11 +13,25 @@
 import java.util.Map;
 
 /** What a front door is told at its start. */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress counter,
-                     InetSocketAddress peerListen, List<InetSocketAddress> peers, long seed, int memoryMb,
-                     int sockets, Map<?, ?> known, Settings settings, List<String> methods, List<String> plans,
-                     List<String> zones, List<String> kinds, long dialTimeOutUs, long idleUs,
-                     double mostUnits) {
+public record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        InetSocketAddress counter,
+        InetSocketAddress peerListen,
+        List<InetSocketAddress> peers,
+        long seed,
+        int memoryMb,
+        int sockets,
+        Map<?, ?> known,
+        Settings settings,
+        List<String> methods,
+        List<String> plans,
+        List<String> zones,
+        List<String> kinds,
+        long dialTimeOutUs,
+        long idleUs,
+        double mostUnits) {
 
     /** Throws IllegalArgumentException with one plain sentence where the file cannot be used. */
     public static Config read(Path file) {
@@ -44,13 +58,24 @@
             }
         }
         Map<?, ?> limits = all.get("limits") instanceof Map<?, ?> map ? map : Map.of();
-        return new Config(String.valueOf(all.get("name")), needed(all, "listen"), needed(all, "discovery"),
-                optional(all, "counter"), optional(all, "peer_listen"), peers, seed(all.get("seed")),
-                whole(limits.get("memory_mb"), 192), whole(limits.get("sockets"), 1024),
-                all.get("known") instanceof Map<?, ?> known ? known : null, settings,
-                names(pairs, "Lanes.", "Name"), names(pairs, "Packages.", "Name"),
-                words(pairs, "Azs"), words(pairs, "Flavors"),
-                Math.max(1000, figure(pairs, "Bounds.DialTimeoutUs")), figure(pairs, "Bounds.ConnIdleUs"),
+        return new Config(
+                String.valueOf(all.get("name")),
+                needed(all, "listen"),
+                needed(all, "discovery"),
+                optional(all, "counter"),
+                optional(all, "peer_listen"),
+                peers,
+                seed(all.get("seed")),
+                whole(limits.get("memory_mb"), 192),
+                whole(limits.get("sockets"), 1024),
+                all.get("known") instanceof Map<?, ?> known ? known : null,
+                settings,
+                names(pairs, "Lanes.", "Name"),
+                names(pairs, "Packages.", "Name"),
+                words(pairs, "Azs"),
+                words(pairs, "Flavors"),
+                Math.max(1000, figure(pairs, "Bounds.DialTimeoutUs")),
+                figure(pairs, "Bounds.ConnIdleUs"),
                 Double.parseDouble(pairs.getOrDefault("FamilyInfo.Largest", "0")));
     }
 
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Link.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Link.java
@@ -21,12 +21,11 @@
     private final SelectionKey key;
     private boolean connected;
     private boolean closed;
-    private boolean breaking;      // it broke while it may not be told yet
+    private boolean breaking; // it broke while it may not be told yet
     private boolean ended;
 
     /** An accepted connection. */
-    protected Link(Loop loop, SocketChannel channel, int mostIn, int mostOut, Ring.Account account)
-            throws IOException {
+    protected Link(Loop loop, SocketChannel channel, int mostIn, int mostOut, Ring.Account account) throws IOException {
         this(loop, channel, mostIn, mostOut, account, true);
     }
 
@@ -68,18 +67,19 @@
     protected abstract void received();
 
     /** How the other side ended a connection: by the end of its stream, or by a reset, a refusal or a failure. */
-    public enum Ending { IN_ORDER, BROKEN }
+    public enum Ending {
+        IN_ORDER,
+        BROKEN
+    }
 
     /** The other side has ended the connection, or it broke; called once, and not after close(). */
     protected abstract void ended(Ending ending);
 
     /** The connection has come up. */
-    protected void connected() {
-    }
+    protected void connected() {}
 
     /** All that was to be written is written. */
-    protected void drained() {
-    }
+    protected void drained() {}
 
     /** Called by close(): what counts connections learns that this one is gone. */
     protected abstract void released();
@@ -196,8 +196,7 @@
         }
     }
 
-    protected void wrote(int count) {
-    }
+    protected void wrote(int count) {}
 
     /** A ring that is full stops reading; bytes that the socket does not take wait for it to be writable. */
     protected final void interest() {
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Loop.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Loop.java
@@ -45,17 +45,18 @@
     private static final long AT_ONCE_US = 50;
     private final Selector selector;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>(); // emptied as they come due
-    private final Deque<Runnable> soon = new ArrayDeque<>();           // emptied after each call
+    private final Deque<Runnable> soon = new ArrayDeque<>(); // emptied after each call
     // Names of counts and the list's times are shared between machines: so time starts at the wall clock's, and
     // from there one monotonic clock alone moves it.
     private final long wallAtStartUs = System.currentTimeMillis() * 1000;
     private final long nanosAtStart = System.nanoTime();
     private long nowUs = wallAtStartUs;
-    private long selectedUs = nowUs;     // when the selector was entered, then when it last returned
+    private long selectedUs = nowUs; // when the selector was entered, then when it last returned
     private boolean returned;
     private long unseenSinceUs = nowUs;
     private long orders;
-    private final Queue<Runnable> asked = new ConcurrentLinkedQueue<>(); // by other threads; emptied after each selection
+    private final Queue<Runnable> asked =
+            new ConcurrentLinkedQueue<>(); // by other threads; emptied after each selection
     private boolean stopped;
 
     public Loop() throws IOException {
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Server.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Server.java
@@ -13,8 +13,7 @@
 
     private static volatile int exitCode = 1; // until the loop has ended as it should
 
-    private Server() {
-    }
+    private Server() {}
 
     /**
      * A start, one look at readiness and one RPC, and the end, among nobody: so that the classes that a front door
@@ -22,17 +21,20 @@
      */
     public static int train(String configFile) {
         return run(configFile, "train", (config, loop) -> null, (loop, config, door) -> {
-            new Thread(() -> {
-                try (Socket socket = new Socket()) {
-                    socket.connect(door.address());
-                    socket.getOutputStream().write(Warmup.examples(config));
-                    socket.shutdownOutput();
-                    socket.getInputStream().readAllBytes();
-                } catch (IOException e) {
-                    System.err.println("hopdrum train: " + e);
-                }
-                loop.ask(loop::stop);
-            }, "client").start();
+            new Thread(
+                            () -> {
+                                try (Socket socket = new Socket()) {
+                                    socket.connect(door.address());
+                                    socket.getOutputStream().write(Warmup.examples(config));
+                                    socket.shutdownOutput();
+                                    socket.getInputStream().readAllBytes();
+                                } catch (IOException e) {
+                                    System.err.println("hopdrum train: " + e);
+                                }
+                                loop.ask(loop::stop);
+                            },
+                            "client")
+                    .start();
         });
     }
 
@@ -62,14 +64,18 @@
     /** The same with something beside. */
     public static int serve(String configFile, Besides besides) {
         Ending ending = new Ending();
-        int code = run(configFile, "serve", (config, loop) -> {
-            Beside beside = besides.start(config, loop);
-            ending.has(beside);
-            return beside;
-        }, (loop, config, door) -> {
-            ending.serves(loop, door);
-            LOG.info("serving as " + config.name(), config.listen());
-        });
+        int code = run(
+                configFile,
+                "serve",
+                (config, loop) -> {
+                    Beside beside = besides.start(config, loop);
+                    ending.has(beside);
+                    return beside;
+                },
+                (loop, config, door) -> {
+                    ending.serves(loop, door);
+                    LOG.info("serving as " + config.name(), config.listen());
+                });
         if (code != 0) {
             ending.isMoot();
         }
@@ -86,6 +92,7 @@
         private Loop loop;
         private FrontDoor door;
         private Beside beside;
+
         Ending() {
             Runtime.getRuntime().addShutdownHook(hook);
         }
@@ -134,8 +141,8 @@
     public static final class Reload {
         private final Path file;
         private final Loop loop;
-        private long writtenMs;   // when the file that was read last had been written
-        private FrontDoor door;   // known before the loop runs
+        private long writtenMs; // when the file that was read last had been written
+        private FrontDoor door; // known before the loop runs
 
         /** The time is looked at before the file is read: one replaced meanwhile is read again, not missed. */
         public Reload(Path file, Loop loop, long writtenMs) {
--- a/src/main/java/hopdrum/frontdoor/lifecycle/StderrLoggers.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/StderrLoggers.java
@@ -25,8 +25,14 @@
         @Override
         public void log(Level level, ResourceBundle bundle, String message, Throwable thrown) {
             if (isLoggable(level)) {
-                StringBuilder line = new StringBuilder(120).append(Instant.now().truncatedTo(ChronoUnit.MILLIS))
-                        .append(' ').append(level).append(' ').append(name).append(' ').append(message);
+                StringBuilder line = new StringBuilder(120)
+                        .append(Instant.now().truncatedTo(ChronoUnit.MILLIS))
+                        .append(' ')
+                        .append(level)
+                        .append(' ')
+                        .append(name)
+                        .append(' ')
+                        .append(message);
                 for (int i = 0; thrown != null && i < Math.min(12, thrown.getStackTrace().length); i++) {
                     line.append(" < ").append(thrown.getStackTrace()[i]);
                 }
@@ -36,8 +42,11 @@
 
         @Override
         public void log(Level level, ResourceBundle bundle, String format, Object... values) {
-            log(level, bundle, values == null || values.length == 0 ? format
-                    : java.text.MessageFormat.format(format, values), (Throwable) null);
+            log(
+                    level,
+                    bundle,
+                    values == null || values.length == 0 ? format : java.text.MessageFormat.format(format, values),
+                    (Throwable) null);
         }
     }
 }
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Warmup.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Warmup.java
@@ -30,10 +30,11 @@
 public final class Warmup implements Host {
     private static final int MOST_RPCS = 500;
     private static final long MOST_NANOS = 400_000_000L;
-    private static final Ring.Account NOBODY = byBytes -> { };
+    private static final Ring.Account NOBODY = byBytes -> {};
 
     private static final int CUSTOMERS = 10;
-    private static final byte[] ANSWER = ascii("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 8\r\n\r\n12345678");
+    private static final byte[] ANSWER =
+            ascii("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 8\r\n\r\n12345678");
     private static final byte[] TOTAL = ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n12.5");
 
     private final Config config;
@@ -53,8 +54,12 @@
 
     private Warmup(Config config) {
         this.config = config;
-        head = new RpcHead(config.methods(), config.plans(), config.settings().methods(),
-                config.settings().gateways(), config.mostUnits());
+        head = new RpcHead(
+                config.methods(),
+                config.plans(),
+                config.settings().methods(),
+                config.settings().gateways(),
+                config.mostUnits());
         compose();
         policy = new Policy(config.settings(), 1, this);
         policy.listed(0, Listed.Form.CACHED, List.of(listed(1), listed(2), listed(3)));
@@ -83,8 +88,15 @@
         request.read(client);
         head.read(client, request);
         long id = number;
-        Policy.Rpc rpc = policy.take(id, head.method, head.customer, head.plan, head.units, head.firstGateway,
-                head.gateways, head.leftMs * 1000);
+        Policy.Rpc rpc = policy.take(
+                id,
+                head.method,
+                head.customer,
+                head.plan,
+                head.units,
+                head.firstGateway,
+                head.gateways,
+                head.leftMs * 1000);
         open.put(id, rpc);
         for (int i = 0; i < 4; i++) {
             nowUs += 500;
@@ -106,7 +118,10 @@
         for (int i = 0; i < CUSTOMERS; i++) {
             for (int plan = 0; plan < config.plans().size(); plan++) {
                 for (String method : config.methods()) {
-                    boolean gets = config.settings().methods().get(config.methods().indexOf(method)).repeat()
+                    boolean gets = config.settings()
+                                    .methods()
+                                    .get(config.methods().indexOf(method))
+                                    .repeat()
                             == Method.Repeat.IDEMPOTENT;
                     rpcsAsSent.add(ascii((gets ? "GET" : "POST")
                             + " /api HTTP/1.1\r\nHost: backend\r\nX-Trace-Id: 9b1f03aa5c7e2d41\r\nX-Qos: "
@@ -154,7 +169,8 @@
                 }
                 Outcome outcome = BackendAnswer.outcome(backend, answer);
                 HttpWriter.answer(backend, answer, false, toClient);
-                float[] report = BackendAnswer.report(backend, answer, config.settings().reportFields());
+                float[] report =
+                        BackendAnswer.report(backend, answer, config.settings().reportFields());
                 answer.done(backend);
                 rpc.attemptEnded(0, outcome, 500, true, 0, report);
             }
--- a/src/main/java/hopdrum/frontdoor/memory/Attempt.java
+++ b/src/main/java/hopdrum/frontdoor/memory/Attempt.java
@@ -7,12 +7,12 @@
     public final OpenRpc rpc;
     public final int number;
     public final long sentUs;
-    public final long endsAtUs;     // Policy stops waiting for its answer
-    public final long beginByUs;    // later its request may not be written any more
+    public final long endsAtUs; // Policy stops waiting for its answer
+    public final long beginByUs; // later its request may not be written any more
     public BackendConnection connection; // null before it has one, and once it has ended
     public Loop.Timer timeOut;
     public boolean ended;
-    public boolean passed;          // its answer, whatever it is, is the client's
+    public boolean passed; // its answer, whatever it is, is the client's
 
     public Attempt(OpenRpc rpc, long sentUs, long timeOutUs, long beginWithinUs) {
         this.rpc = rpc;
--- a/src/main/java/hopdrum/frontdoor/memory/BackendConnection.java
+++ b/src/main/java/hopdrum/frontdoor/memory/BackendConnection.java
@@ -3,12 +3,12 @@
 import hopdrum.frontdoor.lifecycle.Link;
 import hopdrum.frontdoor.lifecycle.Log;
 import hopdrum.frontdoor.lifecycle.Loop;
-import hopdrum.frontdoor.wire.BadMessage;
 import hopdrum.frontdoor.wire.BackendAnswer;
+import hopdrum.frontdoor.wire.BadMessage;
 import hopdrum.frontdoor.wire.HttpReader;
 import hopdrum.frontdoor.wire.HttpWriter;
-import hopdrum.frontdoor.wire.RpcHead;
 import hopdrum.frontdoor.wire.Ring;
+import hopdrum.frontdoor.wire.RpcHead;
 import hopdrum.host.Outcome;
 import java.io.IOException;
 import java.util.List;
@@ -27,20 +27,21 @@
 
     private static final Log LOG = new Log("backends");
     private static final int MOST_BYTES = 128 << 10;
-    private static final long HALF_US = 250_000;    // of silence amid an answer
+    private static final long HALF_US = 250_000; // of silence amid an answer
     private static final float[] NO_REPORT = {};
     private final Owner owner;
     private final Pool pool;
     private final List<String> reportFields;
     private final HttpReader reader = new HttpReader(HttpReader.Kind.RESPONSE);
     private Attempt attempt;
-    private boolean written;       // the attempt's last byte
+    private boolean written; // the attempt's last byte
     private Loop.Timer dial;
     private long idleSinceUs;
-    private long heardUs;          // the last bytes of an answer that is not whole; 0 before
+    private long heardUs; // the last bytes of an answer that is not whole; 0 before
 
-    public BackendConnection(Loop loop, Pool pool, long dialTimeOutUs, List<String> reportFields, Budget budget,
-                             Owner owner) throws IOException {
+    public BackendConnection(
+            Loop loop, Pool pool, long dialTimeOutUs, List<String> reportFields, Budget budget, Owner owner)
+            throws IOException {
         super(loop, pool.address(), HttpReader.MOST_ANSWER_RING, MOST_BYTES, budget);
         this.pool = pool;
         this.owner = owner;
@@ -78,7 +79,8 @@
     /** Writes the RPC that stands at the front of its client's ring. */
     private boolean writeRequest() {
         ClientConnection client = attempt.rpc.client;
-        // Another front door is told how long the client waits, not when this one gives up: it goes by that for its soft deadline.
+        // Another front door is told how long the client waits, not when this one gives up: it goes by that for its
+        // soft deadline.
         long endsAtUs = pool.isDoor ? attempt.rpc.expiresAtUs : attempt.endsAtUs;
         long leftMs = Math.max(1, (endsAtUs - loop.nowUs()) / 1000);
         if (!RpcHead.forward(client.bytes(), client.message(), leftMs, pool.isDoor, out)) {
--- a/src/main/java/hopdrum/frontdoor/memory/Budget.java
+++ b/src/main/java/hopdrum/frontdoor/memory/Budget.java
@@ -4,7 +4,7 @@
 
 /** What the connections may hold of descriptors, memory and time, and what they hold now. */
 public final class Budget implements Ring.Account {
-    private static final int KEPT = 32;         // for files, discovery, the counter, UDP and the selector
+    private static final int KEPT = 32; // for files, discovery, the counter, UDP and the selector
     private final int mostClients;
     private final int mostBackends;
     private final long mostBytes;
--- a/src/main/java/hopdrum/frontdoor/memory/ClientConnection.java
+++ b/src/main/java/hopdrum/frontdoor/memory/ClientConnection.java
@@ -39,20 +39,20 @@
 
     private static final Log LOG = new Log("clients");
     private static final int MOST_BYTES = 128 << 10;
-    private static final long ANSWER_US = 10_000_000;   // to take an answer that may be long
-    private static final long LINGER_US = 1_000_000;    // after a last answer, which may be long on its way
-    private static final long FINISH_US = 200_000;      // at rest: what may be on its way here crosses within that
-    private static final long SILENT_US = 2_000_000;    // a connection that asks nothing may be closed then
+    private static final long ANSWER_US = 10_000_000; // to take an answer that may be long
+    private static final long LINGER_US = 1_000_000; // after a last answer, which may be long on its way
+    private static final long FINISH_US = 200_000; // at rest: what may be on its way here crosses within that
+    private static final long SILENT_US = 2_000_000; // a connection that asks nothing may be closed then
     private final Owner owner;
     private final long slowUs;
     private final HttpReader reader = new HttpReader(HttpReader.Kind.REQUEST);
     private OpenRpc rpc;
-    private long arrivedUs;        // before the first byte of the message at the front
-    private long behindUs;         // before the first byte of what came in behind it
+    private long arrivedUs; // before the first byte of the message at the front
+    private long behindUs; // before the first byte of what came in behind it
     private Loop.Timer slow;
     private long idleSinceUs;
-    private int dropped;           // bytes that came after the last answer
-    private boolean closing;       // the last answer is written or being written
+    private int dropped; // bytes that came after the last answer
+    private boolean closing; // the last answer is written or being written
 
     public ClientConnection(Loop loop, SocketChannel channel, Budget budget, Owner owner) throws IOException {
         super(loop, channel, MOST_BYTES, HttpReader.MOST_ANSWER_RING, budget);
@@ -137,7 +137,8 @@
                 throw new BadMessage(413, "the message is longer than its ring");
             }
             if (slow == null) {
-                slow = loop.in(slowUs, this::tooSlow); // guards against senders that hold a connection by sending slowly
+                slow = loop.in(
+                        slowUs, this::tooSlow); // guards against senders that hold a connection by sending slowly
             }
         }
     }
--- a/src/main/java/hopdrum/frontdoor/memory/CounterConnection.java
+++ b/src/main/java/hopdrum/frontdoor/memory/CounterConnection.java
@@ -24,12 +24,12 @@
     }
 
     private static final int MOST_BYTES = 64 << 10;
-    private static final long HALF_US = 5_000;          // of silence amid an answer of a hundred bytes
+    private static final long HALF_US = 5_000; // of silence amid an answer of a hundred bytes
 
     private static final class Call {
         final long name;
         final long sentUs;
-        final long writtenAt;       // bytes written on the connection by its last one
+        final long writtenAt; // bytes written on the connection by its last one
         boolean reported;
 
         Call(long name, long sentUs, long writtenAt) {
@@ -43,11 +43,11 @@
     private final long timeOutUs;
     private final HttpReader reader = new HttpReader(HttpReader.Kind.RESPONSE);
     private final Deque<Call> unanswered = new ArrayDeque<>(); // emptied by answers and by the connection's end
-    private final Deque<Call> awaited = new ArrayDeque<>();    // those of them not timed out yet
+    private final Deque<Call> awaited = new ArrayDeque<>(); // those of them not timed out yet
     private long put;
     private long written;
     private long lastHeardUs;
-    private long halfUs;        // when it was heard last and left half an answer
+    private long halfUs; // when it was heard last and left half an answer
     private boolean armed;
     private boolean leaves;
 
--- a/src/main/java/hopdrum/frontdoor/memory/Directory.java
+++ b/src/main/java/hopdrum/frontdoor/memory/Directory.java
@@ -74,8 +74,13 @@
             byNumber.put(pool.backend, pool);
             pool.moveTo(entry.address);
             pool.told(entry.state);
-            listed.add(new Listed(pool.backend, Math.max(0, zones.indexOf(entry.zone)),
-                    Math.max(0, kinds.indexOf(entry.kind)), entry.cell, entry.state, entry.weight,
+            listed.add(new Listed(
+                    pool.backend,
+                    Math.max(0, zones.indexOf(entry.zone)),
+                    Math.max(0, kinds.indexOf(entry.kind)),
+                    entry.cell,
+                    entry.state,
+                    entry.weight,
                     entry.bornMs * 1000)); // the loop's clock counts from the same moment
         }
         sweep();
@@ -88,13 +93,16 @@
         Set<String> named = new HashSet<>();
         List<Listed> listed = new ArrayList<>();
         for (Shards.Door door : doors) {
-            Pool pool = byName.computeIfAbsent(prefix + door.name(), k -> new Pool(next++, Config.address("serves", door.address()), true));
+            Pool pool = byName.computeIfAbsent(
+                    prefix + door.name(), k -> new Pool(next++, Config.address("serves", door.address()), true));
             byNumber.put(pool.backend, pool);
             pool.told(Listed.State.READY);
             named.add(prefix + door.name());
-            listed.add(new Listed(pool.backend, Math.max(0, zones.indexOf(door.site())), 0, 0, Listed.State.READY, 1, 0));
+            listed.add(
+                    new Listed(pool.backend, Math.max(0, zones.indexOf(door.site())), 0, 0, Listed.State.READY, 1, 0));
         }
-        byName.forEach((name, pool) -> pool.listed(pool.isListed() && (!name.startsWith(prefix) || named.contains(name))));
+        byName.forEach(
+                (name, pool) -> pool.listed(pool.isListed() && (!name.startsWith(prefix) || named.contains(name))));
         sweep();
         return listed;
     }
--- a/src/main/java/hopdrum/frontdoor/memory/OpenRpc.java
+++ b/src/main/java/hopdrum/frontdoor/memory/OpenRpc.java
@@ -9,10 +9,10 @@
     public final long id;
     final String trace;
     public final List<Attempt> attempts = new ArrayList<>(1);
-    public ClientConnection client;     // null once it has its answer, or has left
+    public ClientConnection client; // null once it has its answer, or has left
     public Policy.Rpc handle;
-    public long expiresAtUs;            // the client waits no longer
-    public boolean passedOn;            // by another front door to here: it goes no further
+    public long expiresAtUs; // the client waits no longer
+    public boolean passedOn; // by another front door to here: it goes no further
 
     OpenRpc(long id, String trace, ClientConnection client) {
         this.id = id;
--- a/src/main/java/hopdrum/frontdoor/memory/Pool.java
+++ b/src/main/java/hopdrum/frontdoor/memory/Pool.java
@@ -12,10 +12,10 @@
 public final class Pool {
     private static final long REST_US = 2_000;
     public final long backend;
-    final boolean isDoor;         // a front door of another tier: what it answers is the client's
+    final boolean isDoor; // a front door of another tier: what it answers is the client's
     private InetSocketAddress address;
-    private final Set<BackendConnection> open = new HashSet<>();        // one goes as it is closed
-    private final Deque<BackendConnection> idle = new ArrayDeque<>();   // longest idle first; the same
+    private final Set<BackendConnection> open = new HashSet<>(); // one goes as it is closed
+    private final Deque<BackendConnection> idle = new ArrayDeque<>(); // longest idle first; the same
     private boolean listed = true;
     private boolean mayBegin = true;
 
--- a/src/main/java/hopdrum/frontdoor/wire/BackendAnswer.java
+++ b/src/main/java/hopdrum/frontdoor/wire/BackendAnswer.java
@@ -14,11 +14,21 @@
     private static final byte[] LOAD = ascii("endpoint-load-metrics");
     private static final float[] NO_REPORT = {};
     // Reports name their values in one way, settings in another.
-    private static final Map<String, String> NAMES = Map.of("inflight", "concurrent", "queue", "depth",
-            "util", "load_share", "latency_ms", "mean_ms", "qps", "tps", "eps", "err_ps");
+    private static final Map<String, String> NAMES = Map.of(
+            "inflight",
+            "concurrent",
+            "queue",
+            "depth",
+            "util",
+            "load_share",
+            "latency_ms",
+            "mean_ms",
+            "qps",
+            "tps",
+            "eps",
+            "err_ps");
 
-    private BackendAnswer() {
-    }
+    private BackendAnswer() {}
 
     public static Outcome outcome(Ring ring, HttpReader in) {
         if (in.status() == 200) {
@@ -36,8 +46,9 @@
 
     /** Of a front door of another tier, whose answer is final: a refusal says that nothing ran, and is nobody's fault. */
     public static Outcome outcomeOfDoor(HttpReader in) {
-        return in.status() == 200 ? Outcome.OK : in.status() == 503 || in.status() >= 400 && in.status() < 500 ? Outcome.MOOT
-                : Outcome.ERROR;
+        return in.status() == 200
+                ? Outcome.OK
+                : in.status() == 503 || in.status() >= 400 && in.status() < 500 ? Outcome.MOOT : Outcome.ERROR;
     }
 
     /** The load report, in the order of the settings' fields; empty if there is none or it lacks one of them. */
--- a/src/main/java/hopdrum/frontdoor/wire/Chunks.java
+++ b/src/main/java/hopdrum/frontdoor/wire/Chunks.java
@@ -2,7 +2,17 @@
 
 /** The framing of a chunked body, fed one byte at a time. */
 final class Chunks {
-    private enum State { SIZE, EXTENSION, SIZE_LF, DATA, DATA_CR, DATA_LF, TRAILER, TRAILER_LF, END }
+    private enum State {
+        SIZE,
+        EXTENSION,
+        SIZE_LF,
+        DATA,
+        DATA_CR,
+        DATA_LF,
+        TRAILER,
+        TRAILER_LF,
+        END
+    }
 
     private static final int MOST_LINE = 1024;
     private State state = State.SIZE;
--- a/src/main/java/hopdrum/frontdoor/wire/CounterProtocol.java
+++ b/src/main/java/hopdrum/frontdoor/wire/CounterProtocol.java
@@ -12,8 +12,7 @@
     private static final byte[] REST = ascii(" HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n");
     private static final double MOST = 1e9;
 
-    private CounterProtocol() {
-    }
+    private CounterProtocol() {}
 
     /** Writes one call; false without room. */
     public static boolean call(long name, double amount, long lifeMs, Ring to) {
@@ -49,7 +48,8 @@
     /** The total of an answer of 200. */
     public static double total(Ring ring, HttpReader in) throws BadMessage {
         try {
-            double total = Double.parseDouble(ring.text(in.bodyFrom(), in.bodyTo()).strip());
+            double total =
+                    Double.parseDouble(ring.text(in.bodyFrom(), in.bodyTo()).strip());
             if (Double.isFinite(total)) {
                 return total;
             }
--- a/src/main/java/hopdrum/frontdoor/wire/DiscoveryReader.java
+++ b/src/main/java/hopdrum/frontdoor/wire/DiscoveryReader.java
@@ -13,11 +13,11 @@
     private final Consumer<String> lines;
     private Chunks chunks;
     private boolean inBody;
-    private long left;              // of a body with a length; below 0: until the connection ends
+    private long left; // of a body with a length; below 0: until the connection ends
     private byte[] line = new byte[1024];
     private int length;
-    private int lineFrom;           // where in it the present line began: an indented message has many
-    private int depth;              // of braces and brackets that are open at this point
+    private int lineFrom; // where in it the present line began: an indented message has many
+    private int depth; // of braces and brackets that are open at this point
     private boolean inText;
     private boolean escaped;
     private boolean ended;
--- a/src/main/java/hopdrum/frontdoor/wire/HttpReader.java
+++ b/src/main/java/hopdrum/frontdoor/wire/HttpReader.java
@@ -7,11 +7,14 @@
  * whole; its parts are then positions in the ring, valid until done() takes the message off.
  */
 public final class HttpReader {
-    public enum Kind { REQUEST, RESPONSE }
+    public enum Kind {
+        REQUEST,
+        RESPONSE
+    }
 
     public static final int MOST_HEAD = 8 << 10;
     public static final int MOST_BODY = 64 << 10;
-    public static final int MOST_ANSWER = 1 << 20;      // of a backend: some are longer than any RPC
+    public static final int MOST_ANSWER = 1 << 20; // of a backend: some are longer than any RPC
     public static final int MOST_ANSWER_RING = 2 * MOST_ANSWER;
     private static final int MOST_FIELDS = 64;
     private static final byte[] CONTENT_LENGTH = ascii("content-length");
@@ -35,13 +38,19 @@
         }
     }
 
-    private enum State { HEAD, LENGTH, CHUNKS, UNTIL_CLOSE, WHOLE }
+    private enum State {
+        HEAD,
+        LENGTH,
+        CHUNKS,
+        UNTIL_CLOSE,
+        WHOLE
+    }
 
     private final Kind kind;
     private State state = State.HEAD;
     private int scanned;
     private int lineFrom;
-    private boolean started;       // the first line has been read
+    private boolean started; // the first line has been read
     private int fields;
     private int[] at = new int[4 * 16]; // of each field: where name and value begin and end
     private Chunks chunks;
@@ -52,7 +61,7 @@
     private int verbTo;
     private int targetTo;
     private int status;
-    private int interim;           // answers of 1xx before this one
+    private int interim; // answers of 1xx before this one
     private int headTo;
     private int bodyTo;
     private int end;
@@ -75,7 +84,7 @@
             }
             case CHUNKS -> chunks(ring);
             case UNTIL_CLOSE -> bodyTo = bounded(ring.size());
-            default -> { }
+            default -> {}
         }
         return state == State.WHOLE;
     }
@@ -220,8 +229,12 @@
         while (targetTo < to && ring.at(targetTo) != ' ') {
             targetTo++;
         }
-        boolean sound = verbTo > from && verbTo < to && ring.at(verbTo) == ' ' && targetTo > verbTo + 1
-                && targetTo < to && ring.at(verbTo + 1) == '/';
+        boolean sound = verbTo > from
+                && verbTo < to
+                && ring.at(verbTo) == ' '
+                && targetTo > verbTo + 1
+                && targetTo < to
+                && ring.at(verbTo + 1) == '/';
         version(ring, targetTo + 1, to, sound);
     }
 
--- a/src/main/java/hopdrum/frontdoor/wire/HttpWriter.java
+++ b/src/main/java/hopdrum/frontdoor/wire/HttpWriter.java
@@ -14,15 +14,37 @@
     private static final byte[] HEAD_END = ascii("\r\n\r\n");
     private static final byte[] RETRY = ascii("Retry-After: ");
     private static final byte[] LINE_END = ascii("\r\n");
-    private static final List<byte[]> NOT_PASSED = List.of(ascii("connection"), ascii("keep-alive"),
-            ascii("trailer"), ascii("transfer-encoding"), ascii("upgrade"), ascii("proxy-connection"),
-            ascii("content-length"), ascii("endpoint-load-metrics"), ascii("x-never-ran"));
-    private static final Map<Integer, String> REASONS = Map.of(200, "OK", 400, "Bad Request", 404, "Not Found",
-            408, "Request Timeout", 413, "Content Too Large", 429, "Too Many Requests", 431, "Request Header Fields Too Large",
-            500, "Internal Server Error", 503, "Service Unavailable");
+    private static final List<byte[]> NOT_PASSED = List.of(
+            ascii("connection"),
+            ascii("keep-alive"),
+            ascii("trailer"),
+            ascii("transfer-encoding"),
+            ascii("upgrade"),
+            ascii("proxy-connection"),
+            ascii("content-length"),
+            ascii("endpoint-load-metrics"),
+            ascii("x-never-ran"));
+    private static final Map<Integer, String> REASONS = Map.of(
+            200,
+            "OK",
+            400,
+            "Bad Request",
+            404,
+            "Not Found",
+            408,
+            "Request Timeout",
+            413,
+            "Content Too Large",
+            429,
+            "Too Many Requests",
+            431,
+            "Request Header Fields Too Large",
+            500,
+            "Internal Server Error",
+            503,
+            "Service Unavailable");
 
-    private HttpWriter() {
-    }
+    private HttpWriter() {}
 
     /** Whether this is a final answer to an RPC, as a front door gives it. */
     public static boolean isAnswer(int status) {
--- a/src/main/java/hopdrum/frontdoor/wire/RpcHead.java
+++ b/src/main/java/hopdrum/frontdoor/wire/RpcHead.java
@@ -19,9 +19,17 @@
     private static final byte[] RPC_PATH = ascii("/api");
     private static final byte[] READY = ascii("GET /health/ready ");
     // Fields that are spoken between two neighbours only, and those that this program writes itself.
-    private static final List<byte[]> NOT_PASSED = List.of(ascii("connection"), ascii("keep-alive"), ascii("te"),
-            ascii("trailer"), ascii("transfer-encoding"), ascii("upgrade"), ascii("proxy-connection"),
-            ascii("expect"), ascii("content-length"), EXPIRES);
+    private static final List<byte[]> NOT_PASSED = List.of(
+            ascii("connection"),
+            ascii("keep-alive"),
+            ascii("te"),
+            ascii("trailer"),
+            ascii("transfer-encoding"),
+            ascii("upgrade"),
+            ascii("proxy-connection"),
+            ascii("expect"),
+            ascii("content-length"),
+            EXPIRES);
     private static final byte[] EXPIRES_LINE = ascii("X-Expires-In-Ms: ");
     private static final byte[] LENGTH_LINE = ascii("\r\nContent-Length: ");
     private static final byte[] HEAD_END = ascii("\r\n\r\n");
@@ -29,7 +37,7 @@
     private static final byte[] PASSED_ON_LINE = ascii("X-Passed-On: 1\r\n");
     private static final long MOST_CUSTOMER = 1L << 33;
 
-    private static final double MOST_UNITS = 1e6;      // where the settings name no most
+    private static final double MOST_UNITS = 1e6; // where the settings name no most
     private static final int MOST_TRACE = 64;
 
     private final byte[][] methods;
@@ -135,7 +143,10 @@
             while (to < in.valueTo(cookie) && ring.at(to) != ';') {
                 to++;
             }
-            if (to - from >= 4 && ring.at(from) == 'k' && ring.at(from + 1) == 'e' && ring.at(from + 2) == 'y'
+            if (to - from >= 4
+                    && ring.at(from) == 'k'
+                    && ring.at(from + 1) == 'e'
+                    && ring.at(from + 2) == 'y'
                     && ring.at(from + 3) == '=') {
                 if (customer >= 0 || to - from != 20) {
                     throw new BadMessage(400, "the cookie's key is malformed, or there are two");
@@ -184,7 +195,10 @@
                 throw new BadMessage(400, "Quota-Info says one thing twice");
             }
         }
-        if (!(units > 0 && units <= mostUnits) || gateways < 1 || gateways > mostGateways || firstGateway < 0
+        if (!(units > 0 && units <= mostUnits)
+                || gateways < 1
+                || gateways > mostGateways
+                || firstGateway < 0
                 || firstGateway >= mostGateways) {
             throw new BadMessage(400, "Quota-Info is malformed or out of range");
         }
@@ -200,8 +214,10 @@
     /** Digits with a point among them at most: no sign, exponent, hexadecimal figure or suffix. */
     private static double decimal(String value) throws BadMessage {
         int point = value.indexOf('.');
-        return point < 0 ? whole(value) : whole(value.substring(0, point))
-                + whole(value.substring(point + 1)) / Math.pow(10, value.length() - point - 1);
+        return point < 0
+                ? whole(value)
+                : whole(value.substring(0, point))
+                        + whole(value.substring(point + 1)) / Math.pow(10, value.length() - point - 1);
     }
 
     /** The mark of an RPC that a front door of another tier has passed on to here. */
--- a/src/main/java/hopdrum/host/Credit.java
+++ b/src/main/java/hopdrum/host/Credit.java
@@ -7,7 +7,11 @@
     private static final int BYTES = 9;
 
     public byte[] bytes() {
-        return ByteBuffer.allocate(BYTES).put((byte) (customer >> 32)).putInt((int) customer).putFloat((float) units).array();
+        return ByteBuffer.allocate(BYTES)
+                .put((byte) (customer >> 32))
+                .putInt((int) customer)
+                .putFloat((float) units)
+                .array();
     }
 
     /** Null for a message that is not of this kind. */
--- a/src/main/java/hopdrum/host/Outcome.java
+++ b/src/main/java/hopdrum/host/Outcome.java
@@ -5,5 +5,13 @@
  * asked for has run, and whoever was asked is no worse than others.
  */
 public enum Outcome {
-    OK, ERROR, FULL, TIMED_OUT, CONNECT_FAILED, RESET, CANCELLED, MOOT, UNREADABLE
+    OK,
+    ERROR,
+    FULL,
+    TIMED_OUT,
+    CONNECT_FAILED,
+    RESET,
+    CANCELLED,
+    MOOT,
+    UNREADABLE
 }
--- a/src/main/java/hopdrum/host/SettingsReader.java
+++ b/src/main/java/hopdrum/host/SettingsReader.java
@@ -20,32 +20,68 @@
         List<Method> methods = new ArrayList<>();
         for (int i = 0; i < number("Lanes.count"); i++) {
             String at = "Lanes." + i + ".";
-            Method.Repeat repeat = choice(at + "Effect", Map.of("retryable", Method.Repeat.IDEMPOTENT, "dedup",
-                    Method.Repeat.DEDUPLICATED, "fragile", Method.Repeat.NON_IDEMPOTENT));
+            Method.Repeat repeat = choice(
+                    at + "Effect",
+                    Map.of(
+                            "retryable",
+                            Method.Repeat.IDEMPOTENT,
+                            "dedup",
+                            Method.Repeat.DEDUPLICATED,
+                            "fragile",
+                            Method.Repeat.NON_IDEMPOTENT));
             boolean dedup = repeat == Method.Repeat.DEDUPLICATED;
-            methods.add(new Method(whole(at + "AimUs"), whole(at + "GiveUpUs"), repeat,
-                    dedup ? choice(at + "Group", Map.of("all", Method.Group.ALL, "zone", Method.Group.ZONE,
-                            "cell", Method.Group.CELL)) : Method.Group.ALL,
-                    dedup ? whole(at + "WindowUs") : 0, number(at + "LateWorth", 0), flag(at + "Stream", false)));
+            methods.add(new Method(
+                    whole(at + "AimUs"),
+                    whole(at + "GiveUpUs"),
+                    repeat,
+                    dedup
+                            ? choice(
+                                    at + "Group",
+                                    Map.of(
+                                            "all",
+                                            Method.Group.ALL,
+                                            "zone",
+                                            Method.Group.ZONE,
+                                            "cell",
+                                            Method.Group.CELL))
+                            : Method.Group.ALL,
+                    dedup ? whole(at + "WindowUs") : 0,
+                    number(at + "LateWorth", 0),
+                    flag(at + "Stream", false)));
         }
         List<Plan> plans = new ArrayList<>();
         for (int i = 0; i < number("Packages.count", 0); i++) {
             String at = "Packages." + i + ".";
-            plans.add(new Plan(number(at + "PerSecond", 0), number(at + "Burst", 0),
-                    (int) number(at + "Concurrency", 0), number(at + "CapRate", 0),
-                    number(at + "CeilingBurst", 0), number(at + "CapSlack", 0)));
+            plans.add(new Plan(
+                    number(at + "PerSecond", 0),
+                    number(at + "Burst", 0),
+                    (int) number(at + "Concurrency", 0),
+                    number(at + "CapRate", 0),
+                    number(at + "CeilingBurst", 0),
+                    number(at + "CapSlack", 0)));
         }
         String weights = pairs.getOrDefault("Weights", "none");
-        return new Settings((int) whole("NInstances"), (int) whole("Ordinal"), whole("TickUs"), methods, plans,
-                flag("FamilyInfo.MayCount", false), (long) number("FamilyInfo.CountWaitUs", 0),
-                flag("Bounds.Peers", false), flag("FamilyInfo.Settles", false),
-                (int) whole("Bounds.AttemptsCap"), flag("Bounds.Cancel", false),
+        return new Settings(
+                (int) whole("NInstances"),
+                (int) whole("Ordinal"),
+                whole("TickUs"),
+                methods,
+                plans,
+                flag("FamilyInfo.MayCount", false),
+                (long) number("FamilyInfo.CountWaitUs", 0),
+                flag("Bounds.Peers", false),
+                flag("FamilyInfo.Settles", false),
+                (int) whole("Bounds.AttemptsCap"),
+                flag("Bounds.Cancel", false),
                 flag("Bounds.RetryAfter", false),
-                (long) number("Bounds.MaxRetryAfterUs", 0), flag("Bounds.SecondCopies", false),
+                (long) number("Bounds.MaxRetryAfterUs", 0),
+                flag("Bounds.SecondCopies", false),
                 pairs.getOrDefault("RegistryMode", "push").equals("ask"),
                 weights.equals("nominal") || weights.equals("rough"),
                 List.of(pairs.getOrDefault("Report.Fields", "").split(",")),
-                number("Rules.ColdFrom"), whole("Rules.WarmAfterUs"), number("Rules.OverloadFactor"),
+                number("Rules.ColdFrom"),
+                whole("Rules.WarmAfterUs"),
+                number("Rules.OverloadFactor"),
                 whole("Rules.FallUs"));
     }
 
--- a/src/main/java/hopdrum/host/Shards.java
+++ b/src/main/java/hopdrum/host/Shards.java
@@ -21,6 +21,5 @@
      * @param site where it stands
      * @param address a numeric address and a port, where it takes RPCs
      */
-    record Door(String name, String site, String address) {
-    }
+    record Door(String name, String site, String address) {}
 }
--- a/src/main/java/hopdrum/host/Timers.java
+++ b/src/main/java/hopdrum/host/Timers.java
@@ -5,11 +5,10 @@
 
 /** What the module has to do later: one wake-up is asked of the front door at a time, that of the earliest. */
 public final class Timers {
-    private record Timer(long atUs, long order, Runnable what) {
-    }
+    private record Timer(long atUs, long order, Runnable what) {}
 
     private final Host host;
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>(     // emptied as they come due
+    private final PriorityQueue<Timer> timers = new PriorityQueue<>( // emptied as they come due
             Comparator.comparingLong(Timer::atUs).thenComparingLong(Timer::order));
     private long orders;
     private long wakeAtUs = Long.MAX_VALUE;
--- a/src/main/java/hopdrum/policy/Backends.java
+++ b/src/main/java/hopdrum/policy/Backends.java
@@ -16,25 +16,25 @@
 
 /** The list of backends: places, health, what a cold one can take, and which is picked. */
 final class Backends extends Part {
-    private static final double FIRST_PLACES = 6;      // at a backend, of all gateways together
-    private static final double MOST_PLACES = 64;      // at a backend, of one gateway
-    private static final double GROW_BY = 0.1;         // places for an answer in good time, if all are used
-    private static final double SHRINK_BY = 0.3;       // for an answer that came late or not at all
-    private static final double GROW_BELOW = 0.25;     // of the soft deadline: a place more is harmless
-    private static final double SHRINK_ABOVE = 0.5;    // of the soft deadline: places are too many
+    private static final double FIRST_PLACES = 6; // at a backend, of all gateways together
+    private static final double MOST_PLACES = 64; // at a backend, of one gateway
+    private static final double GROW_BY = 0.1; // places for an answer in good time, if all are used
+    private static final double SHRINK_BY = 0.3; // for an answer that came late or not at all
+    private static final double GROW_BELOW = 0.25; // of the soft deadline: a place more is harmless
+    private static final double SHRINK_ABOVE = 0.5; // of the soft deadline: places are too many
     private static final long FIRST_EJECT_US = 1_000_000;
     private static final long LAST_EJECT_US = 8_000_000;
-    private static final double SLOW_FULL = 0.05;      // of the soft deadline: a full backend says so sooner
+    private static final double SLOW_FULL = 0.05; // of the soft deadline: a full backend says so sooner
     private static final double COLD_MARGIN = 0.5;
-    private static final long AGE_NOISE_US = 20_000;   // two first tries differ by less, on their way here
+    private static final long AGE_NOISE_US = 20_000; // two first tries differ by less, on their way here
     private static final double TAKEN_OVER_US = 3e6;
 
     private final Policy policy;
     private final int queueField;
-    private final Map<Long, Backend> backends = new LinkedHashMap<>();   // emptied by list news
-    final PriorityQueue<Rpc> line = new PriorityQueue<>(                 // emptied by pump() and finish()
+    private final Map<Long, Backend> backends = new LinkedHashMap<>(); // emptied by list news
+    final PriorityQueue<Rpc> line = new PriorityQueue<>( // emptied by pump() and finish()
             Comparator.comparingLong((Rpc r) -> r.startByUs).thenComparingLong(r -> r.order));
-    private double places;                      // what this gateway may have out
+    private double places; // what this gateway may have out
 
     Backends(Policy policy) {
         super(policy);
@@ -58,7 +58,9 @@
         places = Math.max(2, perBackend * backends.size()); // a fleet half as large bears half as much
     }
 
-    boolean hasPlace() { return placesTaken() < Math.round(places); }
+    boolean hasPlace() {
+        return placesTaken() < Math.round(places);
+    }
 
     /** Nobody listed may take its repeat. */
     boolean noneMayTake(Rpc rpc) {
@@ -105,13 +107,13 @@
         final Listed listed;
         final long knownAtUs = now(); // later than its start, where the list is late or this gateway has just started
         boolean ready;
-        double taken;               // work answered here of late, in cores
+        double taken; // work answered here of late, in cores
         long takenAtUs;
         int out;
         double limit = Math.max(1, 2 * FIRST_PLACES / settings.gateways());
-        double slowness = 1;        // its answers' time against its peers'
+        double slowness = 1; // its answers' time against its peers'
         long slownessAtUs = now();
-        double errors;              // share of late attempts that ended in an error
+        double errors; // share of late attempts that ended in an error
         int errorsInARow;
         int suspicions;
         long lastAnswerUs = now();
@@ -128,12 +130,18 @@
         }
 
         /** Of one backend, which may have started anew between. */
-        boolean isSameAs(Backend other) { return listed.backend() == other.listed.backend(); }
+        boolean isSameAs(Backend other) {
+            return listed.backend() == other.listed.backend();
+        }
 
         /** What the way to it and back takes; 0 without a map. Its answers' time is judged without it. */
-        long farUs() { return host.distances() == null ? 0 : host.distances().rttUs(listed.zone()); }
+        long farUs() {
+            return host.distances() == null ? 0 : host.distances().rttUs(listed.zone());
+        }
 
-        boolean usable() { return ready && now() >= ejectedUntilUs; }
+        boolean usable() {
+            return ready && now() >= ejectedUntilUs;
+        }
 
         boolean hasPlace(Row row) {
             return usable() && out < (onTrial ? 1 : Math.max(1, (int) limit)) && coldAllows(row);
@@ -158,8 +166,8 @@
             }
             double part = settings.coldFrom() + (1 - settings.coldFrom()) * Math.max(0, ageUs) / settings.warmAfterUs();
             double windowUs = settings.coldWindowUs();
-            double budgetUs = COLD_MARGIN * settings.coldFactor() * part * windowUs * warmPeersTake()
-                    / settings.gateways();
+            double budgetUs =
+                    COLD_MARGIN * settings.coldFactor() * part * windowUs * warmPeersTake() / settings.gateways();
             double cycleUs = windowUs * Math.max(1, row.leastUs / budgetUs);
             while (!sentWhileCold.isEmpty() && sentWhileCold.peek()[0] < now() - cycleUs) sentWhileCold.poll();
             if (!sentWhileCold.isEmpty()) {
@@ -168,7 +176,9 @@
             return now() >= knownAtUs + cycleUs * settings.ordinal() / settings.gateways();
         }
 
-        void sentCold(Row row) { if (isCold()) sentWhileCold.add(new long[] {now(), (long) row.leastUs}); }
+        void sentCold(Row row) {
+            if (isCold()) sentWhileCold.add(new long[] {now(), (long) row.leastUs});
+        }
 
         /** Cores' worth of work that a warm backend of this size is seen to take; never under one core. */
         double warmPeersTake() {
@@ -184,7 +194,9 @@
             return size <= 0 ? 1 : Math.max(1, taken / size * mySize * settings.gateways());
         }
 
-        double takenNow() { return taken * Math.exp((takenAtUs - now()) / TAKEN_OVER_US); }
+        double takenNow() {
+            return taken * Math.exp((takenAtUs - now()) / TAKEN_OVER_US);
+        }
 
         boolean isCold() {
             return listed.startedAtUs() != 0 && now() - listed.startedAtUs() < settings.warmAfterUs();
@@ -271,7 +283,7 @@
         double meanUs;
         double devUs;
         int seen;
-        double leastUs;             // the least mean of late: what an answer takes where nothing waits
+        double leastUs; // the least mean of late: what an answer takes where nothing waits
         final Commonest leftAtFirst = new Commonest(AGE_NOISE_US); // how long clients will still wait
 
         Row(Method method) {
@@ -297,7 +309,9 @@
             leastUs = Math.min(leastUs * 1.0002, meanUs);
         }
 
-        long usualUs() { return (long) Math.min(meanUs + 3 * devUs, method.softDeadlineUs() * 0.7); }
+        long usualUs() {
+            return (long) Math.min(meanUs + 3 * devUs, method.softDeadlineUs() * 0.7);
+        }
 
         long patienceUs() {
             return (long) Math.max(2 * meanUs, Math.min(meanUs + 4 * devUs, method.softDeadlineUs() * 0.7));
--- a/src/main/java/hopdrum/policy/Part.java
+++ b/src/main/java/hopdrum/policy/Part.java
@@ -27,7 +27,11 @@
         timers = of.timers;
     }
 
-    final long now() { return host.nowUs(); }
+    final long now() {
+        return host.nowUs();
+    }
 
-    final void at(long atUs, Runnable what) { timers.at(atUs, what); }
+    final void at(long atUs, Runnable what) {
+        timers.at(atUs, what);
+    }
 }
--- a/src/main/java/hopdrum/policy/Policy.java
+++ b/src/main/java/hopdrum/policy/Policy.java
@@ -42,8 +42,7 @@
     // ---- What the front door tells ----
 
     /** A client's RPC has come in; exactly one final answer is owed from here on. */
-    public Rpc take(long id, int method, long customer, int plan, double units, int first, int gateways,
-                    long leftUs) {
+    public Rpc take(long id, int method, long customer, int plan, double units, int first, int gateways, long leftUs) {
         Rpc rpc = new Rpc(id, rows[method], quota.customer(customer, plan, first, gateways), units, leftUs);
         at(rpc.giveUpAtUs, () -> outOfTime(rpc));
         advance(rpc);
@@ -64,7 +63,9 @@
     }
 
     /** Another gateway has read a customer's count and found no room for one more RPC. */
-    public void heard(byte[] message) { quota.heard(message); }
+    public void heard(byte[] message) {
+        quota.heard(message);
+    }
 
     /** Tier 0 is the list of backends; others are partners, whose front doors count what they are passed. */
     public void listed(int tier, Listed.Form form, List<Listed> entries) {
@@ -103,8 +104,8 @@
                 return;
             }
             rpc.tier = tier((int) owner);
-            boolean bucketFirst = quota.callsAreScarce()
-                    && !customer.holdsNone() && customer.bucketNow(rpc.units) >= rpc.units;
+            boolean bucketFirst =
+                    quota.callsAreScarce() && !customer.holdsNone() && customer.bucketNow(rpc.units) >= rpc.units;
             // 2. Ask: one call on the customer's count adds the units; its answer comes to answered().
             if (plan.rate() <= 0 || owner > 0) { // a partner's customer is counted there, once
                 rpc.stage = Stage.LINE;
@@ -130,7 +131,9 @@
     }
 
     /** Gives free places to the lines, the RPC that must start soonest first. */
-    void pump() { for (Backends tier : tiers) pump(tier); }
+    void pump() {
+        for (Backends tier : tiers) pump(tier);
+    }
 
     private void pump(Backends tier) {
         List<Rpc> bound = new ArrayList<>(0);
@@ -233,7 +236,13 @@
         boolean neverRan;
     }
 
-    enum Stage { NEW, COUNTING, LINE, OUT, DONE }
+    enum Stage {
+        NEW,
+        COUNTING,
+        LINE,
+        OUT,
+        DONE
+    }
 
     /** The handle of one RPC. */
     public final class Rpc {
@@ -241,14 +250,14 @@
         final Row row;
         final Customer customer;
         final double units;
-        double weight;      // as counted for it
+        double weight; // as counted for it
         private final long softDlUs;
         final long startByUs; // later it is not likely to meet its soft deadline
         private final long giveUpAtUs;
         final long order = orders++;
         private final List<Attempt> attempts = new ArrayList<>(1);
-        private int out;    // of them
-        Backends tier;      // whose backends may take it; before it is in line, nobody's
+        private int out; // of them
+        Backends tier; // whose backends may take it; before it is in line, nobody's
         Stage stage = Stage.NEW;
         boolean admitted;
         private boolean streaming;
@@ -266,16 +275,14 @@
         }
 
         /** An attempt has ended; over tells that the client has its answer, by this or earlier. */
-        public void attemptEnded(int number, Outcome outcome, long wholeUs, boolean over, int settled,
-                                 float[] report) {
+        public void attemptEnded(int number, Outcome outcome, long wholeUs, boolean over, int settled, float[] report) {
             if (number >= attempts.size() || !attempts.get(number).out) return;
             Attempt attempt = attempts.get(number);
             Backend backend = attempt.backend;
             long tookUs = Math.max(1, wholeUs - backend.farUs());
             attempt.out = false;
             out--;
-            attempt.neverRan = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED
-                    || outcome == Outcome.MOOT;
+            attempt.neverRan = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED || outcome == Outcome.MOOT;
             backend.out--;
             if (report.length > 0) backend.reported(report);
             switch (outcome) {
@@ -287,23 +294,29 @@
                 case ERROR -> backend.failing(true);
                 case CONNECT_FAILED, RESET -> backend.failing(false);
                 case TIMED_OUT -> backend.tookTooLong(row, tookUs);
-                default -> { }
+                default -> {}
             }
             if (settled > 0 && settings.settles() && admitted && settled != units) {
                 customer.owed += settled - units;
             }
             if (!isDone() && over) {
                 close();
-            } else if (!isDone() && out == 0 && !tier.line.contains(this)
-                    && (outcome == Outcome.MOOT || outcome == Outcome.TIMED_OUT || streaming
-                    || !sendFurther(this, !attempt.neverRan))) {
+            } else if (!isDone()
+                    && out == 0
+                    && !tier.line.contains(this)
+                    && (outcome == Outcome.MOOT
+                            || outcome == Outcome.TIMED_OUT
+                            || streaming
+                            || !sendFurther(this, !attempt.neverRan))) {
                 finish(this, 0);
             }
             pump();
             timers.arm();
         }
 
-        public void streamStarted(int number) { streaming = true; }
+        public void streamStarted(int number) {
+            streaming = true;
+        }
 
         public void clientLeft() {
             if (isDone()) return;
@@ -313,9 +326,13 @@
         }
 
         /** True once nothing more will come of this RPC. */
-        public boolean over() { return isDone() && out == 0; }
+        public boolean over() {
+            return isDone() && out == 0;
+        }
 
-        private boolean isDone() { return stage == Stage.DONE; }
+        private boolean isDone() {
+            return stage == Stage.DONE;
+        }
 
         void admit() {
             admitted = true;
@@ -342,21 +359,26 @@
             return attempts.stream().filter(c -> !c.neverRan).findFirst().orElse(null);
         }
 
-        boolean wouldBeLate(long farUs) { return farUs > 0 && now() + farUs + row.usualUs() > softDlUs; }
+        boolean wouldBeLate(long farUs) {
+            return farUs > 0 && now() + farUs + row.usualUs() > softDlUs;
+        }
 
-        private boolean isTooLate() { return row.method.lateUtility() <= 0 && now() > startByUs; }
+        private boolean isTooLate() {
+            return row.method.lateUtility() <= 0 && now() > startByUs;
+        }
 
         /** A refusal tells the client that a repeat is harmless: so only where it is. */
         private boolean isHarmless() {
             Method m = row.method;
-            return firstThatMayHaveRun() == null || m.repeat() == Method.Repeat.IDEMPOTENT
+            return firstThatMayHaveRun() == null
+                    || m.repeat() == Method.Repeat.IDEMPOTENT
                     || m.repeat() == Method.Repeat.DEDUPLICATED && m.group() == Method.Group.ALL;
         }
 
         private boolean mayRepeat() {
             return attempts.size() < settings.mostAttempts()
                     && (firstThatMayHaveRun() == null // a partner repeats by itself, and counts each
-                    || tier == tiers.get(0) && row.method.repeat() != Method.Repeat.NON_IDEMPOTENT);
+                            || tier == tiers.get(0) && row.method.repeat() != Method.Repeat.NON_IDEMPOTENT);
         }
 
         /** Backends may run it anew after this: a further attempt has to begin before, however late its connection is. */
@@ -369,7 +391,8 @@
         boolean mayGoTo(Backend b) {
             Attempt first = firstThatMayHaveRun();
             if (first == null || row.method.repeat() == Method.Repeat.IDEMPOTENT) return true;
-            return row.method.repeat() == Method.Repeat.DEDUPLICATED && now() < repeatByUs()
+            return row.method.repeat() == Method.Repeat.DEDUPLICATED
+                    && now() < repeatByUs()
                     && switch (row.method.group()) {
                         case ALL -> true;
                         case ZONE -> b.listed.zone() == first.backend.listed.zone();
@@ -377,8 +400,12 @@
                     };
         }
 
-        boolean tried(Backend b) { return attempts.stream().anyMatch(c -> c.backend.isSameAs(b)); }
+        boolean tried(Backend b) {
+            return attempts.stream().anyMatch(c -> c.backend.isSameAs(b));
+        }
 
-        boolean isOutAt(Backend b) { return attempts.stream().anyMatch(c -> c.out && c.backend.isSameAs(b)); }
+        boolean isOutAt(Backend b) {
+            return attempts.stream().anyMatch(c -> c.out && c.backend.isSameAs(b));
+        }
     }
 }
