--- a/src/main/java/hopdrum/policy/Quota.java
+++ b/src/main/java/hopdrum/policy/Quota.java
@@ -19,33 +19,33 @@
     private static final long EPOCH_US = 60_000_000;
     private static final int CUSTOMER_BITS = 33;
     private static final long LEAST_TIME_OUT_US = 5_000;
-    private static final double LEAST_PACE = 60;       // calls a second, by all gateways, to a dead counter
-    private static final double PACE_DROP = 0.85;      // for a call lost
+    private static final double LEAST_PACE = 60; // calls a second, by all gateways, to a dead counter
+    private static final double PACE_DROP = 0.85; // for a call lost
     private static final double LEAST_FORGETS = 1.002; // an answer: half as much again in some 200 of them
-    private static final double PACE_GAIN = 0.03;      // for a call answered, times the seconds without loss
-    private static final long OUTAGE_US = 1_000_000;   // of silence: what was spent before is refilled
+    private static final double PACE_GAIN = 0.03; // for a call answered, times the seconds without loss
+    private static final long OUTAGE_US = 1_000_000; // of silence: what was spent before is refilled
     private static final long LEAST_KEPT_US = 5_000_000;
-    private static final double LAZY_EXCESS = 0.25;    // share of the burst left untrimmed, to save calls
-    private static final double AT_START = 0.75;       // buckets that a gateway just started takes as full
-    private static final double AT_ONCE = 6;           // bursts that all of a customer's gateways may hold so
-    private static final double MOST_WEIGHT = 2;       // RPCs of others that a call stands for, over its own
-    private static final long TOLD_US = 2_000_000;     // a reading of a customer not seen here is kept
-    private static final double MOST_UNUSED = 0.6;     // of the rate, by even slices where gateways are many
+    private static final double LAZY_EXCESS = 0.25; // share of the burst left untrimmed, to save calls
+    private static final double AT_START = 0.75; // buckets that a gateway just started takes as full
+    private static final double AT_ONCE = 6; // bursts that all of a customer's gateways may hold so
+    private static final double MOST_WEIGHT = 2; // RPCs of others that a call stands for, over its own
+    private static final long TOLD_US = 2_000_000; // a reading of a customer not seen here is kept
+    private static final double MOST_UNUSED = 0.6; // of the rate, by even slices where gateways are many
 
     private final Policy policy;
     private final long startedUs;
     private final Map<Long, Customer> customers = new LinkedHashMap<>(); // emptied by sweep() when idle
-    private final Map<Long, Told> told = new LinkedHashMap<>();          // by customer; emptied by sweep()
+    private final Map<Long, Told> told = new LinkedHashMap<>(); // by customer; emptied by sweep()
     private double answerUs = LEAST_TIME_OUT_US / 4.0;
     private double leastAnswerUs = Double.MAX_VALUE; // of late: on its way, where nothing waits there
     private double answerDevUs = LEAST_TIME_OUT_US / 4.0;
     private long lastAnswerUs = NEVER;
-    private double pace = Double.MAX_VALUE;     // calls a second that the counter is asked for at most
+    private double pace = Double.MAX_VALUE; // calls a second that the counter is asked for at most
     private double knownGoodPace;
-    private double allowance = 1;               // calls that may be made now
+    private double allowance = 1; // calls that may be made now
     private long allowanceAtUs;
-    private double callRate;                    // calls a second, over the last second or so
-    private double uncounted;                   // let in by slices that hold no RPC, and in no count yet
+    private double callRate; // calls a second, over the last second or so
+    private double uncounted; // let in by slices that hold no RPC, and in no count yet
     private long lastCallUs;
     private long lastLossUs;
     private boolean answeredSinceLoss;
@@ -58,8 +58,8 @@
 
     /** The customer of an RPC just taken. */
     Customer customer(long key, int plan, int first, int gateways) {
-        Customer c = customers.computeIfAbsent(key,
-                k -> new Customer(k, settings.plans().get(plan), first, gateways));
+        Customer c = customers.computeIfAbsent(
+                key, k -> new Customer(k, settings.plans().get(plan), first, gateways));
         Told reading = told.remove(key);
         if (reading != null) c.heard(reading);
         return c;
@@ -118,9 +118,13 @@
      * raise it, as in TCP; it ends when calls are far fewer than it allows. Meanwhile the bucket lets in
      * what it can and calls go to what it would refuse; each adds what its customer was let in since.
      */
-    private boolean isPaced() { return pace < Double.MAX_VALUE; }
+    private boolean isPaced() {
+        return pace < Double.MAX_VALUE;
+    }
 
-    boolean callsAreScarce() { return isPaced() && allowance < 2; }
+    boolean callsAreScarce() {
+        return isPaced() && allowance < 2;
+    }
 
     boolean counterMayBeAsked() {
         if (!settings.mayCount()) return false;
@@ -175,15 +179,15 @@
     final class Customer {
         final long key;
         final Plan plan;
-        final int first;            // its gateways are so many in a row from this one
+        final int first; // its gateways are so many in a row from this one
         final int gateways;
-        final Deque<Count> pending = new ArrayDeque<>(2);  // emptied by answers; each call gets one
-        final Deque<Rpc> waiting = new ArrayDeque<>(1);    // emptied when a pending call is settled
-        double credit = -1;         // as last read, less what was let in since
+        final Deque<Count> pending = new ArrayDeque<>(2); // emptied by answers; each call gets one
+        final Deque<Rpc> waiting = new ArrayDeque<>(1); // emptied when a pending call is settled
+        double credit = -1; // as last read, less what was let in since
         long creditAtUs = NEVER;
-        long makerUntilUs = NEVER;  // whose name was read as its maker left it: until when its add is awaited
-        double owed;                // let in, but not in the count yet
-        double bucket = -1;         // the split leaky bucket; below 0: none
+        long makerUntilUs = NEVER; // whose name was read as its maker left it: until when its add is awaited
+        double owed; // let in, but not in the count yet
+        double bucket = -1; // the split leaky bucket; below 0: none
         long bucketAtUs;
         long lastUsedUs;
         long nextReturnUs = NEVER;
@@ -198,7 +202,9 @@
 
         boolean isIdle() {
             double fullUs = plan.rate() > 0 ? plan.burst() / plan.rate() * 1e6 : 0;
-            return pending.isEmpty() && open == 0 && now() - lastUsedUs > Math.max(LEAST_KEPT_US, 2 * fullUs)
+            return pending.isEmpty()
+                    && open == 0
+                    && now() - lastUsedUs > Math.max(LEAST_KEPT_US, 2 * fullUs)
                     && (bucket < 0 || bucketNow(1) >= depth(1));
         }
 
@@ -274,7 +280,8 @@
         }
 
         Count nextOf(long name) {
-            Count next = pending.stream().filter(c -> c.name == name).findFirst().orElse(null);
+            Count next =
+                    pending.stream().filter(c -> c.name == name).findFirst().orElse(null);
             pending.remove(next);
             return next;
         }
@@ -336,7 +343,10 @@
             return unmade && now() < makerUntilUs;
         }
 
-        void know(double room) { credit = room; creditAtUs = now(); }
+        void know(double room) {
+            credit = room;
+            creditAtUs = now();
+        }
 
         /**
          * Guards the counter, while it is crowded, against customers at the end of their quota: one reading
@@ -364,7 +374,9 @@
         }
 
         /** Its slices are shares of an RPC: this gateway alone knows next to nothing of the customer. */
-        boolean holdsNone() { return plan.burst() < gateways; }
+        boolean holdsNone() {
+            return plan.burst() < gateways;
+        }
 
         /** Its part of what is split: in a fleet as settled, and nothing where that may not be acted on. */
         double part() {
@@ -373,7 +385,9 @@
             return now() < fleet.untilUs() ? 1.0 / fleet.most(first, gateways, settings.gateways()) : 0;
         }
 
-        double depth(double units) { return part() > 0 ? Math.max(units, plan.burst() * part()) : 0; }
+        double depth(double units) {
+            return part() > 0 ? Math.max(units, plan.burst() * part()) : 0;
+        }
 
         /** Its share of the rate, and of what the more gateways with less of the traffic leave unused. */
         double sliceRate() {
@@ -390,9 +404,12 @@
                 boolean read = settings.mayTell() && now() - lastAnswerUs < OUTAGE_US; // beyond would be told
                 double share = read ? 1 : Math.min(1, AT_ONCE * plan.burst() / gateways);
                 double full = Math.max(AT_START, grown) * share;
-                bucket = depth * (creditAtUs != NEVER ? Math.max(0, Math.min(1, creditNow() / plan.burst()))
-                        : host.sharers() != null ? Math.min(fullStore() / plan.burst(), grown)
-                        : random.nextDouble() < full ? 1 : 0);
+                bucket = depth
+                        * (creditAtUs != NEVER
+                                ? Math.max(0, Math.min(1, creditNow() / plan.burst()))
+                                : host.sharers() != null
+                                        ? Math.min(fullStore() / plan.burst(), grown)
+                                        : random.nextDouble() < full ? 1 : 0);
                 bucketAtUs = now();
             }
             return Math.min(depth, bucket + sliceRate() * (now() - bucketAtUs) / 1e6);
@@ -429,7 +446,7 @@
     }
 
     /** What another gateway has read of a customer. */
-    private record Told(double credit, long atUs) { }
+    private record Told(double credit, long atUs) {}
 
     /** One call on the counter. */
     private static final class Count {
@@ -437,9 +454,9 @@
         long name;
         double amount;
         long sentUs;
-        Rpc rpc;          // that waits for it, if any
-        double excess;    // that it adds back, and the room that should be left then
+        Rpc rpc; // that waits for it, if any
+        double excess; // that it adds back, and the room that should be left then
         double roomAfter;
-        boolean settled;  // answered, or silent past the time-out
+        boolean settled; // answered, or silent past the time-out
     }
 }
--- a/src/rig/java/hopdrum/rig/check/Checker.java
+++ b/src/rig/java/hopdrum/rig/check/Checker.java
@@ -25,10 +25,10 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final double TINY = 1e-9;
     private static final long ANSWER_SLACK_US = 500_000;
-    private static final long COMING_ON_US = 400_000; // new connections come for so long after SIGTERM, as the platform's do
+    private static final long COMING_ON_US =
+            400_000; // new connections come for so long after SIGTERM, as the platform's do
 
-    private record Broken(String rule, long atUs, String what) {
-    }
+    private record Broken(String rule, long atUs, String what) {}
 
     /** One start of one process, as the rig saw it. */
     private static final class Run {
@@ -55,9 +55,20 @@
 
     public Checker(Path folder) throws IOException {
         rig = lines(folder.resolve("rig.jsonl"));
-        trial = rig.stream().filter(l -> is(l, "trial")).findFirst().orElseThrow(() -> new IOException("no trial in " + folder));
-        beginUs = rig.stream().filter(l -> is(l, "begin")).mapToLong(Checker::at).findFirst().orElse(at(trial));
-        endUs = rig.stream().filter(l -> is(l, "end")).mapToLong(Checker::at).findFirst().orElse(Long.MAX_VALUE);
+        trial = rig.stream()
+                .filter(l -> is(l, "trial"))
+                .findFirst()
+                .orElseThrow(() -> new IOException("no trial in " + folder));
+        beginUs = rig.stream()
+                .filter(l -> is(l, "begin"))
+                .mapToLong(Checker::at)
+                .findFirst()
+                .orElse(at(trial));
+        endUs = rig.stream()
+                .filter(l -> is(l, "end"))
+                .mapToLong(Checker::at)
+                .findFirst()
+                .orElse(Long.MAX_VALUE);
         List<String> names = new ArrayList<>();
         trial.path("doors").fieldNames().forEachRemaining(names::add);
         for (String door : names) {
@@ -80,10 +91,17 @@
 
     /** No rule: how late the rig itself was, so that a slow machine is not taken for a slow program. */
     private void lateness() {
-        long[] worst = rig.stream().filter(l -> is(l, "late")).mapToLong(l -> l.path("us").asLong()).sorted().toArray();
+        long[] worst = rig.stream()
+                .filter(l -> is(l, "late"))
+                .mapToLong(l -> l.path("us").asLong())
+                .sorted()
+                .toArray();
         if (worst.length > 0) {
-            measured.add(String.format(java.util.Locale.ROOT, "the rig's own lateness, worst of each second: median %.1f ms, worst %.1f ms",
-                    worst[worst.length / 2] / 1e3, worst[worst.length - 1] / 1e3));
+            measured.add(String.format(
+                    java.util.Locale.ROOT,
+                    "the rig's own lateness, worst of each second: median %.1f ms, worst %.1f ms",
+                    worst[worst.length / 2] / 1e3,
+                    worst[worst.length - 1] / 1e3));
         }
     }
 
@@ -113,8 +131,10 @@
 
     /** Null if all rules were kept, else the first broken one: rule, time, who and what. */
     public String verdict() {
-        return broken.stream().min(Comparator.comparingLong(Broken::atUs))
-                .map(b -> b.rule + " at " + seconds(b.atUs) + ": " + b.what).orElse(null);
+        return broken.stream()
+                .min(Comparator.comparingLong(Broken::atUs))
+                .map(b -> b.rule + " at " + seconds(b.atUs) + ": " + b.what)
+                .orElse(null);
     }
 
     /** All broken rules by name: for the trials of the checker itself. */
@@ -170,16 +190,27 @@
             } else if (is(l, "killed") || is(l, "step") && l.path("do").asText().equals("kill")) {
                 l.path("who").forEach(w -> killed.add(w.asText()));
                 killed.add(door);
-            } else if (is(l, "ended") && (!l.path("by_itself").asBoolean() || l.path("code").asInt() != 0)) {
-                fault("process", at(l), door + " did not end by itself as a success, code " + l.path("code").asInt());
+            } else if (is(l, "ended")
+                    && (!l.path("by_itself").asBoolean() || l.path("code").asInt() != 0)) {
+                fault(
+                        "process",
+                        at(l),
+                        door + " did not end by itself as a success, code "
+                                + l.path("code").asInt());
             } else if (is(l, "exited") && !told.contains(door) && !killed.contains(door)) {
-                fault("process", at(l), door + " ended with code " + l.path("code").asInt() + ", told by nobody");
+                fault(
+                        "process",
+                        at(l),
+                        door + " ended with code " + l.path("code").asInt() + ", told by nobody");
             }
         }
         for (Map.Entry<String, List<JsonNode>> e : doors.entrySet()) {
             for (JsonNode l : e.getValue()) {
                 if (is(l, "fault")) {
-                    fault("process", at(l), e.getKey() + " logged a fault: " + l.path("why").asText());
+                    fault(
+                            "process",
+                            at(l),
+                            e.getKey() + " logged a fault: " + l.path("why").asText());
                 }
             }
         }
@@ -187,7 +218,11 @@
 
     /** When the process of that moment ended; it acts on nothing after that. */
     private long runEnd(String door, long atUs) {
-        return runs.stream().filter(r -> r.door.equals(door) && r.fromUs <= atUs && atUs < r.toUs).mapToLong(r -> r.toUs).findFirst().orElse(atUs);
+        return runs.stream()
+                .filter(r -> r.door.equals(door) && r.fromUs <= atUs && atUs < r.toUs)
+                .mapToLong(r -> r.toUs)
+                .findFirst()
+                .orElse(atUs);
     }
 
     private boolean runs(String door, long atUs) {
@@ -221,9 +256,13 @@
                 }
                 JsonNode before = content.putIfAbsent(viewOf(l), l.path("members"));
                 if (before != null && !before.equals(l.path("members"))) {
-                    fault("one-view", at(l), e.getKey() + ": " + viewOf(l) + " is " + l.path("members") + " and " + before);
+                    fault(
+                            "one-view",
+                            at(l),
+                            e.getKey() + ": " + viewOf(l) + " is " + l.path("members") + " and " + before);
                 }
-                if (l.path("era").asLong() < era || l.path("era").asLong() == era && l.path("number").asLong() < number) {
+                if (l.path("era").asLong() < era
+                        || l.path("era").asLong() == era && l.path("number").asLong() < number) {
                     fault("order", at(l), e.getKey() + " went back from " + era + "/" + number + " to " + viewOf(l));
                 }
                 era = l.path("era").asLong();
@@ -241,7 +280,9 @@
             for (JsonNode l : log) {
                 if (is(l, "accepted")) {
                     votes.computeIfAbsent(viewOf(l), k -> new HashMap<>())
-                            .computeIfAbsent(l.path("ballot") + "/" + l.path("proposer").asText() + "/" + l.path("members"), k -> new HashSet<>())
+                            .computeIfAbsent(
+                                    l.path("ballot") + "/" + l.path("proposer").asText() + "/" + l.path("members"),
+                                    k -> new HashSet<>())
                             .add(l.path("name").asText() + "#" + l.path("voter").asText());
                 } else if (is(l, "view")) {
                     voters.putIfAbsent(viewOf(l), l.path("voters"));
@@ -262,10 +303,15 @@
             } else {
                 JsonNode before = voters.get(l.path("era").asText() + "/" + (number - 1));
                 if (before == null) {
-                    fault("majority", at(l), l.path("name").asText() + ": " + viewOf(l) + " follows a view that nobody had");
+                    fault(
+                            "majority",
+                            at(l),
+                            l.path("name").asText() + ": " + viewOf(l) + " follows a view that nobody had");
                     continue;
                 }
-                before.properties().forEach(f -> entitled.add(f.getKey() + "#" + f.getValue().asText()));
+                before.properties()
+                        .forEach(f ->
+                                entitled.add(f.getKey() + "#" + f.getValue().asText()));
                 needed = entitled.size() / 2 + 1;
             }
             int most = 0;
@@ -277,8 +323,11 @@
                 most = Math.max(most, count);
             }
             if (most < needed) {
-                fault("majority", at(l), l.path("name").asText() + ": " + viewOf(l) + " has " + most + " votes in one ballot, " + needed
-                        + " were needed");
+                fault(
+                        "majority",
+                        at(l),
+                        l.path("name").asText() + ": " + viewOf(l) + " has " + most + " votes in one ballot, " + needed
+                                + " were needed");
             }
         }
     }
@@ -289,19 +338,25 @@
     private void claims() {
         Map<String, List<double[]>> changes = new HashMap<>(); // by operator: time and by how much the sum changes
         for (Map.Entry<String, List<JsonNode>> e : doors.entrySet()) {
-            List<JsonNode> claims = e.getValue().stream().filter(l -> is(l, "claim") || is(l, "starts")).toList();
+            List<JsonNode> claims = e.getValue().stream()
+                    .filter(l -> is(l, "claim") || is(l, "starts"))
+                    .toList();
             for (int i = 0; i < claims.size(); i++) {
                 JsonNode l = claims.get(i);
                 if (!is(l, "claim")) {
                     continue;
                 }
                 long from = at(l);
-                long until = Math.min(l.path("until_us").asLong(), i + 1 < claims.size() ? at(claims.get(i + 1)) : Long.MAX_VALUE);
+                long until = Math.min(
+                        l.path("until_us").asLong(), i + 1 < claims.size() ? at(claims.get(i + 1)) : Long.MAX_VALUE);
                 for (Run r : runs) {
-                    until = r.door.equals(e.getKey()) && r.fromUs <= from && from < r.toUs ? Math.min(until, r.toUs) : until;
+                    until = r.door.equals(e.getKey()) && r.fromUs <= from && from < r.toUs
+                            ? Math.min(until, r.toUs)
+                            : until;
                 }
                 if (until > from && l.path("of").asInt() > 0) {
-                    List<double[]> of = changes.computeIfAbsent(l.path("operator").asText(), k -> new ArrayList<>());
+                    List<double[]> of =
+                            changes.computeIfAbsent(l.path("operator").asText(), k -> new ArrayList<>());
                     of.add(new double[] {from, 1.0 / l.path("of").asInt()});
                     of.add(new double[] {until, -1.0 / l.path("of").asInt()});
                 }
@@ -315,12 +370,16 @@
                 sum += c[1];
                 most = Math.max(most, sum);
                 if (sum > 1 + TINY) {
-                    fault("claims", (long) c[0], "the gateways of " + operator + " claim " + String.format(java.util.Locale.ROOT, "%.3f", sum)
-                            + " of the whole");
+                    fault(
+                            "claims",
+                            (long) c[0],
+                            "the gateways of " + operator + " claim "
+                                    + String.format(java.util.Locale.ROOT, "%.3f", sum) + " of the whole");
                     return;
                 }
             }
-            measured.add("most claimed at once of " + operator + "'s quotas: " + String.format(java.util.Locale.ROOT, "%.3f", most));
+            measured.add("most claimed at once of " + operator + "'s quotas: "
+                    + String.format(java.util.Locale.ROOT, "%.3f", most));
         });
     }
 
@@ -346,7 +405,8 @@
         Map<Integer, List<long[]>> let = new TreeMap<>();
         for (JsonNode l : rig) {
             if (is(l, "rpc") && l.path("status").asText().equals("200")) {
-                let.computeIfAbsent(l.path("customer").asInt(), k -> new ArrayList<>()).add(new long[] {l.path("sent_us").asLong(), at(l)});
+                let.computeIfAbsent(l.path("customer").asInt(), k -> new ArrayList<>())
+                        .add(new long[] {l.path("sent_us").asLong(), at(l)});
             }
         }
         double ceilingRate = trial.path("ceiling_rate").asDouble();
@@ -360,26 +420,38 @@
                 long last = all.get(i)[1];
                 for (int j = i; j < all.size(); j++) {
                     last = Math.max(last, all.get(j)[1]);
-                    double most = burst * (1 + Math.max(1, losses.size()) + owners.moves(e.getKey(), all.get(i)[0], last)) + rate * (last - all.get(i)[0]) / 1e6 + gateways;
+                    double most =
+                            burst * (1 + Math.max(1, losses.size()) + owners.moves(e.getKey(), all.get(i)[0], last))
+                                    + rate * (last - all.get(i)[0]) / 1e6
+                                    + gateways;
                     worst = Math.max(worst, j - i + 1 - most);
                     double ceiling = ceilingBurst + ceilingRate * (last - all.get(i)[0]) / 1e6;
                     ceilingPart = ceilingRate > 0 ? Math.max(ceilingPart, (j - i + 1) / ceiling) : 0;
                     if (ceilingRate > 0 && j - i + 1 > ceiling) {
-                        fault("ceiling", last, "customer " + e.getKey() + " had " + (j - i + 1) + " RPCs in, its ceiling is " + ceiling);
+                        fault(
+                                "ceiling",
+                                last,
+                                "customer " + e.getKey() + " had " + (j - i + 1) + " RPCs in, its ceiling is "
+                                        + ceiling);
                         return;
                     }
                     if (j - i + 1 > most) {
-                        fault("quota", last, "customer " + e.getKey() + " had " + (j - i + 1) + " RPCs in, " + most + " at most");
+                        fault(
+                                "quota",
+                                last,
+                                "customer " + e.getKey() + " had " + (j - i + 1) + " RPCs in, " + most + " at most");
                         return;
                     }
                 }
             }
         }
         if (ceilingPart > 0) {
-            measured.add("closest to a ceiling: " + String.format(java.util.Locale.ROOT, "%.2f", ceilingPart) + " of it");
+            measured.add(
+                    "closest to a ceiling: " + String.format(java.util.Locale.ROOT, "%.2f", ceilingPart) + " of it");
         }
         if (!let.isEmpty()) {
-            measured.add("closest to the bound on a quota: " + String.format(java.util.Locale.ROOT, "%.1f", -worst) + " RPCs below it");
+            measured.add("closest to the bound on a quota: " + String.format(java.util.Locale.ROOT, "%.1f", -worst)
+                    + " RPCs below it");
         }
     }
 
@@ -429,11 +501,16 @@
             long sent = l.path("sent_us").asLong();
             byStatus.merge(status, 1, Integer::sum);
             long tookUs = at(l) - sent;
-            boolean owed = !status.equals("unreachable") && wasUp(door, sent, Math.min(at(l), sent + deadline + ANSWER_SLACK_US) + 100_000)
+            boolean owed = !status.equals("unreachable")
+                    && wasUp(door, sent, Math.min(at(l), sent + deadline + ANSWER_SLACK_US) + 100_000)
                     && !wasPaused(door, sent, at(l));
             owed &= !(status.equals("broken") && cameTooLate(door, sent));
             if (owed && (status.equals("broken") || status.equals("none") || tookUs > deadline + ANSWER_SLACK_US)) {
-                fault("answer", at(l), "RPC " + l.path("rpc").asText() + " at " + door + " ended as " + status + " after " + tookUs / 1000 + " ms");
+                fault(
+                        "answer",
+                        at(l),
+                        "RPC " + l.path("rpc").asText() + " at " + door + " ended as " + status + " after "
+                                + tookUs / 1000 + " ms");
             }
         }
         if (!byStatus.isEmpty()) {
@@ -445,7 +522,9 @@
     private void ranOnce() {
         Map<String, Integer> ran = new HashMap<>();
         for (JsonNode l : rig) {
-            if (is(l, "ran") && l.path("method").asText().equals("once") && ran.merge(l.path("rpc").asText(), 1, Integer::sum) > 1) {
+            if (is(l, "ran")
+                    && l.path("method").asText().equals("once")
+                    && ran.merge(l.path("rpc").asText(), 1, Integer::sum) > 1) {
                 fault("once", at(l), "RPC " + l.path("rpc").asText() + " ran twice");
             }
         }
@@ -475,14 +554,18 @@
                 case "expect_owned" -> owners.owned(l, within, until);
                 case "expect_refusal" -> owners.refusal(l, within);
                 case "expect_map" -> map(l, within, until);
-                default -> { }
+                default -> {}
             }
         }
     }
 
     /** What the process that runs at this moment has; the view of one that ran before it under the name is not its own. */
     private JsonNode viewAt(String door, long atUs) {
-        long fromUs = runs.stream().filter(r -> r.door.equals(door) && r.fromUs <= atUs).mapToLong(r -> r.fromUs).max().orElse(0);
+        long fromUs = runs.stream()
+                .filter(r -> r.door.equals(door) && r.fromUs <= atUs)
+                .mapToLong(r -> r.fromUs)
+                .max()
+                .orElse(0);
         JsonNode last = null;
         for (JsonNode l : doors.get(door)) {
             if (is(l, "view") && at(l) >= fromUs && at(l) <= atUs) {
@@ -506,8 +589,8 @@
         for (long moment : moments) {
             if (oneView(who, moment, exactly) == null) {
                 double periods = (moment - at(step)) / trial.path("period_us").asDouble();
-                measured.add("settled " + String.format(java.util.Locale.ROOT, "%.1f", periods) + " periods after " + seconds(at(step)) + ": "
-                        + String.join(" ", who));
+                measured.add("settled " + String.format(java.util.Locale.ROOT, "%.1f", periods) + " periods after "
+                        + seconds(at(step)) + ": " + String.join(" ", who));
                 return;
             }
         }
@@ -531,7 +614,9 @@
             if (exactly && !members.equals(who)) {
                 return w + "'s view " + first + " holds " + members;
             }
-            if (exactly && view.path("members").path(w).asLong() != view.path("start").asLong()) {
+            if (exactly
+                    && view.path("members").path(w).asLong()
+                            != view.path("start").asLong()) {
                 return w + "'s view holds another start of it";
             }
         }
@@ -550,11 +635,18 @@
     /** "unchanged": no view is settled for so long; one that is told of a view that others had is no change. */
     private void unchanged(JsonNode step, long untilUs) {
         Map<String, JsonNode> first = new HashMap<>();
-        doors.values().forEach(log -> log.stream().filter(l -> is(l, "view"))
-                .forEach(l -> first.merge(viewOf(l), l, (x, y) -> at(x) <= at(y) ? x : y)));
-        first.values().stream().filter(l -> at(l) > at(step) && at(l) < untilUs).min(Comparator.comparingLong(Checker::at))
-                .ifPresent(l -> fault("unchanged", at(l), l.path("name").asText() + " has a new view " + viewOf(l) + " of "
-                        + l.path("members").size()));
+        doors.values()
+                .forEach(log -> log.stream()
+                        .filter(l -> is(l, "view"))
+                        .forEach(l -> first.merge(viewOf(l), l, (x, y) -> at(x) <= at(y) ? x : y)));
+        first.values().stream()
+                .filter(l -> at(l) > at(step) && at(l) < untilUs)
+                .min(Comparator.comparingLong(Checker::at))
+                .ifPresent(l -> fault(
+                        "unchanged",
+                        at(l),
+                        l.path("name").asText() + " has a new view " + viewOf(l) + " of "
+                                + l.path("members").size()));
     }
 
     /** "dropped": no view that is settled meanwhile lacks any of them. */
@@ -581,9 +673,14 @@
         Map<String, String> door = new HashMap<>();
         for (JsonNode l : rig) {
             long sent = l.path("sent_us").asLong();
-            if (is(l, "rpc") && sent >= at(step) && sent < untilUs && !l.path("status").asText().equals("429")) {
+            if (is(l, "rpc")
+                    && sent >= at(step)
+                    && sent < untilUs
+                    && !l.path("status").asText().equals("429")) {
                 all++;
-                door.put(l.path("rpc").asText(), trial.path("sites").path(l.path("door").asText()).asText());
+                door.put(
+                        l.path("rpc").asText(),
+                        trial.path("sites").path(l.path("door").asText()).asText());
                 if (l.path("status").asText().equals("200")) {
                     took.add(at(l) - sent);
                     inTime += at(l) - sent <= trial.path("deadline_us").asLong() / 2 ? 1 : 0;
@@ -601,9 +698,17 @@
         }
         took.sort(null);
         double share = all == 0 ? 0 : (double) inTime / all;
-        measured.add(String.format(java.util.Locale.ROOT, "from %s for %.0f s: %d RPCs, in time %.3f, p50 %.1f ms, p99 %.1f ms, crossed %.3f, by site %s",
-                seconds(at(step)), (untilUs - at(step)) / 1e6, all, share, took.isEmpty() ? 0 : took.get(took.size() / 2) / 1e3,
-                took.isEmpty() ? 0 : took.get(took.size() * 99 / 100) / 1e3, all == 0 ? 0 : (double) crossed / all, bySite));
+        measured.add(String.format(
+                java.util.Locale.ROOT,
+                "from %s for %.0f s: %d RPCs, in time %.3f, p50 %.1f ms, p99 %.1f ms, crossed %.3f, by site %s",
+                seconds(at(step)),
+                (untilUs - at(step)) / 1e6,
+                all,
+                share,
+                took.isEmpty() ? 0 : took.get(took.size() / 2) / 1e3,
+                took.isEmpty() ? 0 : took.get(took.size() * 99 / 100) / 1e3,
+                all == 0 ? 0 : (double) crossed / all,
+                bySite));
         if (share < step.path("more").path("share").asDouble()) {
             fault("in_time", untilUs, String.format(java.util.Locale.ROOT, "%.3f of %d RPCs were in time", share, all));
         }
@@ -622,7 +727,10 @@
                     truth = is(d, "distances") && at(d) <= at(l) ? d.path("one_way_ms") : truth;
                 }
                 for (Map.Entry<String, JsonNode> way : l.path("ways").properties()) {
-                    double oneWayMs = truth == null ? 0 : truth.path(l.path("site").asText() + "-" + way.getKey()).asDouble();
+                    double oneWayMs = truth == null
+                            ? 0
+                            : truth.path(l.path("site").asText() + "-" + way.getKey())
+                                    .asDouble();
                     if (oneWayMs >= 1) { // below, a machine's own delays are the larger part
                         errors.add(Math.abs(way.getValue().path(0).asDouble() / 2_000 - oneWayMs) / oneWayMs);
                     }
@@ -632,11 +740,19 @@
         errors.sort(null);
         double median = errors.isEmpty() ? Double.POSITIVE_INFINITY : errors.get(errors.size() / 2);
         if (!errors.isEmpty()) {
-            measured.add(String.format(java.util.Locale.ROOT, "error of the map from %s on, %d ways: median %.3f, p90 %.3f", seconds(withinUs),
-                    errors.size(), median, errors.get(errors.size() * 9 / 10)));
+            measured.add(String.format(
+                    java.util.Locale.ROOT,
+                    "error of the map from %s on, %d ways: median %.3f, p90 %.3f",
+                    seconds(withinUs),
+                    errors.size(),
+                    median,
+                    errors.get(errors.size() * 9 / 10)));
         }
         if (median > step.path("more").path("error").asDouble(0.1)) {
-            fault("map", withinUs, String.format(java.util.Locale.ROOT, "the median error of %d ways is %.3f", errors.size(), median));
+            fault(
+                    "map",
+                    withinUs,
+                    String.format(java.util.Locale.ROOT, "the median error of %d ways is %.3f", errors.size(), median));
         }
     }
 
@@ -652,9 +768,13 @@
             }
         }
         double share = all == 0 ? 0 : (double) ok / all;
-        measured.add("share answered with 200 from " + seconds(at(step)) + ": " + String.format(java.util.Locale.ROOT, "%.3f", share));
+        measured.add("share answered with 200 from " + seconds(at(step)) + ": "
+                + String.format(java.util.Locale.ROOT, "%.3f", share));
         if (share < step.path("more").path("share").asDouble()) {
-            fault("share", untilUs, String.format(java.util.Locale.ROOT, "%.3f of %d RPCs were answered with 200", share, all));
+            fault(
+                    "share",
+                    untilUs,
+                    String.format(java.util.Locale.ROOT, "%.3f of %d RPCs were answered with 200", share, all));
         }
     }
 }
--- a/src/rig/java/hopdrum/rig/planted/Baseline.java
+++ b/src/rig/java/hopdrum/rig/planted/Baseline.java
@@ -23,8 +23,7 @@
     private static final int LOOK_MS = 20;
     private static volatile Distances distances; // null until it is known
 
-    private Baseline() {
-    }
+    private Baseline() {}
 
     static int serve(Path fleetFile, boolean allKnowing) throws IOException {
         FleetFile file;
@@ -65,8 +64,14 @@
                 long[] us = new long[zones.size()];
                 for (int i = 0; i < us.length; i++) {
                     String zone = zones.get(i);
-                    us[i] = zone.equals(site) && !truth.path("lost").path(zone).asBoolean() ? 0 : !allKnowing || truth.path("lost").path(zone).asBoolean()
-                            ? FAR_US : (long) (2_000 * truth.path("one_way_ms").path(site + "-" + zone).asDouble());
+                    us[i] = zone.equals(site) && !truth.path("lost").path(zone).asBoolean()
+                            ? 0
+                            : !allKnowing || truth.path("lost").path(zone).asBoolean()
+                                    ? FAR_US
+                                    : (long) (2_000
+                                            * truth.path("one_way_ms")
+                                                    .path(site + "-" + zone)
+                                                    .asDouble());
                 }
                 distances = new Distances(us);
                 Thread.sleep(LOOK_MS);
--- a/src/rig/java/hopdrum/rig/planted/Planted.java
+++ b/src/rig/java/hopdrum/rig/planted/Planted.java
@@ -28,8 +28,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long AFTER_MS = 4_500; // the fleet has settled by then
 
-    private Planted() {
-    }
+    private Planted() {}
 
     /** FAULT FLEET_FILE. */
     public static void main(String[] args) throws IOException {
@@ -78,23 +77,50 @@
             }
             long now = System.nanoTime() / 1000;
             if (fault.equals("acts_on_all")) {
-                append(log, ((com.fasterxml.jackson.databind.node.ObjectNode) acts).put("on", acts.path("on").asText().replace('-', 'x'))
-                        .put("mono_us", now).put("until_us", now + 5_000_000));
+                append(
+                        log,
+                        ((com.fasterxml.jackson.databind.node.ObjectNode) acts)
+                                .put("on", acts.path("on").asText().replace('-', 'x'))
+                                .put("mono_us", now)
+                                .put("until_us", now + 5_000_000));
             } else if (fault.equals("lone_terms")) {
-                com.fasterxml.jackson.databind.node.ObjectNode other = (com.fasterxml.jackson.databind.node.ObjectNode) division;
-                append(log, other.put("number", division.path("number").asLong() + 1).put("mono_us", now)
-                        .set("agreement", JSON.readTree("{\"revision\":9,\"moves\":1,\"epoch_ms\":60000,\"parties\":{\"north\":[1,1,0],\"south\":[1,1,0]}}")));
-                append(log, other.put("number", division.path("number").asLong() + 1).put("mono_us", now + 1)
-                        .put("owners", division.path("owners").asText().replace('B', 'A')));
+                com.fasterxml.jackson.databind.node.ObjectNode other =
+                        (com.fasterxml.jackson.databind.node.ObjectNode) division;
+                append(
+                        log,
+                        other.put("number", division.path("number").asLong() + 1)
+                                .put("mono_us", now)
+                                .set(
+                                        "agreement",
+                                        JSON.readTree(
+                                                "{\"revision\":9,\"moves\":1,\"epoch_ms\":60000,\"parties\":{\"north\":[1,1,0],\"south\":[1,1,0]}}")));
+                append(
+                        log,
+                        other.put("number", division.path("number").asLong() + 1)
+                                .put("mono_us", now + 1)
+                                .put("owners", division.path("owners").asText().replace('B', 'A')));
             } else if (fault.equals("goes_back")) {
-                append(log, ((com.fasterxml.jackson.databind.node.ObjectNode) view).put("number", 0).put("mono_us", System.nanoTime() / 1000));
+                append(
+                        log,
+                        ((com.fasterxml.jackson.databind.node.ObjectNode) view)
+                                .put("number", 0)
+                                .put("mono_us", System.nanoTime() / 1000));
             } else if (fault.equals("old_start")) {
-                append(log, ((com.fasterxml.jackson.databind.node.ObjectNode) starts).put("mono_us", System.nanoTime() / 1000));
+                append(
+                        log,
+                        ((com.fasterxml.jackson.databind.node.ObjectNode) starts)
+                                .put("mono_us", System.nanoTime() / 1000));
             } else {
-                Member self = new Member(starts.path("name").asText(), starts.path("start").asLong(), starts.path("voter").asLong(),
-                        starts.path("operator").asText(), starts.path("site").asText(), starts.path("gateway").asInt(),
+                Member self = new Member(
+                        starts.path("name").asText(),
+                        starts.path("start").asLong(),
+                        starts.path("voter").asLong(),
+                        starts.path("operator").asText(),
+                        starts.path("site").asText(),
+                        starts.path("gateway").asInt(),
                         starts.path("address").asText());
-                List<String> seeds = List.of(value(fleet, "seeds").replaceAll("[\\[\\]\" ]", "").split(","));
+                List<String> seeds = List.of(
+                        value(fleet, "seeds").replaceAll("[\\[\\]\" ]", "").split(","));
                 for (int i = 0; i < seeds.size(); i++) {
                     long number = view.path("number").asLong() + 1;
                     List<Member> members = new ArrayList<>(List.of(self));
@@ -102,7 +128,11 @@
                         members.add(new Member("zz" + i, 1, 1, self.operator(), "here", 9, "127.0.0.1:9"));
                     }
                     if (!seeds.get(i).equals(self.address())) {
-                        settle(seeds.get(i), value(fleet, "fleet"), self, new View(view.path("era").asLong(), number, members));
+                        settle(
+                                seeds.get(i),
+                                value(fleet, "fleet"),
+                                self,
+                                new View(view.path("era").asLong(), number, members));
                     }
                 }
             }
@@ -122,7 +152,11 @@
         try (Socket socket = new Socket("127.0.0.1", Integer.parseInt(address.substring(address.indexOf(':') + 1)))) {
             for (Message m : List.of(new Message.Hello(Message.VERSION, fleet, self), new Message.Settled(view))) {
                 byte[] body = Codec.bytes(m);
-                socket.getOutputStream().write(java.nio.ByteBuffer.allocate(4 + body.length).putInt(body.length).put(body).array());
+                socket.getOutputStream()
+                        .write(java.nio.ByteBuffer.allocate(4 + body.length)
+                                .putInt(body.length)
+                                .put(body)
+                                .array());
             }
             DataInputStream in = new DataInputStream(socket.getInputStream());
             in.skipNBytes(in.readInt());
@@ -134,8 +168,10 @@
         JsonNode config = JSON.readTree(Files.readAllBytes(Path.of(System.getenv("LB_CONFIG"))));
         String discovery = config.path("discovery").asText();
         JsonNode list;
-        try (Socket socket = new Socket("127.0.0.1", Integer.parseInt(discovery.substring(discovery.indexOf(':') + 1)))) {
-            socket.getOutputStream().write("GET /registry/instances HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+        try (Socket socket =
+                new Socket("127.0.0.1", Integer.parseInt(discovery.substring(discovery.indexOf(':') + 1)))) {
+            socket.getOutputStream()
+                    .write("GET /registry/instances HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             String answer = read(socket.getInputStream());
             list = JSON.readTree(answer.substring(answer.indexOf("\r\n\r\n") + 4));
         }
@@ -151,8 +187,8 @@
                 }
             }));
         }
-        try (ServerSocket server = new ServerSocket(Integer.parseInt(listen.substring(listen.indexOf(':') + 1)), 256,
-                InetAddress.getLoopbackAddress())) {
+        try (ServerSocket server = new ServerSocket(
+                Integer.parseInt(listen.substring(listen.indexOf(':') + 1)), 256, InetAddress.getLoopbackAddress())) {
             while (true) {
                 Socket client = server.accept();
                 Thread thread = new Thread(() -> serve(client, backendPort, fault));
@@ -170,7 +206,11 @@
             }
             String answer = "";
             if (fault.equals("both")) { // to a front door of the other operator as well
-                JsonNode other = JSON.readTree(Path.of(System.getenv("LB_CONFIG")).getParent().resolveSibling("s0").resolve("config.json").toFile());
+                JsonNode other = JSON.readTree(Path.of(System.getenv("LB_CONFIG"))
+                        .getParent()
+                        .resolveSibling("s0")
+                        .resolve("config.json")
+                        .toFile());
                 String listen = other.path("listen").asText();
                 try (Socket to = new Socket("127.0.0.1", Integer.parseInt(listen.substring(listen.indexOf(':') + 1)))) {
                     to.getOutputStream().write(head);
@@ -200,7 +240,9 @@
                 return text.toString();
             }
             text.append((char) b);
-            if (end < 0 && text.length() >= 4 && text.substring(text.length() - 4).equals("\r\n\r\n")) {
+            if (end < 0
+                    && text.length() >= 4
+                    && text.substring(text.length() - 4).equals("\r\n\r\n")) {
                 end = text.length() - 4;
                 int at = text.indexOf("Content-Length: ");
                 body = at < 0 ? 0 : Integer.parseInt(text.substring(at + 16, text.indexOf("\r", at)));
--- a/src/rig/java/hopdrum/rig/swarm/Measure.java
+++ b/src/rig/java/hopdrum/rig/swarm/Measure.java
@@ -17,8 +17,7 @@
         double periods(Swarm swarm, SplittableRandom random);
     }
 
-    private Measure() {
-    }
+    private Measure() {}
 
     public static void main(String[] args) {
         int seeds = args.length > 0 ? Integer.parseInt(args[0]) : 20;
@@ -83,12 +82,14 @@
                 s.run(30 * S);
                 return settles(s);
             });
-            row("20% of messages lost for 60 s", n, n, seeds, (s, r) -> {
-                s.loss = 0.2;
-                s.run(60 * S);
-                s.loss = 0;
-                return settles(s);
-            });
+            row(
+                    "20% of messages lost for 60 s",
+                    n, n, seeds, (s, r) -> {
+                        s.loss = 0.2;
+                        s.run(60 * S);
+                        s.loss = 0;
+                        return settles(s);
+                    });
         }
         row("7 of 9 killed at once and restarted after 5 s: from the restart", 9, 9, seeds, (s, r) -> {
             for (int i = 2; i < 9; i++) {
@@ -138,14 +139,20 @@
             broken.addAll(swarm.broken);
         }
         Arrays.sort(periods);
-        System.out.printf("| %s | %d | %.1f | %.1f | %s | %s |%n", what, n, periods[seeds / 2], periods[seeds - 1],
+        System.out.printf(
+                "| %s | %d | %.1f | %.1f | %s | %s |%n",
+                what,
+                n,
+                periods[seeds / 2],
+                periods[seeds - 1],
                 what.contains("split") ? "cut off" : dropped,
                 broken.isEmpty() ? "none" : broken.size() + ": " + broken.get(0));
     }
 
     private static void cost(int[] sizes) {
         System.out.println();
-        System.out.println("| members | messages a second, mean (most) | bytes a second, mean (most) | CPU, us a second, mean |");
+        System.out.println(
+                "| members | messages a second, mean (most) | bytes a second, mean (most) | CPU, us a second, mean |");
         System.out.println("| --- | --- | --- | --- |");
         for (int n : sizes) {
             Swarm swarm = new Swarm(n, Math.min(5, n), TIMING, 7);
@@ -154,11 +161,18 @@
             swarm.run(20 * S);
             swarm.nodes().forEach(node -> node.bytes = node.messages = node.nanos = 0);
             swarm.run(60 * S);
-            long mostMessages = swarm.nodes().stream().mapToLong(x -> x.messages).max().orElse(0);
-            long mostBytes = swarm.nodes().stream().mapToLong(x -> x.bytes).max().orElse(0);
-            System.out.printf("| %d%s | %.1f (%.1f) | %.0f (%.0f) | %.0f |%n", n, settled ? "" : " (not settled)",
-                    swarm.nodes().stream().mapToLong(x -> x.messages).average().orElse(0) / 60, mostMessages / 60.0,
-                    swarm.nodes().stream().mapToLong(x -> x.bytes).average().orElse(0) / 60, mostBytes / 60.0,
+            long mostMessages =
+                    swarm.nodes().stream().mapToLong(x -> x.messages).max().orElse(0);
+            long mostBytes =
+                    swarm.nodes().stream().mapToLong(x -> x.bytes).max().orElse(0);
+            System.out.printf(
+                    "| %d%s | %.1f (%.1f) | %.0f (%.0f) | %.0f |%n",
+                    n,
+                    settled ? "" : " (not settled)",
+                    swarm.nodes().stream().mapToLong(x -> x.messages).average().orElse(0) / 60,
+                    mostMessages / 60.0,
+                    swarm.nodes().stream().mapToLong(x -> x.bytes).average().orElse(0) / 60,
+                    mostBytes / 60.0,
                     swarm.nodes().stream().mapToLong(x -> x.nanos).average().orElse(0) / 1000 / 60);
         }
     }
--- a/src/rig/java/hopdrum/rig/swarm/MeasureMap.java
+++ b/src/rig/java/hopdrum/rig/swarm/MeasureMap.java
@@ -33,7 +33,9 @@
         }
         for (int i = 0; i < SITES; i++) {
             for (int j = 0; j < SITES; j++) {
-                double ms = i == j ? 0.3 : 2 + Math.hypot(at[i][0] - at[j][0], at[i][1] - at[j][1]) * (1 + 0.2 * random.nextDouble());
+                double ms = i == j
+                        ? 0.3
+                        : 2 + Math.hypot(at[i][0] - at[j][0], at[i][1] - at[j][1]) * (1 + 0.2 * random.nextDouble());
                 oneWayUs.merge(pair("s" + i, "s" + j), (long) (ms * 1000 / 2), Math::max);
             }
         }
@@ -76,7 +78,8 @@
                     if (way == null) {
                         unknown[0]++;
                     } else {
-                        errors.add(Math.abs(way.rttUs() - truthUs("s" + i, "s" + j)) / (double) truthUs("s" + i, "s" + j));
+                        errors.add(
+                                Math.abs(way.rttUs() - truthUs("s" + i, "s" + j)) / (double) truthUs("s" + i, "s" + j));
                     }
                 }
             }
@@ -86,15 +89,18 @@
 
     private static String figures(List<Double> errors, int unknown) {
         double[] sorted = errors.stream().mapToDouble(d -> d).sorted().toArray();
-        return sorted.length == 0 ? "- | - | " + unknown : String.format("%.3f | %.3f | %d", sorted[sorted.length / 2],
-                sorted[sorted.length * 9 / 10], unknown);
+        return sorted.length == 0
+                ? "- | - | " + unknown
+                : String.format("%.3f | %.3f | %d", sorted[sorted.length / 2], sorted[sorted.length * 9 / 10], unknown);
     }
 
     public static void main(String[] args) {
         int seeds = args.length > 0 ? Integer.parseInt(args[0]) : 10;
         System.out.println("| what | after | error, median | p90 | not known |");
         System.out.println("| --- | --- | --- | --- | --- |");
-        for (String what : List.of("all pairs of sites measured", "one pair of sites cut off from each other: that pair",
+        for (String what : List.of(
+                "all pairs of sites measured",
+                "one pair of sites cut off from each other: that pair",
                 "one of 20 lies, a tenth of what it measures")) {
             int[] at = {5, 10, 20, 40};
             List<List<Double>> all = new ArrayList<>();
@@ -129,14 +135,29 @@
             known[seed] = m.swarm.until(60 * S, m::allKnow) ? (m.swarm.nowUs() - from) / 1e6 : Double.POSITIVE_INFINITY;
         }
         Arrays.sort(known);
-        System.out.printf("%nOne site's links ten times slower: all ways from and to it within a quarter of the new truth, at all members, "
-                + "after %.1f s (median), %.1f s (worst), of %d seeds.%n", known[seeds / 2], known[seeds - 1], seeds);
+        System.out.printf(
+                "%nOne site's links ten times slower: all ways from and to it within a quarter of the new truth, at all members, "
+                        + "after %.1f s (median), %.1f s (worst), of %d seeds.%n",
+                known[seeds / 2], known[seeds - 1], seeds);
     }
 
     private static Message lie(String from, Message message) {
         if (from.equals("m007") && message instanceof Message.Latency l) {
-            return new Message.Latency(l.seq(), l.answer(), l.readings().stream().map(r -> !r.observer().equals(from) ? r
-                    : new Reading(r.observer(), r.start(), r.from(), r.to(), r.seq(), Math.max(1, r.rttUs() / 10), r.ageUs())).toList());
+            return new Message.Latency(
+                    l.seq(),
+                    l.answer(),
+                    l.readings().stream()
+                            .map(r -> !r.observer().equals(from)
+                                    ? r
+                                    : new Reading(
+                                            r.observer(),
+                                            r.start(),
+                                            r.from(),
+                                            r.to(),
+                                            r.seq(),
+                                            Math.max(1, r.rttUs() / 10),
+                                            r.ageUs()))
+                            .toList());
         }
         return message;
     }
@@ -145,7 +166,9 @@
         for (Node node : swarm.nodes()) {
             for (int i = 0; i < SITES; i++) {
                 Way way = i == 2 ? null : node.membership().latency().way("s2", "s" + i, swarm.nowUs());
-                if (i != 2 && (way == null || Math.abs(way.rttUs() - truthUs("s2", "s" + i)) > truthUs("s2", "s" + i) / 4.0)) {
+                if (i != 2
+                        && (way == null
+                                || Math.abs(way.rttUs() - truthUs("s2", "s" + i)) > truthUs("s2", "s" + i) / 4.0)) {
                     return false;
                 }
             }
--- a/src/rig/java/hopdrum/rig/swarm/MeasureShards.java
+++ b/src/rig/java/hopdrum/rig/swarm/MeasureShards.java
@@ -23,12 +23,12 @@
         void in(Swarm swarm, SplittableRandom random);
     }
 
-    private MeasureShards() {
-    }
+    private MeasureShards() {}
 
     public static void main(String[] args) {
         int seeds = args.length > 0 ? Integer.parseInt(args[0]) : 20;
-        System.out.println("| what | seeds | longest without an owner, periods: median | worst | shares met after, periods: median | worst | not met in 120 | rules broken |");
+        System.out.println(
+                "| what | seeds | longest without an owner, periods: median | worst | shares met after, periods: median | worst | not met in 120 | rules broken |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
         row("an amendment that moves a quarter", seeds, (s, r) -> amend(s, 2, "op0", 60, 20, 20));
         row("the same, clocks up to 3 s wrong", seeds, (s, r) -> {
@@ -51,7 +51,8 @@
         row("the same, all takers killed as it is settled, back after 5 s without their stores", seeds, (s, r) -> {
             amend(s, 2, "op0", 60, 20, 20);
             s.until(20 * S, () -> revision(s) == 2);
-            List<Node> takers = s.nodes().stream().filter(n -> n.operator.equals("op0")).toList();
+            List<Node> takers =
+                    s.nodes().stream().filter(n -> n.operator.equals("op0")).toList();
             takers.forEach(s::kill);
             s.run(5 * S);
             takers.forEach(n -> s.start(n, false));
@@ -103,8 +104,13 @@
     }
 
     private static int revision(Swarm s) {
-        return s.nodes().stream().filter(Node::isUp).map(n -> n.view().division()).filter(d -> d != null && d.agreement() != null)
-                .mapToInt(d -> d.agreement().revision()).max().orElse(0);
+        return s.nodes().stream()
+                .filter(Node::isUp)
+                .map(n -> n.view().division())
+                .filter(d -> d != null && d.agreement() != null)
+                .mapToInt(d -> d.agreement().revision())
+                .max()
+                .orElse(0);
     }
 
     private static void restart(Swarm s, Node node, long afterUs, boolean withStore) {
@@ -159,8 +165,16 @@
         }
         double[] g = gaps.stream().mapToDouble(d -> d).sorted().toArray();
         double[] m = met.stream().mapToDouble(d -> d).sorted().toArray();
-        System.out.printf(java.util.Locale.ROOT, "| %s | %d | %.1f | %.1f | %.1f | %.1f | %d | %s |%n", what, seeds, g[g.length / 2], g[g.length - 1],
-                m.length == 0 ? Double.NaN : m[m.length / 2], m.length == 0 ? Double.NaN : m[m.length - 1], never,
+        System.out.printf(
+                java.util.Locale.ROOT,
+                "| %s | %d | %.1f | %.1f | %.1f | %.1f | %d | %s |%n",
+                what,
+                seeds,
+                g[g.length / 2],
+                g[g.length - 1],
+                m.length == 0 ? Double.NaN : m[m.length / 2],
+                m.length == 0 ? Double.NaN : m[m.length - 1],
+                never,
                 broken.isEmpty() ? "none" : broken.size() + ", first " + broken.get(0));
         System.out.flush();
     }
@@ -171,14 +185,21 @@
             return false;
         }
         Division d = s.node(0).view().division();
-        double all = d.agreement() == null ? 0 : d.agreement().parties().stream().mapToInt(Party::owed).sum();
-        int[] counts = Arrays.stream(new String[] {"op0", "op1", "op2"}).mapToInt(o -> s.acting().getOrDefault(o, 0)).toArray();
+        double all = d.agreement() == null
+                ? 0
+                : d.agreement().parties().stream().mapToInt(Party::owed).sum();
+        int[] counts = Arrays.stream(new String[] {"op0", "op1", "op2"})
+                .mapToInt(o -> s.acting().getOrDefault(o, 0))
+                .toArray();
         for (int i = 0; i < 3; i++) {
-            double owed = all == 0 ? SHARDS / 3.0 : SHARDS * d.agreement().party("op" + i).owed() / all;
+            double owed = all == 0
+                    ? SHARDS / 3.0
+                    : SHARDS * d.agreement().party("op" + i).owed() / all;
             if (Math.abs(counts[i] - owed) >= 1) {
                 return false;
             }
         }
-        return Arrays.stream(counts).sum() == SHARDS && (d.agreement() == null || d.agreement().revision() >= 1);
+        return Arrays.stream(counts).sum() == SHARDS
+                && (d.agreement() == null || d.agreement().revision() >= 1);
     }
 }
--- a/src/rig/java/hopdrum/rig/swarm/Swarm.java
+++ b/src/rig/java/hopdrum/rig/swarm/Swarm.java
@@ -37,7 +37,7 @@
     public final class Node {
         public final String name;
         public final int gateway;
-        Kept kept;             // what its disk holds
+        Kept kept; // what its disk holds
         Membership membership; // null while it is down
         Member self;
         long pausedUntilUs;
@@ -46,14 +46,14 @@
         long lastEra;
         public long bytes;
         public long messages;
-        public long nanos;     // of this thread, in its code
+        public long nanos; // of this thread, in its code
 
         public String site = "here";
         public String operator = "one";
         public Terms terms = Terms.NONE;
         public long wallOffMs;
         Partners partners;
-        ShardTable table;      // as at the last step at which it ran
+        ShardTable table; // as at the last step at which it ran
 
         Node(String name, int gateway) {
             this.name = name;
@@ -74,11 +74,10 @@
     }
 
     /** A write on its way to a disk. */
-    private record Write(long atUs, Node node, Membership of, Kept kept, Runnable then) {
-    }
+    private record Write(long atUs, Node node, Membership of, Kept kept, Runnable then) {}
 
-    private record Flight(long atUs, long order, String from, String to, byte[] bytes, Member sender, long senderStart) {
-    }
+    private record Flight(
+            long atUs, long order, String from, String to, byte[] bytes, Member sender, long senderStart) {}
 
     /** Whether a message from the first to the second gets through, by name. */
     public interface Net {
@@ -100,8 +99,8 @@
     private final Timing timing;
     private final List<String> founders;
     private final Map<String, Node> nodes = new LinkedHashMap<>();
-    private final PriorityQueue<Flight> flights = new PriorityQueue<>(
-            Comparator.comparingLong(Flight::atUs).thenComparingLong(Flight::order));
+    private final PriorityQueue<Flight> flights =
+            new PriorityQueue<>(Comparator.comparingLong(Flight::atUs).thenComparingLong(Flight::order));
     private final Map<String, String> contentByNumber = new HashMap<>();
     private final Map<String, String> byAddress = new HashMap<>();
     private final Deque<Write> writes = new ArrayDeque<>();
@@ -119,10 +118,10 @@
     public final Map<String, Integer> wronglyDropped = new TreeMap<>();
     public final List<String> events = new ArrayList<>();
     public boolean keepEvents;
-    public int shards;                 // 0: nothing is divided
+    public int shards; // 0: nothing is divided
     public long mostAloneMs = 30_000;
     private final Map<Integer, Long> ownerlessSinceUs = new HashMap<>();
-    public long longestOwnerlessUs;    // of any shard, since the first was owned
+    public long longestOwnerlessUs; // of any shard, since the first was owned
 
     public Swarm(int members, int founding, Timing timing, long seed) {
         this.random = new SplittableRandom(seed);
@@ -161,23 +160,53 @@
         }
         long start = ++starts;
         long voter = node.kept == null ? random.nextLong() | 1 : node.kept.voter();
-        node.self = new Member(node.name, start, voter, node.operator, node.site, node.gateway, address(node), shards == 0 ? null : address(node));
+        node.self = new Member(
+                node.name,
+                start,
+                voter,
+                node.operator,
+                node.site,
+                node.gateway,
+                address(node),
+                shards == 0 ? null : address(node));
         Kept kept = node.kept;
         Member self = node.self;
         node.lastNumber = 0;
         node.lastEra = 0;
-        Council.Keeper keeper = (k, then) -> writes.add(new Write(nowUs + diskUs.applyAsLong(node.name), node, node.membership, k, then));
-        node.kept = kept == null ? new Kept(voter, start, View.NONE, null, null, null)
+        Council.Keeper keeper = (k, then) ->
+                writes.add(new Write(nowUs + diskUs.applyAsLong(node.name), node, node.membership, k, then));
+        node.kept = kept == null
+                ? new Kept(voter, start, View.NONE, null, null, null)
                 : new Kept(voter, start, kept.view(), kept.promised(), kept.acceptedIn(), kept.accepted());
-        List<String> seeds = founders.stream().limit(3).map(n -> address(nodes.get(n))).toList();
-        node.membership = new Membership(self, seeds, founders, kept, timing, random.split(),
-                (to, message) -> send(node, self, to, message), keeper, partners(node, self), (event, pairs) -> event(node, event, pairs), nowUs);
+        List<String> seeds =
+                founders.stream().limit(3).map(n -> address(nodes.get(n))).toList();
+        node.membership = new Membership(
+                self,
+                seeds,
+                founders,
+                kept,
+                timing,
+                random.split(),
+                (to, message) -> send(node, self, to, message),
+                keeper,
+                partners(node, self),
+                (event, pairs) -> event(node, event, pairs),
+                nowUs);
         node.nextTickUs = nowUs + random.nextLong(timing.periodUs() / 10);
     }
 
     private Partners partners(Node node, Member self) {
-        node.partners = shards == 0 ? null : new Partners(self, shards, mostAloneMs, timing, random.split(),
-                (to, message) -> send(node, self, to, message), (event, pairs) -> event(node, event, pairs), () -> WALL_MS + nowUs / 1000 + node.wallOffMs);
+        node.partners = shards == 0
+                ? null
+                : new Partners(
+                        self,
+                        shards,
+                        mostAloneMs,
+                        timing,
+                        random.split(),
+                        (to, message) -> send(node, self, to, message),
+                        (event, pairs) -> event(node, event, pairs),
+                        () -> WALL_MS + nowUs / 1000 + node.wallOffMs);
         if (node.partners != null) {
             node.partners.follow(node.terms);
         }
@@ -264,7 +293,8 @@
                 continue;
             }
             if (to.pausedUntilUs > nowUs) { // its kernel takes it in
-                flights.add(new Flight(to.pausedUntilUs + stepUs, order++, f.from, f.to, f.bytes, f.sender, f.senderStart));
+                flights.add(
+                        new Flight(to.pausedUntilUs + stepUs, order++, f.from, f.to, f.bytes, f.sender, f.senderStart));
                 continue;
             }
             long began = System.nanoTime();
@@ -293,8 +323,11 @@
         }
         String[] owner = new String[shards];
         for (Node node : nodes.values()) {
-            ShardTable table = !node.isUp() || node.membership.isOut(nowUs) ? null
-                    : node.pausedUntilUs > nowUs ? node.table : node.partners.table(node.membership.council().leases(), List.of(), false, 0, nowUs);
+            ShardTable table = !node.isUp() || node.membership.isOut(nowUs)
+                    ? null
+                    : node.pausedUntilUs > nowUs
+                            ? node.table
+                            : node.partners.table(node.membership.council().leases(), List.of(), false, 0, nowUs);
             node.table = table;
             String acts = table == null ? "" : table.acts(nowUs);
             for (int i = 0; i < acts.length(); i++) {
@@ -367,10 +400,14 @@
     private void claims() {
         Map<String, Double> sums = new TreeMap<>();
         for (Node node : nodes.values()) {
-            if (node.isUp() && !node.membership.isOut(nowUs) && nowUs < node.membership.council().leases().untilUs(nowUs)) {
+            if (node.isUp()
+                    && !node.membership.isOut(nowUs)
+                    && nowUs < node.membership.council().leases().untilUs(nowUs)) {
                 int most = 1;
                 for (View view : node.membership.council().leases().live(nowUs)) {
-                    most = Math.max(most, (int) view.members().stream().filter(m -> m.operator().equals(node.operator)).count());
+                    most = Math.max(most, (int) view.members().stream()
+                            .filter(m -> m.operator().equals(node.operator))
+                            .count());
                 }
                 sums.merge(node.operator, 1.0 / most, Double::sum);
             }
--- a/src/rig/java/hopdrum/rig/trial/Clients.java
+++ b/src/rig/java/hopdrum/rig/trial/Clients.java
@@ -19,10 +19,10 @@
  */
 final class Clients implements AutoCloseable {
     private final Journal journal;
-    private final Map<String, Integer> ports;      // of the doors, by name
-    private final List<List<String>> tiers;        // the doors of each operator, in the order of their numbers
-    private final boolean anyDoor;                 // any door takes any customer: the program says over how many it is spread
-    private final List<List<String>> entries;      // those of them that clients come to
+    private final Map<String, Integer> ports; // of the doors, by name
+    private final List<List<String>> tiers; // the doors of each operator, in the order of their numbers
+    private final boolean anyDoor; // any door takes any customer: the program says over how many it is spread
+    private final List<List<String>> entries; // those of them that clients come to
     private final double perSecond;
     private final int customers;
     private final int deadlineMs;
@@ -35,13 +35,23 @@
     private volatile boolean stopped;
     private Thread pacer;
 
-    Clients(Journal journal, Map<String, Integer> ports, List<List<String>> tiers, boolean anyDoor, List<String> entries, double perSecond, int customers, int deadlineMs,
+    Clients(
+            Journal journal,
+            Map<String, Integer> ports,
+            List<List<String>> tiers,
+            boolean anyDoor,
+            List<String> entries,
+            double perSecond,
+            int customers,
+            int deadlineMs,
             long seed) {
         this.journal = journal;
         this.ports = ports;
         this.tiers = tiers;
         this.anyDoor = anyDoor;
-        this.entries = tiers.stream().map(t -> t.stream().filter(entries::contains).toList()).toList();
+        this.entries = tiers.stream()
+                .map(t -> t.stream().filter(entries::contains).toList())
+                .toList();
         this.perSecond = perSecond;
         this.customers = customers;
         this.deadlineMs = deadlineMs;
@@ -84,11 +94,15 @@
             socket.setTcpNoDelay(true);
             status = "none"; // taken by the door's machine: an answer is owed
             boolean get = method.equals("read");
-            socket.getOutputStream().write(((get ? "GET" : "POST") + " /api HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: " + trace
-                    + "\r\nX-Qos: " + method + "\r\nPlan: trial\r\nCookie: key=" + String.format("%016x", customer + 1)
-                    + "\r\nX-Expires-In-Ms: " + deadlineMs + "\r\n" + (method.equals("write") ? "Idempotency-Key: " + trace + "\r\n" : "")
-                    + (get ? "" : "Content-Length: 0\r\n") + "Quota-Info: units=1,spread=" + spread + ",first=0\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(((get ? "GET" : "POST") + " /api HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: " + trace
+                                    + "\r\nX-Qos: " + method + "\r\nPlan: trial\r\nCookie: key="
+                                    + String.format("%016x", customer + 1)
+                                    + "\r\nX-Expires-In-Ms: " + deadlineMs + "\r\n"
+                                    + (method.equals("write") ? "Idempotency-Key: " + trace + "\r\n" : "")
+                                    + (get ? "" : "Content-Length: 0\r\n") + "Quota-Info: units=1,spread=" + spread
+                                    + ",first=0\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             socket.setSoTimeout(deadlineMs + 3_000);
             String answer = answer(socket.getInputStream());
             status = answer.substring(9, 12);
@@ -97,8 +111,22 @@
         } catch (IOException | StringIndexOutOfBoundsException e) {
             status = status.equals("none") ? "broken" : status;
         }
-        journal.event("rpc", "rpc", trace, "customer", customer, "door", door, "method", method, "sent_us", sentUs, "status", status,
-                "retry_after", retryAfter);
+        journal.event(
+                "rpc",
+                "rpc",
+                trace,
+                "customer",
+                customer,
+                "door",
+                door,
+                "method",
+                method,
+                "sent_us",
+                sentUs,
+                "status",
+                status,
+                "retry_after",
+                retryAfter);
     }
 
     private static String answer(InputStream in) throws IOException {
--- a/src/rig/java/hopdrum/rig/trial/HttpStandIn.java
+++ b/src/rig/java/hopdrum/rig/trial/HttpStandIn.java
@@ -85,7 +85,8 @@
     }
 
     static void ok(OutputStream to, String body) throws IOException {
-        to.write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body).getBytes(StandardCharsets.US_ASCII));
+        to.write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                .getBytes(StandardCharsets.US_ASCII));
         to.flush();
     }
 
--- a/src/rig/java/hopdrum/rig/trial/Neighbours.java
+++ b/src/rig/java/hopdrum/rig/trial/Neighbours.java
@@ -18,22 +18,33 @@
     private final List<HttpStandIn> backends = new ArrayList<>();
     private final Map<String, HttpStandIn> counters = new HashMap<>(); // by door: each can fall silent for one alone
     private final Map<String, String> counterState = new ConcurrentHashMap<>();
-    private final Map<String, Double> totals = new HashMap<>();        // emptied by 'emptied' and with the trial
+    private final Map<String, Double> totals = new HashMap<>(); // emptied by 'emptied' and with the trial
     private final Map<String, HttpStandIn> discoveries = new HashMap<>(); // by door: each has ways of its own
-    private final Map<String, String> siteOf = new LinkedHashMap<>();     // of backends, by name
+    private final Map<String, String> siteOf = new LinkedHashMap<>(); // of backends, by name
     private final Map<String, Integer> portOf = new HashMap<>();
-    private final Map<String, List<Way>> ways = new HashMap<>();          // by sites, "from>to"
+    private final Map<String, List<Way>> ways = new HashMap<>(); // by sites, "from>to"
 
     /** So many backends at each site, each with so many slots (0: any number). */
-    Neighbours(String operator, Collection<String> sites, int count, int slots, long workUs, Journal journal) throws IOException {
+    Neighbours(String operator, Collection<String> sites, int count, int slots, long workUs, Journal journal)
+            throws IOException {
         this.journal = journal;
         for (String site : sites) {
             for (int i = 0; i < count; i++) {
                 String name = operator + "-" + site + "-b" + i;
                 Semaphore free = new Semaphore(slots == 0 ? Integer.MAX_VALUE : slots, true);
                 HttpStandIn backend = new HttpStandIn(name, (request, to) -> {
-                    journal.event("ran", "rpc", request.field("X-Trace-Id"), "backend", name, "method", request.field("X-Qos"), "site", site,
-                            "operator", operator);
+                    journal.event(
+                            "ran",
+                            "rpc",
+                            request.field("X-Trace-Id"),
+                            "backend",
+                            name,
+                            "method",
+                            request.field("X-Qos"),
+                            "site",
+                            site,
+                            "operator",
+                            operator);
                     free.acquire();
                     Thread.sleep(workUs / 1000);
                     free.release();
@@ -53,10 +64,17 @@
             StringBuilder hosts = new StringBuilder();
             for (Map.Entry<String, String> b : siteOf.entrySet()) {
                 Way way = new Way(portOf.get(b.getKey()));
-                ways.computeIfAbsent(site + ">" + b.getValue(), k -> new ArrayList<>()).add(way);
-                hosts.append(hosts.length() == 0 ? "" : ",").append("{\"host\":\"").append(b.getKey()).append("\",\"dial\":\"127.0.0.1:")
-                        .append(way.port()).append("\",\"site\":\"").append(b.getValue())
-                        .append("\",\"class\":\"any\",\"block\":0,\"health\":\"in_service\",\"share\":1.0,\"born_ms\":0}");
+                ways.computeIfAbsent(site + ">" + b.getValue(), k -> new ArrayList<>())
+                        .add(way);
+                hosts.append(hosts.length() == 0 ? "" : ",")
+                        .append("{\"host\":\"")
+                        .append(b.getKey())
+                        .append("\",\"dial\":\"127.0.0.1:")
+                        .append(way.port())
+                        .append("\",\"site\":\"")
+                        .append(b.getValue())
+                        .append(
+                                "\",\"class\":\"any\",\"block\":0,\"health\":\"in_service\",\"share\":1.0,\"born_ms\":0}");
             }
             String list = "{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts + "]}";
             there = new HttpStandIn("discovery-" + door, (request, to) -> discover(list, request, to));
@@ -78,7 +96,8 @@
         }));
     }
 
-    private void discover(String list, HttpStandIn.Request request, OutputStream to) throws IOException, InterruptedException {
+    private void discover(String list, HttpStandIn.Request request, OutputStream to)
+            throws IOException, InterruptedException {
         if (!request.path().contains("watch=1")) {
             HttpStandIn.ok(to, list);
             return;
@@ -106,7 +125,8 @@
         return there.port();
     }
 
-    private void count(String door, HttpStandIn.Request request, OutputStream to) throws IOException, InterruptedException {
+    private void count(String door, HttpStandIn.Request request, OutputStream to)
+            throws IOException, InterruptedException {
         String state = counterState.getOrDefault(door, "well");
         if (state.equals("silent")) {
             Thread.sleep(10_000);
@@ -115,7 +135,8 @@
         if (state.equals("slow")) {
             Thread.sleep(200);
         }
-        String name = request.path().substring(request.path().lastIndexOf('/') + 1, request.path().indexOf('?'));
+        String name = request.path()
+                .substring(request.path().lastIndexOf('/') + 1, request.path().indexOf('?'));
         double delta = Double.parseDouble(request.path().replaceAll(".*delta=([-0-9.]+).*", "$1"));
         double total;
         synchronized (totals) {
--- a/src/rig/java/hopdrum/rig/trial/Quiet.java
+++ b/src/rig/java/hopdrum/rig/trial/Quiet.java
@@ -5,8 +5,7 @@
 
 /** Closes what may be gone already. */
 final class Quiet {
-    private Quiet() {
-    }
+    private Quiet() {}
 
     static void close(Closeable what) {
         try {
--- a/src/rig/java/hopdrum/rig/trial/Relay.java
+++ b/src/rig/java/hopdrum/rig/trial/Relay.java
@@ -65,8 +65,7 @@
         }
     }
 
-    private record Frame(byte[] bytes, long atUs) {
-    }
+    private record Frame(byte[] bytes, long atUs) {}
 
     private final String target;
     private final int targetPort;
@@ -130,17 +129,22 @@
         }
         for (JsonNode reading : message.path("readings")) {
             if (reading.path("observer").asText().equals(who)) {
-                ((ObjectNode) reading).put("rttUs", Math.max(1, (long) (reading.path("rttUs").asLong() * times)));
+                ((ObjectNode) reading).put("rttUs", Math.max(1, (long)
+                        (reading.path("rttUs").asLong() * times)));
             }
         }
         byte[] body = CBOR.writeValueAsBytes(message);
-        return java.nio.ByteBuffer.allocate(body.length + 4).putInt(body.length).put(body).array();
+        return java.nio.ByteBuffer.allocate(body.length + 4)
+                .putInt(body.length)
+                .put(body)
+                .array();
     }
 
     private void serve(Socket from) {
         Socket to = new Socket();
         open.add(to);
-        try (from; to) {
+        try (from;
+                to) {
             DataInputStream in = new DataInputStream(new java.io.BufferedInputStream(from.getInputStream()));
             byte[] hello = frame(in);
             JsonNode said = CBOR.readTree(hello, 4, hello.length - 4);
--- a/src/rig/java/hopdrum/rig/trial/Threads.java
+++ b/src/rig/java/hopdrum/rig/trial/Threads.java
@@ -2,8 +2,7 @@
 
 /** Daemon threads by name: none outlives the rig. */
 final class Threads {
-    private Threads() {
-    }
+    private Threads() {}
 
     static Thread start(String name, Runnable what) {
         Thread thread = new Thread(null, what, name, 256 << 10);
--- a/src/rig/java/hopdrum/rig/trial/Trial.java
+++ b/src/rig/java/hopdrum/rig/trial/Trial.java
@@ -41,14 +41,15 @@
     private final Map<String, Integer> clientPorts = new LinkedHashMap<>();
     private final Map<String, Way> passing = new HashMap<>(); // to each door, for what others pass on to it
     private final Map<String, Integer> fleetPorts = new HashMap<>();
-    private final Map<String, Boolean> lost = new LinkedHashMap<>();   // sites
+    private final Map<String, Boolean> lost = new LinkedHashMap<>(); // sites
     private Map<String, Double> oneWayMs = Map.of();
     private final Map<String, Neighbours> neighbours = new LinkedHashMap<>();
     private final Map<String, Process> running = new ConcurrentHashMap<>();
     private final Map<String, Integer> starts = new HashMap<>();
     private final Map<String, List<String>> tiers = new LinkedHashMap<>();
     private final long seed;
-    private final SplittableRandom ports = new SplittableRandom(System.nanoTime() ^ ProcessHandle.current().pid());
+    private final SplittableRandom ports =
+            new SplittableRandom(System.nanoTime() ^ ProcessHandle.current().pid());
     private final Map<Integer, ServerSocket> reserved = new HashMap<>();
     private Clients clients;
     private Thread watch;
@@ -115,8 +116,15 @@
             tiers.computeIfAbsent(door.operator(), k -> new ArrayList<>()).add(door.name());
         }
         for (String operator : tiers.keySet()) {
-            neighbours.put(operator, new Neighbours(operator, new TreeSet<>(file.doors.stream().map(Door::site).toList()), file.backends,
-                    file.slots, file.workMs * 1_000L, journal));
+            neighbours.put(
+                    operator,
+                    new Neighbours(
+                            operator,
+                            new TreeSet<>(file.doors.stream().map(Door::site).toList()),
+                            file.backends,
+                            file.slots,
+                            file.workMs * 1_000L,
+                            journal));
         }
         for (Door door : file.doors) {
             fleetPorts.put(door.name(), freePort());
@@ -124,15 +132,45 @@
             if (file.shards > 0) {
                 passing.put(door.name(), new Way(clientPorts.get(door.name())));
             }
-            relays.put(door.name(), new Relay(door.answersTo(), fleetPorts.get(door.name()), sky, seed + relays.size()));
+            relays.put(
+                    door.name(), new Relay(door.answersTo(), fleetPorts.get(door.name()), sky, seed + relays.size()));
         }
         Map<String, String> operators = new LinkedHashMap<>();
         Map<String, String> sites = new LinkedHashMap<>();
         file.doors.forEach(d -> operators.put(d.name(), d.operator()));
         file.doors.forEach(d -> sites.put(d.name(), d.site()));
-        journal.event("trial", "about", file.about, "period_us", file.periodMs * 1_000L, "lease_us", file.leaseMs * 1_000L, "seed", seed,
-                "doors", operators, "sites", sites, "founders", file.founders, "rate", file.rate, "burst", file.burst, "ceiling_rate", file.ceilingRate, "ceiling_burst", file.ceilingBurst, "deadline_us",
-                file.deadlineMs * 1_000L, "tiers", tiers, "shards", file.shards, "most_alone_us", file.mostAloneMs * 1_000L);
+        journal.event(
+                "trial",
+                "about",
+                file.about,
+                "period_us",
+                file.periodMs * 1_000L,
+                "lease_us",
+                file.leaseMs * 1_000L,
+                "seed",
+                seed,
+                "doors",
+                operators,
+                "sites",
+                sites,
+                "founders",
+                file.founders,
+                "rate",
+                file.rate,
+                "burst",
+                file.burst,
+                "ceiling_rate",
+                file.ceilingRate,
+                "ceiling_burst",
+                file.ceilingBurst,
+                "deadline_us",
+                file.deadlineMs * 1_000L,
+                "tiers",
+                tiers,
+                "shards",
+                file.shards,
+                "most_alone_us",
+                file.mostAloneMs * 1_000L);
         for (Map.Entry<String, Map<String, Object>> t : file.terms.entrySet()) {
             terms(t.getKey(), t.getValue());
         }
@@ -157,9 +195,16 @@
             take(step);
             if (!loaded && step.what().equals("expect_settled") && file.rpcsASecond > 0) {
                 loaded = true; // clients come once the first view is expected
-                clients = new Clients(journal, clientPorts, file.shards > 0 ? List.of(List.copyOf(clientPorts.keySet()))
-                        : new ArrayList<>(tiers.values()), file.shards > 0, file.entries, file.rpcsASecond, file.customers,
-                        file.deadlineMs, seed);
+                clients = new Clients(
+                        journal,
+                        clientPorts,
+                        file.shards > 0 ? List.of(List.copyOf(clientPorts.keySet())) : new ArrayList<>(tiers.values()),
+                        file.shards > 0,
+                        file.entries,
+                        file.rpcsASecond,
+                        file.customers,
+                        file.deadlineMs,
+                        seed);
                 long delay = (long) (1_000 * step.number("within_s", 0));
                 Threads.start("load", () -> {
                     try {
@@ -212,9 +257,13 @@
                     neighbours.get(d.operator()).lost(d.site(), false);
                 }
             }
-            case "amend" -> terms(step.who().get(0), (Map<String, Object>) step.more().get("terms"));
+            case "amend" ->
+                terms(step.who().get(0), (Map<String, Object>) step.more().get("terms"));
             case "await_revision" -> awaitRevision(step.who().get(0));
-            case "lose_passing" -> step.who().forEach(door -> passing.get(door).lost(!Boolean.FALSE.equals(step.more().get("now"))));
+            case "lose_passing" ->
+                step.who()
+                        .forEach(door -> passing.get(door)
+                                .lost(!Boolean.FALSE.equals(step.more().get("now"))));
             case "lie" -> step.who().forEach(door -> sky.lies(answersTo(door), step.number("times", 1)));
             case "lose_site" -> {
                 for (Neighbours n : neighbours.values()) {
@@ -224,14 +273,15 @@
                 tellWays();
             }
             case "slow_site" -> distances(step.text("site", ""), step.number("times", 1));
-            case "release" -> each(from, to, true, w -> {
-                w.cut = false;
-                w.held = false;
-                w.loss = 0;
-                w.twice = 0;
-                w.delayUs = 0;
-                w.bytesASecond = 0;
-            });
+            case "release" ->
+                each(from, to, true, w -> {
+                    w.cut = false;
+                    w.held = false;
+                    w.loss = 0;
+                    w.twice = 0;
+                    w.delayUs = 0;
+                    w.bytesASecond = 0;
+                });
             case "delay" -> each(from, to, true, w -> w.delayUs = (long) (1_000 * step.number("ms", 0)));
             case "lose" -> each(from, to, true, w -> w.loss = step.number("percent", 0) / 100);
             case "duplicate" -> each(from, to, true, w -> w.twice = step.number("percent", 0) / 100);
@@ -243,7 +293,7 @@
                     neighbours.get(operator(door)).counter(door, step.text("is", "well"));
                 }
             }
-            default -> { } // an expectation: the checker's
+            default -> {} // an expectation: the checker's
         }
     }
 
@@ -252,15 +302,24 @@
         StringBuilder text = new StringBuilder();
         for (Map.Entry<String, Object> e : keys.entrySet()) {
             if (e.getKey().equals("until_s") || e.getKey().equals("from_s")) {
-                text.append(e.getKey(), 0, e.getKey().length() - 2).append(": ")
-                        .append(Instant.now().plusMillis((long) (1_000 * ((Number) e.getValue()).doubleValue()))).append('\n');
+                text.append(e.getKey(), 0, e.getKey().length() - 2)
+                        .append(": ")
+                        .append(Instant.now().plusMillis((long) (1_000 * ((Number) e.getValue()).doubleValue())))
+                        .append('\n');
             } else {
-                text.append(e.getKey()).append(": ").append(JSON.writeValueAsString(e.getValue())).append('\n');
+                text.append(e.getKey())
+                        .append(": ")
+                        .append(JSON.writeValueAsString(e.getValue()))
+                        .append('\n');
             }
         }
         Path beside = out.resolve("terms-" + operator + ".new");
         Files.writeString(beside, text.toString());
-        Files.move(beside, out.resolve("terms-" + operator + ".yaml"), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                beside,
+                out.resolve("terms-" + operator + ".yaml"),
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
     }
 
     /** Waits until some door has a division by this revision of the agreement or a later one, 10 s at most. */
@@ -269,8 +328,10 @@
         while (Journal.nowUs() < endUs) {
             for (Door d : file.doors) {
                 Path log = out.resolve(d.name() + ".jsonl");
-                if (Files.exists(log) && Files.readAllLines(log).stream()
-                        .anyMatch(l -> l.contains("\"event\":\"division\"") && l.contains("\"revision\":" + revision + ","))) {
+                if (Files.exists(log)
+                        && Files.readAllLines(log).stream()
+                                .anyMatch(l -> l.contains("\"event\":\"division\"")
+                                        && l.contains("\"revision\":" + revision + ","))) {
                     return;
                 }
             }
@@ -300,8 +361,12 @@
         long endUs = Journal.nowUs() + MOST_WARM_US;
         for (String door : doors) {
             Path log = out.resolve(door + ".jsonl");
-            while (Journal.nowUs() < endUs && !(Files.exists(log) && Files.readAllLines(log).stream().anyMatch(line -> line.contains("\"event\":\"view\"")
-                    && doors.stream().allMatch(d -> line.contains("\"" + answersTo(d) + "\":"))))) {
+            while (Journal.nowUs() < endUs
+                    && !(Files.exists(log)
+                            && Files.readAllLines(log).stream()
+                                    .anyMatch(line -> line.contains("\"event\":\"view\"")
+                                            && doors.stream()
+                                                    .allMatch(d -> line.contains("\"" + answersTo(d) + "\":"))))) {
                 Thread.sleep(20);
             }
         }
@@ -312,8 +377,12 @@
         Map<String, Double> truth = new LinkedHashMap<>();
         for (Door a : file.doors) {
             for (Door b : file.doors) {
-                double ms = file.delaysMs.getOrDefault(a.site() + "-" + b.site(), file.delaysMs.getOrDefault(b.site() + "-" + a.site(), 0.0));
-                ms *= !a.site().equals(b.site()) && (a.site().equals(slow) || b.site().equals(slow)) ? times : 1;
+                double ms = file.delaysMs.getOrDefault(
+                        a.site() + "-" + b.site(), file.delaysMs.getOrDefault(b.site() + "-" + a.site(), 0.0));
+                ms *= !a.site().equals(b.site())
+                                && (a.site().equals(slow) || b.site().equals(slow))
+                        ? times
+                        : 1;
                 for (Neighbours n : neighbours.values()) {
                     n.distance(a.site(), b.site(), (long) (1_000 * ms));
                 }
@@ -333,18 +402,31 @@
     /** What all-knowing doors go by. */
     private void tellWays() throws IOException {
         Files.write(out.resolve("ways.new"), JSON.writeValueAsBytes(Map.of("one_way_ms", oneWayMs, "lost", lost)));
-        Files.move(out.resolve("ways.new"), out.resolve("ways.json"), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                out.resolve("ways.new"),
+                out.resolve("ways.json"),
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
     }
 
     private String operator(String door) {
-        return file.doors.stream().filter(d -> d.name().equals(door)).findFirst().orElseThrow().operator();
+        return file.doors.stream()
+                .filter(d -> d.name().equals(door))
+                .findFirst()
+                .orElseThrow()
+                .operator();
     }
 
     private String answersTo(String door) {
-        return file.doors.stream().filter(d -> d.name().equals(door)).findFirst().orElseThrow().answersTo();
+        return file.doors.stream()
+                .filter(d -> d.name().equals(door))
+                .findFirst()
+                .orElseThrow()
+                .answersTo();
     }
 
-    private void each(List<String> from, List<String> to, boolean both, java.util.function.Consumer<Relay.Weather> what) {
+    private void each(
+            List<String> from, List<String> to, boolean both, java.util.function.Consumer<Relay.Weather> what) {
         for (String a : from) {
             for (String b : to) {
                 if (!a.equals(b)) {
@@ -360,7 +442,10 @@
     // ---- Processes ----
 
     private void start(String door, String store) throws IOException {
-        Door d = file.doors.stream().filter(x -> x.name().equals(door)).findFirst().orElseThrow();
+        Door d = file.doors.stream()
+                .filter(x -> x.name().equals(door))
+                .findFirst()
+                .orElseThrow();
         Path folder = out.resolve(door);
         Path kept = folder.resolve("store").resolve("member.cbor");
         Files.createDirectories(folder);
@@ -373,24 +458,48 @@
         Path config = folder.resolve("config.json");
         Files.write(config, JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(config(d)));
         Path fleet = folder.resolve("fleet.yaml");
-        List<String> seeds = file.founders.stream().limit(3).map(n -> "\"127.0.0.1:" + relays.get(n).port() + "\"").toList();
-        Files.writeString(fleet, "fleet: trial\noperator: " + d.operator() + "\noperators: [" + String.join(", ", tiers.keySet()) + "]\nsite: "
-                + d.site() + "\nname: " + d.answersTo() + "\nlisten: 127.0.0.1:" + fleetPorts.get(door) + "\nadvertise: 127.0.0.1:"
-                + relays.get(door).port() + "\nseeds: [" + String.join(", ", seeds) + "]\nfounders: [" + String.join(", ", file.founders)
-                + "]\nstore: " + folder.resolve("store") + "\nlog: " + out.resolve(door + ".jsonl") + "\nprobe_period_ms: " + file.periodMs
-                + "\nlease_ms: " + file.leaseMs + "\nplacement: " + file.placement + "\n" + (file.shards == 0 ? "" : "shards: " + file.shards
-                + "\nmost_alone_ms: " + file.mostAloneMs + "\nserves: 127.0.0.1:" + passing.get(door).port() + "\n"
-                + (file.terms.containsKey(d.operator()) ? "terms: " + out.resolve("terms-" + d.operator() + ".yaml") + "\n" : "")));
+        List<String> seeds = file.founders.stream()
+                .limit(3)
+                .map(n -> "\"127.0.0.1:" + relays.get(n).port() + "\"")
+                .toList();
+        Files.writeString(
+                fleet,
+                "fleet: trial\noperator: " + d.operator() + "\noperators: [" + String.join(", ", tiers.keySet())
+                        + "]\nsite: "
+                        + d.site() + "\nname: " + d.answersTo() + "\nlisten: 127.0.0.1:" + fleetPorts.get(door)
+                        + "\nadvertise: 127.0.0.1:"
+                        + relays.get(door).port() + "\nseeds: [" + String.join(", ", seeds) + "]\nfounders: ["
+                        + String.join(", ", file.founders)
+                        + "]\nstore: " + folder.resolve("store") + "\nlog: " + out.resolve(door + ".jsonl")
+                        + "\nprobe_period_ms: " + file.periodMs
+                        + "\nlease_ms: " + file.leaseMs + "\nplacement: " + file.placement + "\n"
+                        + (file.shards == 0
+                                ? ""
+                                : "shards: " + file.shards
+                                        + "\nmost_alone_ms: " + file.mostAloneMs + "\nserves: 127.0.0.1:"
+                                        + passing.get(door).port() + "\n"
+                                        + (file.terms.containsKey(d.operator())
+                                                ? "terms: " + out.resolve("terms-" + d.operator() + ".yaml") + "\n"
+                                                : "")));
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        List<String> command = new ArrayList<>(List.of(java, "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-Xss512k"));
+        List<String> command =
+                new ArrayList<>(List.of(java, "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-Xss512k"));
         if (d.planted().isEmpty()) {
-            command.addAll(List.of("-jar", home.resolve("target/hopdrum.jar").toString(), "serve", "--fleet", fleet.toString()));
+            command.addAll(List.of(
+                    "-jar", home.resolve("target/hopdrum.jar").toString(), "serve", "--fleet", fleet.toString()));
         } else {
-            command.addAll(List.of("-cp", home.resolve("target/hopdrum.jar") + File.pathSeparator + home.resolve("target/lib") + "/*"
-                    + File.pathSeparator + home.resolve("target/test-classes"), "hopdrum.rig.planted.Planted", d.planted(), fleet.toString()));
-        }
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("output.txt").toFile()));
+            command.addAll(List.of(
+                    "-cp",
+                    home.resolve("target/hopdrum.jar") + File.pathSeparator + home.resolve("target/lib") + "/*"
+                            + File.pathSeparator + home.resolve("target/test-classes"),
+                    "hopdrum.rig.planted.Planted",
+                    d.planted(),
+                    fleet.toString()));
+        }
+        ProcessBuilder builder = new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(
+                        folder.resolve("output.txt").toFile()));
         builder.environment().put("LB_CONFIG", config.toString());
         giveUp(fleetPorts.get(door));
         giveUp(clientPorts.get(door));
@@ -412,28 +521,80 @@
         settings.put("NInstances", tier.size());
         settings.put("Ordinal", tier.indexOf(d.name()));
         settings.put("TickUs", 1_000);
-        settings.put("Azs", new ArrayList<>(new TreeSet<>(file.doors.stream().map(Door::site).toList())));
+        settings.put(
+                "Azs",
+                new ArrayList<>(
+                        new TreeSet<>(file.doors.stream().map(Door::site).toList())));
         settings.put("Flavors", List.of("any"));
         settings.put("Weights", "none");
         settings.put("RegistryMode", "push");
         long dl = file.deadlineMs * 1_000L;
-        settings.put("Lanes", List.of(Map.of("Name", "read", "AimUs", dl / 2, "GiveUpUs", dl, "Effect", "retryable"),
-                Map.of("Name", "write", "AimUs", dl / 2, "GiveUpUs", dl, "Effect", "dedup", "Group", "all", "WindowUs", 5_000_000),
-                Map.of("Name", "once", "AimUs", dl / 2, "GiveUpUs", dl, "Effect", "fragile")));
-        settings.put("Packages", List.of(Map.of("Name", "trial", "PerSecond", file.rate, "Burst", file.burst, "CapRate", file.ceilingRate,
-                "CeilingBurst", file.ceilingBurst, "CapSlack", 0)));
+        settings.put(
+                "Lanes",
+                List.of(
+                        Map.of("Name", "read", "AimUs", dl / 2, "GiveUpUs", dl, "Effect", "retryable"),
+                        Map.of(
+                                "Name",
+                                "write",
+                                "AimUs",
+                                dl / 2,
+                                "GiveUpUs",
+                                dl,
+                                "Effect",
+                                "dedup",
+                                "Group",
+                                "all",
+                                "WindowUs",
+                                5_000_000),
+                        Map.of("Name", "once", "AimUs", dl / 2, "GiveUpUs", dl, "Effect", "fragile")));
+        settings.put(
+                "Packages",
+                List.of(Map.of(
+                        "Name",
+                        "trial",
+                        "PerSecond",
+                        file.rate,
+                        "Burst",
+                        file.burst,
+                        "CapRate",
+                        file.ceilingRate,
+                        "CeilingBurst",
+                        file.ceilingBurst,
+                        "CapSlack",
+                        0)));
         settings.put("FamilyInfo", Map.of("MayCount", true, "CountWaitUs", 50_000));
-        settings.put("Bounds", Map.of("AttemptsCap", 3, "Cancel", true, "SecondCopies", false, "Peers", false, "RetryAfter", true,
-                "MaxRetryAfterUs", 500_000, "DialTimeoutUs", 250_000, "ConnIdleUs", 15_000_000));
+        settings.put(
+                "Bounds",
+                Map.of(
+                        "AttemptsCap",
+                        3,
+                        "Cancel",
+                        true,
+                        "SecondCopies",
+                        false,
+                        "Peers",
+                        false,
+                        "RetryAfter",
+                        true,
+                        "MaxRetryAfterUs",
+                        500_000,
+                        "DialTimeoutUs",
+                        250_000,
+                        "ConnIdleUs",
+                        15_000_000));
         settings.put("Report", Map.of("Fields", List.of("depth"), "Source", "answers"));
-        settings.put("Rules", Map.of("ColdFrom", 0.25, "WarmAfterUs", 1_000_000, "OverloadFactor", 2.0, "FallUs", 1_500_000));
+        settings.put(
+                "Rules",
+                Map.of("ColdFrom", 0.25, "WarmAfterUs", 1_000_000, "OverloadFactor", 2.0, "FallUs", 1_500_000));
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", d.name());
         config.put("listen", "127.0.0.1:" + clientPorts.get(d.name()));
         config.put("discovery", "127.0.0.1:" + near.discoveryFor(d.name(), d.site()));
         config.put("counter", "127.0.0.1:" + near.counterFor(d.name()));
         config.put("peers", List.of());
-        config.put("seed", Long.toHexString(seed * 1_000 + starts.getOrDefault(d.name(), 0) * 100 + tier.indexOf(d.name()) + 1));
+        config.put(
+                "seed",
+                Long.toHexString(seed * 1_000 + starts.getOrDefault(d.name(), 0) * 100 + tier.indexOf(d.name()) + 1));
         config.put("limits", Map.of("cores", 1.0, "memory_mb", 192, "sockets", 1024));
         config.put("settings", settings);
         return config;
@@ -443,7 +604,9 @@
         Process process = running.get(door);
         if (process != null) {
             try {
-                new ProcessBuilder("kill", "-" + which, Long.toString(process.pid())).start().waitFor();
+                new ProcessBuilder("kill", "-" + which, Long.toString(process.pid()))
+                        .start()
+                        .waitFor();
                 journal.event("signal", "door", door, "which", which);
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
@@ -539,7 +702,14 @@
         Path folder = keeps ? out : Files.createTempDirectory("hopdrum-trial");
         int code;
         try {
-            code = run(trialFile, seed, folder, Path.of(System.getProperty("trial.home", "")).toAbsolutePath(), System.out::println) ? 0 : 1;
+            code = run(
+                            trialFile,
+                            seed,
+                            folder,
+                            Path.of(System.getProperty("trial.home", "")).toAbsolutePath(),
+                            System.out::println)
+                    ? 0
+                    : 1;
         } catch (IllegalArgumentException e) {
             System.err.println(e.getMessage());
             code = 2;
--- a/src/rig/java/hopdrum/rig/trial/TrialFile.java
+++ b/src/rig/java/hopdrum/rig/trial/TrialFile.java
@@ -18,8 +18,7 @@
 /** A trial as its file tells it; docs/trials.md describes the form. Throws IllegalArgumentException with all faults. */
 final class TrialFile {
     /** One process. */
-    record Door(String name, String operator, String site, String answersTo, String planted) {
-    }
+    record Door(String name, String operator, String site, String answersTo, String planted) {}
 
     /** Something done or expected at a time after the trial's start. */
     record Step(long atMs, String what, List<String> who, Map<String, Object> more) {
@@ -32,18 +31,83 @@
         }
     }
 
-    private static final Set<String> TOP = Set.of("about", "probe_period_ms", "lease_ms", "doors", "founders", "load", "steps", "random",
-            "length_s", "backends", "work_ms", "slots", "placement", "delays_ms", "warm", "shards", "most_alone_ms", "terms");
+    private static final Set<String> TOP = Set.of(
+            "about",
+            "probe_period_ms",
+            "lease_ms",
+            "doors",
+            "founders",
+            "load",
+            "steps",
+            "random",
+            "length_s",
+            "backends",
+            "work_ms",
+            "slots",
+            "placement",
+            "delays_ms",
+            "warm",
+            "shards",
+            "most_alone_ms",
+            "terms");
     private static final Set<String> DOOR = Set.of("name", "operator", "site", "answers_to", "planted");
-    private static final Set<String> LOAD = Set.of("rpcs_a_second", "customers", "rate", "burst", "deadline_ms", "doors", "ceiling_rate",
-            "ceiling_burst");
+    private static final Set<String> LOAD = Set.of(
+            "rpcs_a_second", "customers", "rate", "burst", "deadline_ms", "doors", "ceiling_rate", "ceiling_burst");
     private static final Set<String> RANDOM = Set.of("from_s", "to_s", "every_s", "of", "most_down", "hold_s");
-    private static final Set<String> STEPS = Set.of("start", "kill", "term", "pause", "wake", "cut", "cut_both", "heal", "delay", "lose",
-            "duplicate", "hold", "release", "trickle", "reset", "counter", "expect_settled", "expect_same_view", "expect_cut_off",
-            "expect_refused", "expect_unchanged", "expect_not_dropped", "expect_answered", "slow_site", "expect_map", "lose_site", "lie", "expect_in_time",
-            "amend", "await_revision", "lose_passing", "expect_shares", "expect_owned", "expect_refusal");
-    private static final Set<String> MORE = Set.of("from", "to", "store", "ms", "percent", "bytes_a_second", "is", "within_s", "for_s",
-            "share", "times", "site", "error", "terms", "of", "now", "says", "most_s");
+    private static final Set<String> STEPS = Set.of(
+            "start",
+            "kill",
+            "term",
+            "pause",
+            "wake",
+            "cut",
+            "cut_both",
+            "heal",
+            "delay",
+            "lose",
+            "duplicate",
+            "hold",
+            "release",
+            "trickle",
+            "reset",
+            "counter",
+            "expect_settled",
+            "expect_same_view",
+            "expect_cut_off",
+            "expect_refused",
+            "expect_unchanged",
+            "expect_not_dropped",
+            "expect_answered",
+            "slow_site",
+            "expect_map",
+            "lose_site",
+            "lie",
+            "expect_in_time",
+            "amend",
+            "await_revision",
+            "lose_passing",
+            "expect_shares",
+            "expect_owned",
+            "expect_refusal");
+    private static final Set<String> MORE = Set.of(
+            "from",
+            "to",
+            "store",
+            "ms",
+            "percent",
+            "bytes_a_second",
+            "is",
+            "within_s",
+            "for_s",
+            "share",
+            "times",
+            "site",
+            "error",
+            "terms",
+            "of",
+            "now",
+            "says",
+            "most_s");
 
     final String about;
     final int periodMs;
@@ -56,12 +120,12 @@
     final int customers;
     final double rate;
     final double burst;
-    final double ceilingRate;   // 0: none
+    final double ceilingRate; // 0: none
     final double ceilingBurst;
     final int deadlineMs;
     final List<String> entries; // the doors that clients come to
     final long lengthMs;
-    final int shards;           // 0: nothing is divided between operators
+    final int shards; // 0: nothing is divided between operators
     final int mostAloneMs;
     final Map<String, Map<String, Object>> terms = new LinkedHashMap<>(); // by operator, as they are at the start
     final List<Door> doors = new ArrayList<>();
@@ -76,7 +140,8 @@
         try {
             all = new Yaml(new SafeConstructor(new LoaderOptions())).load(Files.readString(file));
         } catch (YAMLException e) {
-            throw new IllegalArgumentException(file + ": no YAML: " + e.getMessage().lines().findFirst().orElse(""), e);
+            throw new IllegalArgumentException(
+                    file + ": no YAML: " + e.getMessage().lines().findFirst().orElse(""), e);
         }
         known("the trial", all, TOP);
         about = String.valueOf(all.get("about"));
@@ -102,14 +167,23 @@
             Map<?, ?> d = o instanceof Map<?, ?> m ? m : Map.of();
             known("a door", d, DOOR);
             String name = String.valueOf(d.get("name"));
-            doors.add(new Door(name, text(d, "operator", "north"), text(d, "site", "here"), text(d, "answers_to", name), text(d, "planted", "")));
+            doors.add(new Door(
+                    name,
+                    text(d, "operator", "north"),
+                    text(d, "site", "here"),
+                    text(d, "answers_to", name),
+                    text(d, "planted", "")));
         }
         if (all.get("delays_ms") instanceof Map<?, ?> delays) {
             Set<String> sites = new HashSet<>(doors.stream().map(Door::site).toList());
             delays.forEach((k, v) -> {
                 String[] ends = String.valueOf(k).split("-");
-                if (ends.length != 2 || !sites.contains(ends[0]) || !sites.contains(ends[1]) || !(v instanceof Number n && n.doubleValue() >= 0)) {
-                    faults.add("delays_ms: " + k + ": " + v + ", expected SITE-SITE: milliseconds one way, of sites that doors have");
+                if (ends.length != 2
+                        || !sites.contains(ends[0])
+                        || !sites.contains(ends[1])
+                        || !(v instanceof Number n && n.doubleValue() >= 0)) {
+                    faults.add("delays_ms: " + k + ": " + v
+                            + ", expected SITE-SITE: milliseconds one way, of sites that doors have");
                 } else {
                     delaysMs.put(ends[0] + "-" + ends[1], n.doubleValue());
                 }
@@ -133,7 +207,8 @@
         steps.sort(java.util.Comparator.comparingLong(Step::atMs));
         for (Step s : steps) {
             if (s.atMs > lengthMs) {
-                faults.add("the step " + s.what + " at " + s.atMs / 1000.0 + " s comes after the trial's end, " + lengthMs / 1000.0 + " s");
+                faults.add("the step " + s.what + " at " + s.atMs / 1000.0 + " s comes after the trial's end, "
+                        + lengthMs / 1000.0 + " s");
             }
         }
         if (!faults.isEmpty()) {
@@ -223,7 +298,10 @@
             }
             freeAt[i] = back + 1_500;
             List<String> who = List.of(doors.get(i).name());
-            List<String> others = doors.stream().map(Door::name).filter(n -> !n.equals(who.get(0))).toList();
+            List<String> others = doors.stream()
+                    .map(Door::name)
+                    .filter(n -> !n.equals(who.get(0)))
+                    .toList();
             switch (kind) {
                 case "kill" -> {
                     steps.add(new Step(at, "kill", who, Map.of()));
@@ -253,7 +331,8 @@
     private void known(String where, Map<?, ?> map, Set<String> keys) {
         for (Object key : map.keySet()) {
             if (!keys.contains(String.valueOf(key))) {
-                faults.add(where + " has the unknown key " + key + ", expected one of " + keys.stream().sorted().toList());
+                faults.add(where + " has the unknown key " + key + ", expected one of "
+                        + keys.stream().sorted().toList());
             }
         }
     }
--- a/src/rig/java/hopdrum/rig/trial/Way.java
+++ b/src/rig/java/hopdrum/rig/trial/Way.java
@@ -16,8 +16,7 @@
 final class Way implements AutoCloseable {
     private static final int MOST_QUEUED = 1_000;
 
-    private record Piece(byte[] bytes, long atUs) {
-    }
+    private record Piece(byte[] bytes, long atUs) {}
 
     private final ServerSocket listener;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
@@ -58,7 +57,8 @@
     }
 
     private void serve(Socket from) {
-        try (from; Socket to = new Socket()) {
+        try (from;
+                Socket to = new Socket()) {
             open.add(to);
             from.setTcpNoDelay(true);
             to.setTcpNoDelay(true);
--- a/src/test/java/hopdrum/benchlink/WireTest.java
+++ b/src/test/java/hopdrum/benchlink/WireTest.java
@@ -26,21 +26,28 @@
 
     @Test
     void theDocumentedRecordsAreReadToTheirEnds() throws IOException {
-        assertThat(run("b2000000", CLOCK, "08000000",
-                "10 03000000 c4913a5d 640ad2557c3bf091 0000803f 00000040 0000 0000 01 00004040 80a90300",
-                "12 03000000 4d000000", "14 05000000 192b6f0e",
-                "13 03000000 90f6890000000000 0a00 00001842 66080000",
-                "16 03000000 0a00 f211902c 78050000 01 00004040",
-                "17 03000000 c4913a5d 0000 074a1203 0a00 44480000 01 5600 0300 01 00004040",
-                "18 03000000 0200 0400 68692037", "1a 03000000 c4913a5d 0000 074a1203 22240000"))
+        assertThat(run(
+                        "b2000000",
+                        CLOCK,
+                        "08000000",
+                        "10 03000000 c4913a5d 640ad2557c3bf091 0000803f 00000040 0000 0000 01 00004040 80a90300",
+                        "12 03000000 4d000000",
+                        "14 05000000 192b6f0e",
+                        "13 03000000 90f6890000000000 0a00 00001842 66080000",
+                        "16 03000000 0a00 f211902c 78050000 01 00004040",
+                        "17 03000000 c4913a5d 0000 074a1203 0a00 44480000 01 5600 0300 01 00004040",
+                        "18 03000000 0200 0400 68692037",
+                        "1a 03000000 c4913a5d 0000 074a1203 22240000"))
                 .isEqualTo("0800000000000000");
     }
 
     @Test
     void whatIsMalformedEndsTheRunWithWhereAndWhat() {
         assertThatThrownBy(() -> run("15000000", CLOCK, "01000000", "6303000000"))
-                .hasMessageContaining("frame 0").hasMessageContaining("unknown event code 99");
-        assertThatThrownBy(() -> run("17000000", CLOCK, "01000000", "12030000004d00")).hasMessageContaining("past");
+                .hasMessageContaining("frame 0")
+                .hasMessageContaining("unknown event code 99");
+        assertThatThrownBy(() -> run("17000000", CLOCK, "01000000", "12030000004d00"))
+                .hasMessageContaining("past");
         assertThatThrownBy(() -> run("10000000", CLOCK)).hasMessageContaining("input ends");
     }
 
--- a/src/test/java/hopdrum/fleet/BadInputTest.java
+++ b/src/test/java/hopdrum/fleet/BadInputTest.java
@@ -41,8 +41,10 @@
     }
 
     private String good(int port, String name) {
-        return "fleet: demo\noperator: north\nsite: ams\nname: " + name + "\nlisten: 127.0.0.1:" + port + "\nseeds: [\"127.0.0.1:" + port
-                + "\"]\nfounders: [" + name + "]\nstore: " + folder.resolve("store-" + name) + "\nlog: " + folder.resolve(name + ".jsonl")
+        return "fleet: demo\noperator: north\nsite: ams\nname: " + name + "\nlisten: 127.0.0.1:" + port
+                + "\nseeds: [\"127.0.0.1:" + port
+                + "\"]\nfounders: [" + name + "]\nstore: " + folder.resolve("store-" + name) + "\nlog: "
+                + folder.resolve(name + ".jsonl")
                 + "\nprobe_period_ms: 100\nlease_ms: 500\n";
     }
 
@@ -54,9 +56,11 @@
 
     @Test
     void everyFaultOfAFleetFileIsNamedAtOnceWithItsLine() throws IOException {
-        Path file = fleetFile("fleet: demo\noperator: no rth\nsite: ams\nname: n0\nlisten: here\nseeds: [\"127.0.0.1:0\"]\n"
-                + "founders: n0\nprobe_period_ms: 1000\nlease_ms: 900\ncolour: blue\n");
-        assertThatThrownBy(() -> FleetFile.read(file)).isInstanceOf(FleetFile.Faulty.class)
+        Path file =
+                fleetFile("fleet: demo\noperator: no rth\nsite: ams\nname: n0\nlisten: here\nseeds: [\"127.0.0.1:0\"]\n"
+                        + "founders: n0\nprobe_period_ms: 1000\nlease_ms: 900\ncolour: blue\n");
+        assertThatThrownBy(() -> FleetFile.read(file))
+                .isInstanceOf(FleetFile.Faulty.class)
                 .hasMessageContaining("fleet.yaml:2: operator: 'no rth', expected a name")
                 .hasMessageContaining(":5: listen: 'here', expected a numeric address")
                 .hasMessageContaining(":6: seeds: '127.0.0.1:0', expected")
@@ -70,14 +74,20 @@
 
     @Test
     void everyFaultOfATermsFileIsNamedAtOnceWithItsLine() throws IOException {
-        Path file = Files.writeString(folder.resolve("terms.yaml"), "agreement: pact\nrevision: 1\nparties: [\"north brings many\"]\n"
-                + "until: tomorrow\nalone_ms: 999999\ncolour: blue\n");
-        assertThatThrownBy(() -> TermsFile.read(file)).isInstanceOf(FleetFile.Faulty.class)
+        Path file = Files.writeString(
+                folder.resolve("terms.yaml"),
+                "agreement: pact\nrevision: 1\nparties: [\"north brings many\"]\n"
+                        + "until: tomorrow\nalone_ms: 999999\ncolour: blue\n");
+        assertThatThrownBy(() -> TermsFile.read(file))
+                .isInstanceOf(FleetFile.Faulty.class)
                 .hasMessageContaining("terms.yaml:3: parties: 'north brings many', expected a party")
                 .hasMessageContaining(":4: until: 'tomorrow', expected a moment")
-                .hasMessageContaining(":5: alone_ms: '999999', expected").hasMessageContaining(":6: colour: is not known");
-        Path twice = Files.writeString(folder.resolve("twice.yaml"), "agreement: pact\nrevision: 1\nuntil: 2030-01-01T00:00:00Z\n"
-                + "parties: [\"north brings 1, owed 1, floor 0\", \"north brings 2, owed 1, floor 0\"]\n");
+                .hasMessageContaining(":5: alone_ms: '999999', expected")
+                .hasMessageContaining(":6: colour: is not known");
+        Path twice = Files.writeString(
+                folder.resolve("twice.yaml"),
+                "agreement: pact\nrevision: 1\nuntil: 2030-01-01T00:00:00Z\n"
+                        + "parties: [\"north brings 1, owed 1, floor 0\", \"north brings 2, owed 1, floor 0\"]\n");
         assertThatThrownBy(() -> TermsFile.read(twice)).hasMessageContaining("a party twice");
     }
 
@@ -93,7 +103,8 @@
     @Test
     void bytesWhoseKindIsNoTextAreNoMessage() { // the library answers these two with a NullPointerException
         for (String bytes : List.of("8141beff93", "8140a49a98778c28bf")) {
-            assertThatThrownBy(() -> Codec.read(HexFormat.of().parseHex(bytes))).isInstanceOf(IllegalArgumentException.class)
+            assertThatThrownBy(() -> Codec.read(HexFormat.of().parseHex(bytes)))
+                    .isInstanceOf(IllegalArgumentException.class)
                     .hasMessageStartingWith("no message");
         }
     }
@@ -101,19 +112,27 @@
     @Test
     void messagesKeepTheirContentAndThoseWithImpossibleFiguresAreNone() {
         View view = new View(9, 3, List.of(ONE));
-        List<Message> all = List.of(new Message.Hello(1, "demo", ONE),
+        List<Message> all = List.of(
+                new Message.Hello(1, "demo", ONE),
                 new Message.Ping(4, 9, 3, List.of(new Rumour(ONE, 2, Rumour.State.SUSPECT, "n2"))),
-                new Message.Promise(9, 3, new Ballot(2, "n1"), null, null), new Message.Settled(view), new Message.Held(9, 3, 77));
+                new Message.Promise(9, 3, new Ballot(2, "n1"), null, null),
+                new Message.Settled(view),
+                new Message.Held(9, 3, 77));
         for (Message m : all) {
             byte[] bytes = Codec.bytes(m);
             assertThat(Codec.read(bytes)).isEqualTo(m);
-            assertThatThrownBy(() -> Codec.read(Arrays.copyOf(bytes, bytes.length - 1))).isInstanceOf(IllegalArgumentException.class);
+            assertThatThrownBy(() -> Codec.read(Arrays.copyOf(bytes, bytes.length - 1)))
+                    .isInstanceOf(IllegalArgumentException.class);
         }
-        assertThatThrownBy(() -> new Member("n1", -5, 7, "north", "ams", 0, "127.0.0.1:9")).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> new Member("n1", 5, 7, "north", "ams", 0, "example.org:9")).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new Member("n1", -5, 7, "north", "ams", 0, "127.0.0.1:9"))
+                .isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new Member("n1", 5, 7, "north", "ams", 0, "example.org:9"))
+                .isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> new View(9, 3, List.of(ONE, ONE))).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> new Message.Accept(9, 3, Ballot.NONE, new View(9, 5, List.of(ONE)))).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> new Rumour(ONE, Long.MAX_VALUE, Rumour.State.ALIVE, "n1")).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new Message.Accept(9, 3, Ballot.NONE, new View(9, 5, List.of(ONE))))
+                .isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new Rumour(ONE, Long.MAX_VALUE, Rumour.State.ALIVE, "n1"))
+                .isInstanceOf(IllegalArgumentException.class);
     }
 
     @Test
@@ -139,7 +158,11 @@
     private static void say(Socket to, Message... messages) throws IOException {
         for (Message m : messages) {
             byte[] body = Codec.bytes(m);
-            to.getOutputStream().write(ByteBuffer.allocate(4 + body.length).putInt(body.length).put(body).array());
+            to.getOutputStream()
+                    .write(ByteBuffer.allocate(4 + body.length)
+                            .putInt(body.length)
+                            .put(body)
+                            .array());
         }
     }
 
@@ -156,9 +179,13 @@
         Path log = folder.resolve("n0.jsonl");
         FleetFile file = FleetFile.read(fleetFile(good(port, "n0")));
         try (Fleet fleet = Fleet.start(file, Terms.NONE, 0, 0, 1, 0)) {
-            Awaitility.await().atMost(10, TimeUnit.SECONDS).until(() -> Files.readString(log).contains("\"event\":\"view\""));
+            Awaitility.await()
+                    .atMost(10, TimeUnit.SECONDS)
+                    .until(() -> Files.readString(log).contains("\"event\":\"view\""));
             Member foreign = new Member("x", 5, 7, "south", "ams", 0, "127.0.0.1:9");
-            for (Message.Hello hello : List.of(new Message.Hello(Message.VERSION, "other", ONE), new Message.Hello(Message.VERSION, "demo", foreign),
+            for (Message.Hello hello : List.of(
+                    new Message.Hello(Message.VERSION, "other", ONE),
+                    new Message.Hello(Message.VERSION, "demo", foreign),
                     new Message.Hello(1, "demo", ONE),
                     new Message.Hello(Message.VERSION, "demo", 8, 1_000, ONE))) {
                 try (Socket socket = new Socket("127.0.0.1", port)) {
@@ -167,7 +194,8 @@
                     assertThat(socket.getInputStream().read()).isNegative();
                 }
             }
-            for (byte[] bytes : List.of(new byte[] {-1, -1, -1, -1, 0}, new byte[] {0x7f, 0, 0, 0}, new byte[] {0, 0, 0, 2, 9, 9})) {
+            for (byte[] bytes : List.of(
+                    new byte[] {-1, -1, -1, -1, 0}, new byte[] {0x7f, 0, 0, 0}, new byte[] {0, 0, 0, 2, 9, 9})) {
                 try (Socket socket = new Socket("127.0.0.1", port)) {
                     say(socket, new Message.Hello(Message.VERSION, "demo", ONE));
                     assertThat(hears(socket)).isInstanceOf(Message.Hello.class);
@@ -175,11 +203,15 @@
                     assertThat(socket.getInputStream().read()).isNegative();
                 }
             }
-            Awaitility.await().atMost(5, TimeUnit.SECONDS).until(() -> Files.readString(log).contains("\"event\":\"peer_dropped\""));
+            Awaitility.await()
+                    .atMost(5, TimeUnit.SECONDS)
+                    .until(() -> Files.readString(log).contains("\"event\":\"peer_dropped\""));
             assertThat(Files.readString(log)).doesNotContain("\"who\":\"n1\"").doesNotContain("\"who\":\"x\"");
             fleet.leave();
         }
-        Awaitility.await().atMost(5, TimeUnit.SECONDS).until(() -> Thread.getAllStackTraces().keySet().stream()
-                .noneMatch(t -> t.getName().startsWith("fleet-")));
+        Awaitility.await()
+                .atMost(5, TimeUnit.SECONDS)
+                .until(() -> Thread.getAllStackTraces().keySet().stream()
+                        .noneMatch(t -> t.getName().startsWith("fleet-")));
     }
 }
--- a/src/test/java/hopdrum/fleet/LatencyMapTest.java
+++ b/src/test/java/hopdrum/fleet/LatencyMapTest.java
@@ -47,7 +47,9 @@
         map.heard(List.of(reading("x", "b", "c", 1, 30_000, 0), reading("liar", "a", "c", 1, 100, 0)), NOW);
         assertThat(map.way("a", "c", NOW)).satisfies(w -> {
             assertThat(w.kind()).isEqualTo(Kind.TOLD);
-            assertThat(w.rttUs()).as("10 to 50 ms by way of b: half of the middle at least").isEqualTo(15_000);
+            assertThat(w.rttUs())
+                    .as("10 to 50 ms by way of b: half of the middle at least")
+                    .isEqualTo(15_000);
             assertThat(w.sure()).isLessThanOrEqualTo(0.3);
         });
     }
@@ -63,8 +65,12 @@
 
     @Test
     void oldNewsWeighsLessAndIsForgotten() {
-        map.heard(List.of(reading("x", "b", "c", 1, 10_000, 0), reading("y", "b", "c", 1, 11_000, 0),
-                reading("z", "c", "b", 1, 12_000, 0)), NOW);
+        map.heard(
+                List.of(
+                        reading("x", "b", "c", 1, 10_000, 0),
+                        reading("y", "b", "c", 1, 11_000, 0),
+                        reading("z", "c", "b", 1, 12_000, 0)),
+                NOW);
         double fresh = map.way("b", "c", NOW).sure();
         assertThat(map.way("b", "c", NOW + 9 * S).sure()).isLessThan(fresh / 4);
         assertThat(map.way("b", "c", NOW + 61 * S)).isNull();
@@ -85,7 +91,13 @@
         Random random = new Random(seed);
         List<Reading> all = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            all.add(reading("o" + random.nextInt(5), "b", "c", 1 + random.nextInt(8), 1_000 + random.nextInt(50_000), random.nextInt(5) * S));
+            all.add(reading(
+                    "o" + random.nextInt(5),
+                    "b",
+                    "c",
+                    1 + random.nextInt(8),
+                    1_000 + random.nextInt(50_000),
+                    random.nextInt(5) * S));
         }
         all.sort((x, y) -> Long.compare(x.seq(), y.seq()));
         List<Reading> distinct = new ArrayList<>(); // one content a number, as an honest observer has
--- a/src/test/java/hopdrum/fleet/PartnersTest.java
+++ b/src/test/java/hopdrum/fleet/PartnersTest.java
@@ -57,7 +57,10 @@
         Swarm swarm = swarm(members, operators, seed);
         swarm.nodes().forEach(node -> swarm.start(node, false));
         assertThat(swarm.until(60 * S, swarm::isSettled)).isTrue();
-        assertThat(swarm.until(40 * S, () -> swarm.acting().values().stream().mapToInt(n -> n).sum() == SHARDS)).isTrue();
+        assertThat(swarm.until(
+                        40 * S,
+                        () -> swarm.acting().values().stream().mapToInt(n -> n).sum() == SHARDS))
+                .isTrue();
         return swarm;
     }
 
@@ -91,11 +94,24 @@
         Swarm swarm = settled(4, 2, 2);
         swarm.keepEvents = true;
         follow(swarm, "op1", new Terms(null, 0.4, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false));
-        follow(swarm, "op0", new Terms(terms(1, 0, swarm.wallMs() + 3_600_000, false, 90, 10), 0.5, 1_000, 0, ALONE_MS, SHARDS,
-                400L * 86_400_000, false));
-        assertThat(swarm.until(40 * S, () -> swarm.node(0).view().division().agreement() != null)).isTrue();
-        assertThat(swarm.events).anyMatch(e -> e.contains("refuses") && e.contains("owed: 0.100 of all for op1, which wants 0.400"));
-        assertThat(swarm.node(0).view().division().agreement().party("op1").owed()).isEqualTo(60); // 0.4 of 150
+        follow(
+                swarm,
+                "op0",
+                new Terms(
+                        terms(1, 0, swarm.wallMs() + 3_600_000, false, 90, 10),
+                        0.5,
+                        1_000,
+                        0,
+                        ALONE_MS,
+                        SHARDS,
+                        400L * 86_400_000,
+                        false));
+        assertThat(swarm.until(40 * S, () -> swarm.node(0).view().division().agreement() != null))
+                .isTrue();
+        assertThat(swarm.events)
+                .anyMatch(e -> e.contains("refuses") && e.contains("owed: 0.100 of all for op1, which wants 0.400"));
+        assertThat(swarm.node(0).view().division().agreement().party("op1").owed())
+                .isEqualTo(60); // 0.4 of 150
         assertThat(swarm.broken).isEmpty();
     }
 
@@ -109,20 +125,25 @@
         }
         swarm.run(62 * S);
         follow(swarm, "op1", proposes(terms(1, 0, swarm.wallMs() + 1_800_000, false, 25, 75)));
-        assertThat(swarm.until(60 * S, () -> swarm.node(0).view().division().agreement() != null)).isTrue();
+        assertThat(swarm.until(60 * S, () -> swarm.node(0).view().division().agreement() != null))
+                .isTrue();
         assertThat(swarm.broken).isEmpty();
     }
 
     @Test
     void nothingIsInForceThatAPartyOnTheOtherSideOfASplitHasNotAgreedTo() {
         Swarm swarm = settled(5, 2, 3);
-        swarm.net = (a, b) -> a.compareTo("m003") >= 0 == b.compareTo("m003") >= 0; // m003 and m004, one of each, are cut off
+        swarm.net = (a, b) ->
+                a.compareTo("m003") >= 0 == b.compareTo("m003") >= 0; // m003 and m004, one of each, are cut off
         for (Node node : swarm.nodes()) {
             if (node.name.equals("m003")) { // op1's other one is in the majority and agrees for it
                 continue;
             }
-            swarm.follow(node, node.operator.equals("op0") ? proposes(terms(1, 0, swarm.wallMs() + 3_600_000, false, 75, 25))
-                    : Terms.NONE);
+            swarm.follow(
+                    node,
+                    node.operator.equals("op0")
+                            ? proposes(terms(1, 0, swarm.wallMs() + 3_600_000, false, 75, 25))
+                            : Terms.NONE);
         }
         swarm.run(40 * S);
         assertThat(swarm.node(0).view().division().agreement()).isNull();
@@ -134,7 +155,8 @@
         for (boolean standIn : new boolean[] {false, true}) {
             Swarm swarm = settled(5, 2, 4); // op0 has three, op1 two
             follow(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000, standIn, 50, 50)));
-            assertThat(swarm.until(30 * S, () -> swarm.node(0).view().division().agreement() != null)).isTrue();
+            assertThat(swarm.until(30 * S, () -> swarm.node(0).view().division().agreement() != null))
+                    .isTrue();
             swarm.run(12 * S);
             Set<String> cut = Set.of("m001", "m003");
             swarm.net = (a, b) -> cut.contains(a) == cut.contains(b);
@@ -154,7 +176,10 @@
         follow(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000, false, 75, 25)));
         assertThat(swarm.until(40 * S, () -> shares(swarm, 24, 8))).isTrue();
         follow(swarm, "op1", new Terms(null, 2, 0, 0, 0, 0, 0, true));
-        assertThat(swarm.until(20 * S, () -> swarm.node(0).view().division().agreement().revision() == 2)).isTrue();
+        assertThat(swarm.until(
+                        20 * S,
+                        () -> swarm.node(0).view().division().agreement().revision() == 2))
+                .isTrue();
         swarm.run(8 * S);
         assertThat(shares(swarm, 24, 8)).isTrue(); // 20 s of notice
         assertThat(swarm.until(60 * S, () -> shares(swarm, 16, 16))).isTrue();
@@ -186,18 +211,33 @@
             for (int i = 0; i < 3; i++) {
                 parties.add(new Party("op" + i, 100, owed[revision - 1][i], 0));
             }
-            follow(swarm, "op0", proposes(new Agreement("pact", revision, parties, 0, swarm.wallMs() + 3_600_000, ALONE_MS, false, SHARDS,
-                    1_000, 0)));
+            follow(
+                    swarm,
+                    "op0",
+                    proposes(new Agreement(
+                            "pact",
+                            revision,
+                            parties,
+                            0,
+                            swarm.wallMs() + 3_600_000,
+                            ALONE_MS,
+                            false,
+                            SHARDS,
+                            1_000,
+                            0)));
             int wanted = revision;
-            assertThat(swarm.until(30 * S, () -> swarm.node(1).view().division().count("op" + (wanted - 1)) >= 25)).isTrue();
+            assertThat(swarm.until(30 * S, () -> swarm.node(1).view().division().count("op" + (wanted - 1)) >= 25))
+                    .isTrue();
             if (revision == 1) {
                 swarm.run(25 * S);
                 assertThat(swarm.acting().get("op0")).isEqualTo(26);
-                swarm.net = (a, b) -> a.equals("m003") == b.equals("m003"); // one of op0's is cut off, and acts for 10 s
+                swarm.net =
+                        (a, b) -> a.equals("m003") == b.equals("m003"); // one of op0's is cut off, and acts for 10 s
             }
         }
         assertThat(swarm.acting().getOrDefault("op2", 0)).isLessThan(10);
-        assertThat(swarm.until(30 * S, () -> swarm.acting().getOrDefault("op2", 0) == 26)).isTrue();
+        assertThat(swarm.until(30 * S, () -> swarm.acting().getOrDefault("op2", 0) == 26))
+                .isTrue();
         assertThat(swarm.broken).isEmpty();
     }
 
@@ -222,10 +262,21 @@
                 case 5 -> swarm.loss = random.nextDouble() * 0.4;
                 default -> {
                     Division d = node.isUp() ? node.view().division() : null;
-                    int next = d == null || d.agreement() == null ? 1 : d.agreement().revision() + 1;
+                    int next = d == null || d.agreement() == null
+                            ? 1
+                            : d.agreement().revision() + 1;
                     revision = Math.max(revision, next);
-                    follow(swarm, node.operator, proposes(terms(next, 0, swarm.wallMs() + random.nextLong(10_000, 200_000),
-                            random.nextBoolean(), random.nextInt(1, 100), random.nextInt(1, 100), random.nextInt(1, 100))));
+                    follow(
+                            swarm,
+                            node.operator,
+                            proposes(terms(
+                                    next,
+                                    0,
+                                    swarm.wallMs() + random.nextLong(10_000, 200_000),
+                                    random.nextBoolean(),
+                                    random.nextInt(1, 100),
+                                    random.nextInt(1, 100),
+                                    random.nextInt(1, 100))));
                 }
             }
             swarm.run(random.nextLong(10 * S));
@@ -266,8 +317,12 @@
         Division first = d;
         for (int epoch = 0; epoch < 12; epoch++, now += 10_000) {
             for (int again = 0; again < 2; again++) {
-                Division next = rule.next(view(d, number++), present, agreement.equals(d.agreement()) ? null : agreement,
-                        d.agreement() == null ? agreement.operators() : d.agreedBy(), now);
+                Division next = rule.next(
+                        view(d, number++),
+                        present,
+                        agreement.equals(d.agreement()) ? null : agreement,
+                        d.agreement() == null ? agreement.operators() : d.agreedBy(),
+                        now);
                 int moved = 0;
                 for (int i = 0; i < SHARDS; i++) {
                     moved += next.owner(i).equals(d.owner(i)) ? 0 : 1;
@@ -291,16 +346,32 @@
 
     @Test
     void termsThatPromiseTooMuchContradictThemselvesOrAreOverAreRefusedEachByName() {
-        Agreement bad = new Agreement("pact", 1, List.of(new Party("op0", 10, 60, 70), new Party("op1", 10, 60, 0)), 5_000, 4_000, 60_000,
-                false, 0, 10_000, 0);
-        assertThat(String.join("\n", bad.faults(9_000, ALONE_MS))).contains("owed: 120 in all, where 20 is brought", "floor: op0's 70",
-                "until: not after from", "until: has passed", "alone: 60000 ms", "moves: none");
+        Agreement bad = new Agreement(
+                "pact",
+                1,
+                List.of(new Party("op0", 10, 60, 70), new Party("op1", 10, 60, 0)),
+                5_000,
+                4_000,
+                60_000,
+                false,
+                0,
+                10_000,
+                0);
+        assertThat(String.join("\n", bad.faults(9_000, ALONE_MS)))
+                .contains(
+                        "owed: 120 in all, where 20 is brought",
+                        "floor: op0's 70",
+                        "until: not after from",
+                        "until: has passed",
+                        "alone: 60000 ms",
+                        "moves: none");
         Rule rule = new Rule(SHARDS, ALONE_MS);
         Agreement good = terms(1, 0, 100_000, false, 50, 50);
         Division d = rule.next(view(null, 0), Set.of("op0", "op1"), good, good.operators(), 10);
         assertThat(rule.mayFollow(view(d, 1), good, good.operators(), 20)).isFalse(); // said once more
         assertThat(rule.mayFollow(view(null, 0), good, List.of("op0"), 20)).isFalse(); // one party's word alone
-        assertThat(rule.objection(view(null, 0), new View(1, 1, view(null, 0).members(), d), 10)).isNotNull(); // op1 is not there
+        assertThat(rule.objection(view(null, 0), new View(1, 1, view(null, 0).members(), d), 10))
+                .isNotNull(); // op1 is not there
         Map<String, Integer> counts = Map.of("op0", d.count("op0"), "op1", d.count("op1"));
         assertThat(counts).containsEntry("op0", 16).containsEntry("op1", 16);
     }
--- a/src/test/java/hopdrum/fleet/SettledViewsTest.java
+++ b/src/test/java/hopdrum/fleet/SettledViewsTest.java
@@ -33,7 +33,8 @@
         Swarm swarm = settled(5, 1);
         long before = swarm.node(0).view().number();
         swarm.net = (a, b) -> a.compareTo("m002") < 0 == b.compareTo("m002") < 0;
-        assertThat(swarm.until(20 * S, () -> swarm.node(3).view().members().size() == 3)).isTrue();
+        assertThat(swarm.until(20 * S, () -> swarm.node(3).view().members().size() == 3))
+                .isTrue();
         swarm.run(6 * S);
         for (Node cut : swarm.nodes().subList(0, 2)) {
             assertThat(cut.view().number()).isEqualTo(before);
@@ -41,7 +42,8 @@
             assertThat(claims(swarm, cut)).isFalse();
         }
         assertThat(claims(swarm, swarm.node(3))).isTrue();
-        assertThat(swarm.node(3).membership().council().leases().live(swarm.nowUs())).hasSize(1);
+        assertThat(swarm.node(3).membership().council().leases().live(swarm.nowUs()))
+                .hasSize(1);
         swarm.net = (a, b) -> true;
         assertThat(swarm.until(20 * S, swarm::isSettled)).isTrue();
         assertThat(swarm.broken).isEmpty();
@@ -99,8 +101,10 @@
         Swarm swarm = settled(5, 4);
         Node chair = swarm.node(0);
         swarm.pause(chair, 15 * S);
-        assertThat(swarm.until(15 * S, () -> swarm.node(1).view().members().size() == 4)).isTrue();
-        assertThat(swarm.until(16 * S, () -> swarm.nowUs() > 0 && !claims(swarm, chair))).isTrue();
+        assertThat(swarm.until(15 * S, () -> swarm.node(1).view().members().size() == 4))
+                .isTrue();
+        assertThat(swarm.until(16 * S, () -> swarm.nowUs() > 0 && !claims(swarm, chair)))
+                .isTrue();
         assertThat(swarm.until(30 * S, swarm::isSettled)).isTrue();
         assertThat(swarm.broken).isEmpty();
     }
@@ -152,8 +156,11 @@
             switch (random.nextInt(7)) {
                 case 0 -> swarm.kill(node);
                 case 1 -> swarm.pause(node, random.nextLong(12 * S));
-                case 2 -> swarm.net = (a, b) -> (cut >> Integer.parseInt(a.substring(1)) & 1) == (cut >> Integer.parseInt(b.substring(1)) & 1);
-                case 3 -> swarm.net = (a, b) -> (cut >> Integer.parseInt(a.substring(1)) & 1) == 0 || a.compareTo(b) < 0;
+                case 2 ->
+                    swarm.net = (a, b) -> (cut >> Integer.parseInt(a.substring(1)) & 1)
+                            == (cut >> Integer.parseInt(b.substring(1)) & 1);
+                case 3 ->
+                    swarm.net = (a, b) -> (cut >> Integer.parseInt(a.substring(1)) & 1) == 0 || a.compareTo(b) < 0;
                 case 4 -> swarm.loss = random.nextDouble() / 2;
                 case 5 -> swarm.delayUs = 1_000 + random.nextLong(S);
                 default -> {
@@ -161,7 +168,9 @@
                     swarm.loss = 0;
                 }
             }
-            swarm.nodes().stream().filter(x -> !x.isUp() && random.nextInt(3) == 0).forEach(x -> swarm.start(x, random.nextInt(5) > 0));
+            swarm.nodes().stream()
+                    .filter(x -> !x.isUp() && random.nextInt(3) == 0)
+                    .forEach(x -> swarm.start(x, random.nextInt(5) > 0));
             swarm.run(random.nextLong(4 * S));
             assertThat(swarm.broken).as("seed %d, step %d", seed, i).isEmpty();
         }
--- a/src/test/java/hopdrum/frontdoor/EndIT.java
+++ b/src/test/java/hopdrum/frontdoor/EndIT.java
@@ -18,9 +18,14 @@
     @Test
     void aProcessToldToEndBeforeItListensEndsAtOnceAsASuccess() throws Exception {
         Path config = folder.resolve("config.json");
-        assertThat(new ProcessBuilder("mkfifo", config.toString()).start().waitFor()).isZero();
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-jar",
-                Path.of("target/hopdrum.jar").toAbsolutePath().toString(), "serve").inheritIO();
+        assertThat(new ProcessBuilder("mkfifo", config.toString()).start().waitFor())
+                .isZero();
+        ProcessBuilder builder = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-jar",
+                        Path.of("target/hopdrum.jar").toAbsolutePath().toString(),
+                        "serve")
+                .inheritIO();
         builder.environment().put("LB_CONFIG", config.toString());
         Process process = builder.start();
         OutputStream pipe = Files.newOutputStream(config); // waits until it is read
--- a/src/test/java/hopdrum/frontdoor/EndingPathsTest.java
+++ b/src/test/java/hopdrum/frontdoor/EndingPathsTest.java
@@ -26,7 +26,11 @@
 @Timeout(20)
 class EndingPathsTest extends FrontDoorFixture {
     /** How a client leaves: it closes, ends its sending only, or resets. */
-    enum Leaving { CLOSE, HALF_CLOSE, RESET }
+    enum Leaving {
+        CLOSE,
+        HALF_CLOSE,
+        RESET
+    }
 
     private static final int PIPELINED = 1000;
     private static final String NO_LENGTH = "HTTP/1.1 200 OK\r\n\r\n";
@@ -63,7 +67,9 @@
                     thread(() -> {
                         for (String request; (request = message(socket.getInputStream())) != null; ) {
                             requests.add(request);
-                            socket.getOutputStream().write(ok("for " + field(request, "X-Trace-Id")).getBytes(StandardCharsets.ISO_8859_1));
+                            socket.getOutputStream()
+                                    .write(ok("for " + field(request, "X-Trace-Id"))
+                                            .getBytes(StandardCharsets.ISO_8859_1));
                         }
                     });
                 }
@@ -142,7 +148,9 @@
         Client resting = new Client();
         assertThat(resting.send(rpc("t1", "order", "")).hears()).endsWith("for t1");
         loop.ask(door::stop);
-        assertThat(resting.send(rpc("t2", "order", "")).hears()).contains("Connection: close").endsWith("for t2");
+        assertThat(resting.send(rpc("t2", "order", "")).hears())
+                .contains("Connection: close")
+                .endsWith("for t2");
         assertThat(resting.hears()).isNull();
         running.get(10, TimeUnit.SECONDS);
     }
@@ -155,7 +163,9 @@
         settle();
         loop.ask(door::stop);
         inLoop(700_000); // nothing is accepted any more, and what is idle has been closed
-        assertThat(half.send(request.substring(40)).hears()).contains("Connection: close").endsWith("for t1");
+        assertThat(half.send(request.substring(40)).hears())
+                .contains("Connection: close")
+                .endsWith("for t1");
         running.get(10, TimeUnit.SECONDS);
     }
 
@@ -164,8 +174,10 @@
         CompletableFuture<Void> answer = new CompletableFuture<>();
         answersOnce(answer, "for ");
         start();
-        Client client = new Client().send(customer(1, rpc("t1", "order", "")) + customer(2, rpc("t2", "order", ""))
-                + customer(3, rpc("t3", "order", "")));
+        Client client = new Client()
+                .send(customer(1, rpc("t1", "order", ""))
+                        + customer(2, rpc("t2", "order", ""))
+                        + customer(3, rpc("t3", "order", "")));
         assertThat(backend.asked()).contains("t1");
         settle();
         loop.ask(door::stop);
@@ -203,7 +215,9 @@
         loop.ask(() -> handled.complete(null));
         CompletableFuture.anyOf(handled, running).get(10, TimeUnit.SECONDS);
         resting.send(crossing.substring(40)); // fails after a reset
-        assertThat(resting.socket.getInputStream().read()).as("an end, no reset").isEqualTo(-1);
+        assertThat(resting.socket.getInputStream().read())
+                .as("an end, no reset")
+                .isEqualTo(-1);
         running.get(10, TimeUnit.SECONDS);
         assertThat(backend.requests).as("dropped").hasSize(1);
     }
@@ -259,7 +273,9 @@
         leave(client, how);
         settle();
         late.comesUp();
-        assertThat(late.connections.poll(10, TimeUnit.SECONDS)).as("came up late").isNotNull();
+        assertThat(late.connections.poll(10, TimeUnit.SECONDS))
+                .as("came up late")
+                .isNotNull();
         settle();
         assertThat(ask(customer(2, rpc("t2", "order", "")))).endsWith("for t2");
         assertThat(late.requests).hasSize(1).allMatch(request -> request.contains("t2"));
@@ -304,7 +320,9 @@
         backend.answer = request -> ok("for " + field(request, "X-Trace-Id"));
         second.answer = backend.answer;
         assertThat(ask(customer(2, rpc("t2", "checkout", "")))).endsWith("for t2");
-        assertThat(backend.requests.size() + second.requests.size()).as("one attempt each").isEqualTo(2);
+        assertThat(backend.requests.size() + second.requests.size())
+                .as("one attempt each")
+                .isEqualTo(2);
     }
 
     // ---- Answers that are cut ----
@@ -314,7 +332,10 @@
         backend.answer = request -> NO_LENGTH + "all of it";
         backend.after = After.END;
         start();
-        assertThat(ask(rpc("t1", "order", ""))).startsWith("HTTP/1.1 200 ").contains("Content-Length: 9").endsWith("all of it");
+        assertThat(ask(rpc("t1", "order", "")))
+                .startsWith("HTTP/1.1 200 ")
+                .contains("Content-Length: 9")
+                .endsWith("all of it");
     }
 
     @Test
@@ -368,7 +389,9 @@
 
     /** Its end is behind bytes for which there is no room; one that ends its sending only is seen when they have been read. */
     @ParameterizedTest
-    @EnumSource(value = Leaving.class, names = {"CLOSE", "RESET"})
+    @EnumSource(
+            value = Leaving.class,
+            names = {"CLOSE", "RESET"})
     void aClientThatLeavesBehindAFullBufferIsFoundOutWithTheFirstAnswerThatItDoesNotTake(Leaving how) throws Exception {
         with("\"PerSecond\":1.0,\"Burst\":2.0", "\"PerSecond\":1000000.0,\"Burst\":1000000.0");
         CompletableFuture<Void> answer = new CompletableFuture<>();
@@ -385,8 +408,11 @@
         settle();
         answer.complete(null);
         assertThat(ask(rpc("other", "order", ""))).endsWith("for other");
-        assertThat(backend.requests.stream().filter(request -> !request.contains("other")).count())
-                .as("further attempts for it").isLessThanOrEqualTo(1);
+        assertThat(backend.requests.stream()
+                        .filter(request -> !request.contains("other"))
+                        .count())
+                .as("further attempts for it")
+                .isLessThanOrEqualTo(1);
     }
 
     // ---- Drains and repeats against a connection that comes up late ----
@@ -399,8 +425,8 @@
         start(host("late", late.address(), "in_service"));
         Client client = new Client().send(rpc("t1", "order", ""));
         inLoop(100_000); // picked, and dialled
-        discovery.say(chunk("{\"seq\":42,\"whole\":false,\"hosts\":[" + host("late", late.address(), "terminating") + ","
-                + host("b", backend.address(), "in_service") + "]}\n"));
+        discovery.say(chunk("{\"seq\":42,\"whole\":false,\"hosts\":[" + host("late", late.address(), "terminating")
+                + "," + host("b", backend.address(), "in_service") + "]}\n"));
         late.comesUp();
         assertThat(client.hears()).as("sent on elsewhere").endsWith("for t1");
         assertThat(late.requests).isEmpty();
@@ -416,7 +442,8 @@
         LateBackend late = new LateBackend();
         backend.answer = request -> { // while it runs the other backend joins, to which the repeat goes
             thread(() -> {
-                discovery.say(chunk("{\"seq\":42,\"whole\":false,\"hosts\":[" + host("late", late.address(), "in_service") + "]}\n"));
+                discovery.say(chunk("{\"seq\":42,\"whole\":false,\"hosts\":["
+                        + host("late", late.address(), "in_service") + "]}\n"));
                 settle();
                 backend.say("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n");
             });
@@ -461,13 +488,16 @@
     }
 
     @Test
-    void aWatchSilentAfterAListAndTheNextTwoSilentFromTheirFirstByteAreOpenedAnewBeforeTheirNewsIsDue() throws Exception {
+    void aWatchSilentAfterAListAndTheNextTwoSilentFromTheirFirstByteAreOpenedAnewBeforeTheirNewsIsDue()
+            throws Exception {
         StandIn c = new StandIn(request -> ok("c"));
         start();
         assertThat(discovery.asked()).contains("watch=1");
         discoverySpeaksAfter(2, c);
         discovery.say(chunk("\n"));
-        assertThat(secondsUntil(c)).as("6 s after the silence began it counts as told").isLessThan(5.95);
+        assertThat(secondsUntil(c))
+                .as("6 s after the silence began it counts as told")
+                .isLessThan(5.95);
     }
 
     @Test
@@ -487,7 +517,12 @@
     }
 
     /** How a watch ends: in order or by a reset, between two lines or amid one. */
-    enum WatchEnd { IN_ORDER, RESET, CUT_IN_ORDER, CUT_BY_RESET }
+    enum WatchEnd {
+        IN_ORDER,
+        RESET,
+        CUT_IN_ORDER,
+        CUT_BY_RESET
+    }
 
     @ParameterizedTest
     @EnumSource(WatchEnd.class)
@@ -522,7 +557,8 @@
         start();
         assertThat(discovery.asked()).contains("watch=1");
         assertThat(ask(customer(1, rpc("t1", "order", "")))).endsWith("for t1");
-        Config fresh = Config.parse(config(host("b", backend.address(), "in_service")).replace(discovery.address(), moved.address()));
+        Config fresh = Config.parse(
+                config(host("b", backend.address(), "in_service")).replace(discovery.address(), moved.address()));
         goesDown(discovery);
         loop.ask(() -> door.follow(fresh));
         assertThat(secondsUntil(c)).as("4 s after SIGHUP it counts as told").isLessThan(3);
@@ -561,7 +597,9 @@
                 {"Lanes":[{"Name":"order","AimUs":300000,"GiveUpUs":600000,"Effect":"fragile"}],
                  "Packages":[{"Name":"team"}],"NInstances":1,"Ordinal":0,"TickUs":1000,
                  "Bounds":{"AttemptsCap":2},"Rules":{"ColdFrom":0.2,"WarmAfterUs":1000000,"OverloadFactor":2,"FallUs":1000000}}""";
-        assertThat(Config.parse(config(host("b", backend.address(), "in_service"))).zones()).isEmpty();
+        assertThat(Config.parse(config(host("b", backend.address(), "in_service")))
+                        .zones())
+                .isEmpty();
         start();
         assertThat(ask(rpc("t1", "order", "").replace("Ms: 4000", "Ms: 600"))).endsWith("for t1");
         assertThat(counter.requests).isEmpty();
--- a/src/test/java/hopdrum/frontdoor/FrontDoorFixture.java
+++ b/src/test/java/hopdrum/frontdoor/FrontDoorFixture.java
@@ -35,14 +35,18 @@
     final StandIn counter = new StandIn(request -> ok("1"));
     final StandIn discovery = new StandIn(request -> WATCH + chunk("{\"seq\":41,\"whole\":false,\"hosts\":[]}\n"));
     /** What a stand-in does with a connection once an answer is written on it. */
-    enum After { KEEP, END, RESET }
+    enum After {
+        KEEP,
+        END,
+        RESET
+    }
 
     String settings = SETTINGS;
     int sockets = 1024;
     Loop loop;
     FrontDoor door;
     CompletableFuture<Void> running;
-    Runnable warmUp = () -> { };
+    Runnable warmUp = () -> {};
 
     /** Answers each request of each connection; what it was asked can be waited for. */
     final class StandIn implements AutoCloseable {
@@ -167,7 +171,10 @@
     }
 
     static String field(String message, String name) {
-        return message.lines().filter(l -> l.startsWith(name + ": ")).map(l -> l.substring(name.length() + 2)).findFirst()
+        return message.lines()
+                .filter(l -> l.startsWith(name + ": "))
+                .map(l -> l.substring(name.length() + 2))
+                .findFirst()
                 .orElse(null);
     }
 
@@ -180,17 +187,21 @@
     }
 
     static String rpc(String trace, String method, String more) {
-        return "POST /api HTTP/1.1\r\nX-Trace-Id: " + trace + "\r\nX-Qos: " + method + "\r\nPlan: team\r\nCookie: key=0000000000000007\r\n"
-                + "X-Expires-In-Ms: 4000\r\nIdempotency-Key: k\r\nQuota-Info: units=1,spread=1,first=0\r\n" + more + "\r\n";
+        return "POST /api HTTP/1.1\r\nX-Trace-Id: " + trace + "\r\nX-Qos: " + method
+                + "\r\nPlan: team\r\nCookie: key=0000000000000007\r\n"
+                + "X-Expires-In-Ms: 4000\r\nIdempotency-Key: k\r\nQuota-Info: units=1,spread=1,first=0\r\n" + more
+                + "\r\n";
     }
 
     String host(String name, String address, String health) {
-        return "{\"host\":\"" + name + "\",\"dial\":\"" + address + "\",\"site\":\"z\",\"class\":\"m\",\"block\":0,\"health\":\"" + health
+        return "{\"host\":\"" + name + "\",\"dial\":\"" + address
+                + "\",\"site\":\"z\",\"class\":\"m\",\"block\":0,\"health\":\"" + health
                 + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
     String config(String hosts) {
-        return "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.address() + "\",\"counter\":\"" + counter.address()
+        return "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.address() + "\",\"counter\":\""
+                + counter.address()
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"memory_mb\":192,\"sockets\":" + sockets
                 + "},\"known\":{\"seq\":41,\"whole\":true,\"hosts\":[" + hosts + "]},\"settings\":" + settings + "}";
     }
--- a/src/test/java/hopdrum/frontdoor/FrontDoorStoryTest.java
+++ b/src/test/java/hopdrum/frontdoor/FrontDoorStoryTest.java
@@ -11,7 +11,6 @@
 import hopdrum.frontdoor.memory.ClientConnection;
 import hopdrum.host.Shards;
 import java.io.IOException;
-import java.io.InputStream;
 import java.io.UncheckedIOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -27,11 +26,8 @@
 import java.util.Map;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Function;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import sun.misc.Signal;
@@ -45,9 +41,14 @@
         assertThat(ask("GET /health/ready HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 200 ");
         String body = "b".repeat(64 << 10);
         backend.answer = request -> ok(request.substring(request.indexOf("\r\n\r\n") + 4));
-        assertThat(ask(rpc("t1", "checkout", "Content-Length: 65536\r\n") + body)).startsWith("HTTP/1.1 200 ").endsWith(body);
+        assertThat(ask(rpc("t1", "checkout", "Content-Length: 65536\r\n") + body))
+                .startsWith("HTTP/1.1 200 ")
+                .endsWith(body);
         assertThat(counter.asked()).contains("delta=1&life_ms=60000");
-        assertThat(backend.asked()).contains("X-Trace-Id: t1\r\n").contains("Idempotency-Key: k\r\n").contains("X-Expires-In-Ms: ");
+        assertThat(backend.asked())
+                .contains("X-Trace-Id: t1\r\n")
+                .contains("Idempotency-Key: k\r\n")
+                .contains("X-Expires-In-Ms: ");
     }
 
     @Test
@@ -72,7 +73,8 @@
         for (int other = 10; other < 20; other++) { // the first calls of all take longer than the counter's time-out
             ask(rpc("o" + other, "order", "").replace("0007", "00" + other));
         }
-        List<String> others = counter.requests.stream().map(call -> call.split("[?]")[0]).toList();
+        List<String> others =
+                counter.requests.stream().map(call -> call.split("[?]")[0]).toList();
         backend.requests.clear();
         counter.answer = request -> ok("99");
         assertThat(ask(rpc("t1", "order", ""))).startsWith("HTTP/1.1 429 ").contains("Retry-After: 0.");
@@ -102,7 +104,10 @@
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             List<InetSocketAddress> addresses = List.of((InetSocketAddress) peer.getLocalSocketAddress());
-            Peers peers = new Peers(loop, new InetSocketAddress("127.0.0.1", 0), addresses,
+            Peers peers = new Peers(
+                    loop,
+                    new InetSocketAddress("127.0.0.1", 0),
+                    addresses,
                     message -> heard.add(new String(message, StandardCharsets.ISO_8859_1)));
             thread(loop::run);
             peers.tell(0, new byte[257]); // too long, and to a number that nobody has: neither is sent
@@ -145,7 +150,9 @@
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket first = new Socket(full.getInetAddress(), full.getLocalPort());
                 Socket second = new Socket(full.getInetAddress(), full.getLocalPort())) {
-            assertThat(first.isConnected() && second.isConnected()).as("nobody accepts, and the queue is full").isTrue();
+            assertThat(first.isConnected() && second.isConnected())
+                    .as("nobody accepts, and the queue is full")
+                    .isTrue();
             start(host("b", "127.0.0.1:" + full.getLocalPort(), "in_service"));
             assertThat(ask(rpc("t1", "order", ""))).startsWith("HTTP/1.1 503 ");
         }
@@ -154,22 +161,23 @@
     @Test
     void aSlowSenderIsCutOff() throws Exception {
         loop = new Loop();
-        Clients clients = new Clients(loop, new InetSocketAddress("127.0.0.1", 0), new Budget(1024, 1 << 20, 50_000), new Clients.Owner() {
-            @Override
-            public void take(ClientConnection client) {
-                throw new AssertionError("nothing came whole");
-            }
-
-            @Override
-            public void left(ClientConnection client) {
-                throw new AssertionError("nothing was taken");
-            }
-
-            @Override
-            public boolean isReady() {
-                return true;
-            }
-        });
+        Clients clients = new Clients(
+                loop, new InetSocketAddress("127.0.0.1", 0), new Budget(1024, 1 << 20, 50_000), new Clients.Owner() {
+                    @Override
+                    public void take(ClientConnection client) {
+                        throw new AssertionError("nothing came whole");
+                    }
+
+                    @Override
+                    public void left(ClientConnection client) {
+                        throw new AssertionError("nothing was taken");
+                    }
+
+                    @Override
+                    public boolean isReady() {
+                        return true;
+                    }
+                });
         clients.open();
         thread(loop::run);
         try (Socket slow = new Socket()) {
@@ -198,15 +206,24 @@
     @Test
     void spoiltAnswersAreAbortedAtOnceAndGoodOnesStandWhateverComesWithThem() throws Exception {
         start();
-        for (String spoilt : new String[] {"\u0001\u0002", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nab",
-                "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", "HTTP/1.1 200 OK\r\n\r\nuntil when", "HTTP/1.1 2"}) {
+        for (String spoilt : new String[] {
+            "\u0001\u0002",
+            "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nab",
+            "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
+            "HTTP/1.1 200 OK\r\n\r\nuntil when",
+            "HTTP/1.1 2"
+        }) {
             backend.answer = request -> spoilt;
             long fromNanos = System.nanoTime();
             assertThat(ask(rpc("t1", "order", ""))).as(spoilt).startsWith("HTTP/1.1 500 ");
-            assertThat(System.nanoTime() - fromNanos).as("well before its time runs out").isLessThan(1_000_000_000L);
+            assertThat(System.nanoTime() - fromNanos)
+                    .as("well before its time runs out")
+                    .isLessThan(1_000_000_000L);
         }
-        for (String field : new String[] {"Endpoint-Load-Metrics: TEXT inflight=1, what=2", "Endpoint-Load-Metrics: \u00ff=="}) {
-            backend.answer = request -> "HTTP/1.1 102 Wait\r\n\r\n" + ok("good").replace("\r\n\r\n", "\r\n" + field + "\r\n\r\n") + "noise";
+        for (String field :
+                new String[] {"Endpoint-Load-Metrics: TEXT inflight=1, what=2", "Endpoint-Load-Metrics: \u00ff=="}) {
+            backend.answer = request ->
+                    "HTTP/1.1 102 Wait\r\n\r\n" + ok("good").replace("\r\n\r\n", "\r\n" + field + "\r\n\r\n") + "noise";
             assertThat(ask(rpc("t2", "order", ""))).startsWith("HTTP/1.1 200 ").endsWith("good");
         }
     }
@@ -243,10 +260,15 @@
     void aSpoiltAnswerOfTheCounterEndsItsCallAndThoseBehindIt() throws Exception {
         loop = new Loop();
         BlockingQueue<String> ends = new LinkedBlockingQueue<>();
-        Counter calls = new Counter(loop, new InetSocketAddress("127.0.0.1", counter.listener.getLocalPort()), 5_000_000,
-                new Budget(1024, 1 << 20, 50_000), (name, outcome, total, tookUs) -> ends.add(outcome + " " + total));
+        Counter calls = new Counter(
+                loop,
+                new InetSocketAddress("127.0.0.1", counter.listener.getLocalPort()),
+                5_000_000,
+                new Budget(1024, 1 << 20, 50_000),
+                (name, outcome, total, tookUs) -> ends.add(outcome + " " + total));
         thread(loop::run);
-        for (String spoilt : new String[] {ok("no number"), "HTTP/1.1 2", "HTTP/1.1 418 Other\r\nContent-Length: 0\r\n\r\n"}) {
+        for (String spoilt :
+                new String[] {ok("no number"), "HTTP/1.1 2", "HTTP/1.1 418 Other\r\nContent-Length: 0\r\n\r\n"}) {
             CompletableFuture<Void> both = new CompletableFuture<>();
             counter.answer = request -> {
                 both.join();
@@ -260,7 +282,9 @@
             assertThat(ends.poll(10, TimeUnit.SECONDS)).isEqualTo("RESET 0.0");
             counter.answer = request -> ok("7");
             loop.ask(() -> calls.add(1, 1, 1000));
-            assertThat(ends.poll(10, TimeUnit.SECONDS)).as("on a connection of its own").isEqualTo("OK 7.0");
+            assertThat(ends.poll(10, TimeUnit.SECONDS))
+                    .as("on a connection of its own")
+                    .isEqualTo("OK 7.0");
             counter.requests.clear();
         }
         loop.ask(loop::stop);
@@ -270,14 +294,20 @@
     void aConnectionToTheCounterThatFallsSilentAloneIsReplacedWithItsFirstTimeOut() throws Exception {
         loop = new Loop();
         BlockingQueue<String> ends = new LinkedBlockingQueue<>();
-        Counter calls = new Counter(loop, new InetSocketAddress("127.0.0.1", counter.listener.getLocalPort()), 50_000,
-                new Budget(1024, 1 << 20, 50_000), (name, outcome, total, tookUs) -> ends.add(name + " " + outcome));
+        Counter calls = new Counter(
+                loop,
+                new InetSocketAddress("127.0.0.1", counter.listener.getLocalPort()),
+                50_000,
+                new Budget(1024, 1 << 20, 50_000),
+                (name, outcome, total, tookUs) -> ends.add(name + " " + outcome));
         thread(loop::run);
         counter.answer = request -> request.contains("/1?") ? HANGS : ok("1");
         loop.ask(() -> calls.add(1, 1, 1000));
         loop.ask(() -> loop.in(10_000, () -> calls.add(2, 1, 1000))); // on the other connection
         assertThat(ends.poll(10, TimeUnit.SECONDS)).isEqualTo("2 OK");
-        assertThat(ends.poll(10, TimeUnit.SECONDS)).as("no time-out of the counter's").isEqualTo("1 RESET");
+        assertThat(ends.poll(10, TimeUnit.SECONDS))
+                .as("no time-out of the counter's")
+                .isEqualTo("1 RESET");
         assertThat(counter.ends.poll(10, TimeUnit.SECONDS)).isEqualTo(1);
         loop.ask(loop::stop);
     }
@@ -300,15 +330,22 @@
         Client client = new Client().send(rpc("t1", "order", ""));
         assertThat(backend.asked()).contains("t1");
         client.socket.close();
-        assertThat(backend.ends.poll(10, TimeUnit.SECONDS)).as("the backend sees its connection end").isEqualTo(1);
+        assertThat(backend.ends.poll(10, TimeUnit.SECONDS))
+                .as("the backend sees its connection end")
+                .isEqualTo(1);
     }
 
     @Test
     void badInputIsAnsweredOnceAndTheConnectionCloses() throws Exception {
         start();
-        for (String[] bad : new String[][] {{"nonsense\r\n\r\n", "400"}, {"GET /nowhere HTTP/1.1\r\n\r\n", "404"},
-                {rpc("t", "nothing", ""), "400"}, {rpc("t", "checkout", "").replace("Idempotency-Key", "X"), "400"},
-                {"GET /api HTTP/1.1\r\nX: " + "x".repeat(9000), "431"}, {rpc("t", "order", "Content-Length: 70000\r\n"), "413"}}) {
+        for (String[] bad : new String[][] {
+            {"nonsense\r\n\r\n", "400"},
+            {"GET /nowhere HTTP/1.1\r\n\r\n", "404"},
+            {rpc("t", "nothing", ""), "400"},
+            {rpc("t", "checkout", "").replace("Idempotency-Key", "X"), "400"},
+            {"GET /api HTTP/1.1\r\nX: " + "x".repeat(9000), "431"},
+            {rpc("t", "order", "Content-Length: 70000\r\n"), "413"}
+        }) {
             Client client = new Client().send(bad[0]);
             assertThat(client.hears()).startsWith("HTTP/1.1 " + bad[1]).contains("Connection: close");
             assertThat(client.hears()).isNull();
@@ -350,10 +387,11 @@
         start();
         Client flood = new Client().send(rpc("t", "order", "Content-Length: 60000000\r\n"));
         assertThatThrownBy(() -> {
-            for (int i = 0; i < 1000; i++) {
-                flood.send("x".repeat(60_000));
-            }
-        }).isInstanceOf(IOException.class);
+                    for (int i = 0; i < 1000; i++) {
+                        flood.send("x".repeat(60_000));
+                    }
+                })
+                .isInstanceOf(IOException.class);
     }
 
     @Test
@@ -438,11 +476,15 @@
             Client next = i == 0 ? first : new Client();
             assertThat(next.send("GET /health/ready HTTP/1.1\r\n\r\n").hears()).startsWith("HTTP/1.1 200 ");
         }
-        assertThat(new Client().send("GET /health/ready HTTP/1.1\r\n\r\n").hears()).startsWith("HTTP/1.1 200 ");
+        assertThat(new Client().send("GET /health/ready HTTP/1.1\r\n\r\n").hears())
+                .startsWith("HTTP/1.1 200 ");
         assertThat(unread.hears()).as("says nothing").isNull();
-        assertThat(new Client().send("GET /health/ready HTTP/1.1\r\n\r\n").hears()).startsWith("HTTP/1.1 200 ");
+        assertThat(new Client().send("GET /health/ready HTTP/1.1\r\n\r\n").hears())
+                .startsWith("HTTP/1.1 200 ");
         assertThat(first.hears()).as("idle the longest").isNull();
-        assertThat(taken.socket.getInputStream().available()).as("still waits for its answer").isZero();
+        assertThat(taken.socket.getInputStream().available())
+                .as("still waits for its answer")
+                .isZero();
     }
 
     @Test
@@ -472,7 +514,8 @@
         StandIn newCounter = new StandIn(request -> ok("1"));
         start();
         assertThat(ask(rpc("t1", "order", ""))).endsWith("for t1");
-        String moved = config(host("b", backend.address(), "in_service")).replace(counter.address(), newCounter.address())
+        String moved = config(host("b", backend.address(), "in_service"))
+                .replace(counter.address(), newCounter.address())
                 .replace(discovery.address(), newDiscovery.address());
         Path file = Files.createTempFile("hopdrum", ".json");
         open.add(() -> Files.delete(file));
@@ -482,34 +525,46 @@
         Signal.raise(new Signal("HUP"));
         Files.writeString(file, moved);
         Signal.raise(new Signal("HUP"));
-        assertThat(newDiscovery.asked() + newDiscovery.asked()).as("watched, and its whole list fetched")
-                .contains("watch=1 ").contains("GET /registry/instances HTTP");
+        assertThat(newDiscovery.asked() + newDiscovery.asked())
+                .as("watched, and its whole list fetched")
+                .contains("watch=1 ")
+                .contains("GET /registry/instances HTTP");
         counter.requests.clear();
         assertThat(ask(rpc("t2", "order", ""))).as("by the old list").endsWith("for t2");
         assertThat(newCounter.asked()).contains("delta=1&");
         assertThat(counter.requests).isEmpty();
-        assertThat(counter.ends.poll(10, TimeUnit.SECONDS)).as("left once all is answered").isNotNull();
+        assertThat(counter.ends.poll(10, TimeUnit.SECONDS))
+                .as("left once all is answered")
+                .isNotNull();
         StandIn second = new StandIn(request -> ok("second"));
         String list = "{\"seq\":3,\"whole\":true,\"hosts\":[" + host("c", second.address(), "in_service") + "]}\n";
         newDiscovery.say("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
-        assertThat(discovery.ends.poll(10, TimeUnit.SECONDS)).as("the old watch goes with the new list").isEqualTo(1);
+        assertThat(discovery.ends.poll(10, TimeUnit.SECONDS))
+                .as("the old watch goes with the new list")
+                .isEqualTo(1);
         assertThat(ask(rpc("t3", "order", ""))).endsWith("second");
     }
 
     @Test
     void aConfigurationReplacedWhileTheFrontDoorStartedIsReadOnceDiscoveryIsGoneWithoutSighup() throws Exception {
         String list = "{\"seq\":3,\"whole\":true,\"hosts\":[" + host("b", backend.address(), "in_service") + "]}\n";
-        StandIn newDiscovery = new StandIn(request -> request.contains("watch=1") ? WATCH + chunk(list)
+        StandIn newDiscovery = new StandIn(request -> request.contains("watch=1")
+                ? WATCH + chunk(list)
                 : "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
         discovery.close(); // refuses from before the first connection on
         Path file = Files.createTempFile("hopdrum", ".json");
         open.add(() -> Files.delete(file));
-        Files.writeString(file, config(host("b", backend.address(), "in_service")).replace(discovery.address(), newDiscovery.address()));
+        Files.writeString(
+                file,
+                config(host("b", backend.address(), "in_service"))
+                        .replace(discovery.address(), newDiscovery.address()));
         start(host("gone", "127.0.0.1:9", "in_service"));
         Server.Reload reload = new Server.Reload(file, loop, 0);
         loop.ask(() -> reload.follows(door));
         assertThat(newDiscovery.asked()).contains("GET /registry/instances");
-        assertThat(ask(rpc("t1", "order", ""))).as("by the list of where discovery is now").endsWith("for t1");
+        assertThat(ask(rpc("t1", "order", "")))
+                .as("by the list of where discovery is now")
+                .endsWith("for t1");
         assertThat(counter.asked()).isNotNull();
     }
 
@@ -518,7 +573,9 @@
         start();
         assertThat(ask(rpc("t1", "order", ""))).endsWith("for t1");
         rest();
-        loop.ask(() -> door.told(Map.of("hosts", List.of(Map.of("host", "b", "dial", backend.address(), "health", "in_service"))), true));
+        loop.ask(() -> door.told(
+                Map.of("hosts", List.of(Map.of("host", "b", "dial", backend.address(), "health", "in_service"))),
+                true));
         assertThat(ask(rpc("t2", "order", ""))).endsWith("for t2");
         assertThat(backend.sockets).hasSize(1);
     }
@@ -531,10 +588,18 @@
         assertThat(config.settings().methods().get(1).deadlineUs()).isEqualTo(4_000_000);
         assertThat(config.listen()).isEqualTo(new InetSocketAddress("127.0.0.1", 0));
         Warmup.run(config);
-        for (String[] bad : new String[][] {{"\"listen\"", "\"x\"", "listen"}, {"127.0.0.1:0", "localhost:0", "no address"},
-                {"AttemptsCap", "Attempts", "Bounds.AttemptsCap"}, {"\"dedup\"", "\"twice\"", "Effect"}, {"{\"name\"", "\"name\"", "JSON"}}) {
-            assertThatThrownBy(() -> Config.parse(good.replace(bad[0], bad[1]))).isInstanceOf(IllegalArgumentException.class)
-                    .hasMessageContaining(bad[2]).message().doesNotContain("\n");
+        for (String[] bad : new String[][] {
+            {"\"listen\"", "\"x\"", "listen"},
+            {"127.0.0.1:0", "localhost:0", "no address"},
+            {"AttemptsCap", "Attempts", "Bounds.AttemptsCap"},
+            {"\"dedup\"", "\"twice\"", "Effect"},
+            {"{\"name\"", "\"name\"", "JSON"}
+        }) {
+            assertThatThrownBy(() -> Config.parse(good.replace(bad[0], bad[1])))
+                    .isInstanceOf(IllegalArgumentException.class)
+                    .hasMessageContaining(bad[2])
+                    .message()
+                    .doesNotContain("\n");
         }
     }
 
@@ -578,7 +643,9 @@
         assertThat(ask(rpc("t1", "order", ""))).startsWith("HTTP/1.1 200 ").endsWith("theirs");
         String passed = partner.asked();
         assertThat(field(passed, "X-Passed-On")).isEqualTo("1");
-        assertThat(Long.parseLong(field(passed, "X-Expires-In-Ms"))).as("the client's time, not this one's").isBetween(3_500L, 4_000L);
+        assertThat(Long.parseLong(field(passed, "X-Expires-In-Ms")))
+                .as("the client's time, not this one's")
+                .isBetween(3_500L, 4_000L);
         assertThat(ask(rpc("t2", "order", ""))).startsWith("HTTP/1.1 429 ").contains("Retry-After: 0.250");
         assertThat(ask(rpc("t3", "order", ""))).startsWith("HTTP/1.1 503 ");
         assertThat(ask(rpc("t4", "order", ""))).startsWith("HTTP/1.1 500 ");
@@ -591,7 +658,9 @@
         start();
         StandIn partner = new StandIn(request -> ok("never"));
         shares(partner);
-        assertThat(ask(rpc("t1", "order", "X-Passed-On: 1\r\n"))).startsWith("HTTP/1.1 429 ").contains("Retry-After: 0.200");
+        assertThat(ask(rpc("t1", "order", "X-Passed-On: 1\r\n")))
+                .startsWith("HTTP/1.1 429 ")
+                .contains("Retry-After: 0.200");
         assertThat(partner.requests).isEmpty();
     }
 
@@ -603,7 +672,8 @@
         shares(first);
         assertThat(ask(rpc("t1", "order", ""))).endsWith("first");
         shares(second);
-        discovery.say(chunk("{\"seq\":42,\"whole\":true,\"hosts\":[" + host("b", backend.address(), "in_service") + "]}\n"));
+        discovery.say(
+                chunk("{\"seq\":42,\"whole\":true,\"hosts\":[" + host("b", backend.address(), "in_service") + "]}\n"));
         assertThat(ask(rpc("t2", "order", ""))).endsWith("second");
         assertThat(ask(rpc("t3", "order", ""))).endsWith("second");
         assertThat(first.requests).hasSize(1);
