--- a/src/test/java/hopdrum/frontdoor/wire/WireStoryTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/WireStoryTest.java
@@ -16,13 +16,14 @@
 
 /** Parsers and writers: fed byte by byte and cut anywhere, without a socket. */
 class WireStoryTest {
-    private static final String RPC = "POST /api?area=7 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: 9b1f\r\nX-Qos: checkout\r\n"
-            + "Plan: team\r\nCookie: a=b; key=00000000b4d65521\r\nX-Expires-In-Ms: 480\r\nIdempotency-Key: 5c0f\r\n"
-            + "Content-Length: 5\r\nQuota-Info: units=2,spread=3,first=1\r\n\r\nhello";
+    private static final String RPC =
+            "POST /api?area=7 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: 9b1f\r\nX-Qos: checkout\r\n"
+                    + "Plan: team\r\nCookie: a=b; key=00000000b4d65521\r\nX-Expires-In-Ms: 480\r\nIdempotency-Key: 5c0f\r\n"
+                    + "Content-Length: 5\r\nQuota-Info: units=2,spread=3,first=1\r\n\r\nhello";
     private final Ring ring = ring();
 
     private static Ring ring() {
-        return new Ring(128 << 10, by -> { });
+        return new Ring(128 << 10, by -> {});
     }
 
     private static void put(Ring ring, String text) {
@@ -33,7 +34,8 @@
 
     private static RpcHead head() {
         List<Method> rows = new ArrayList<>();
-        for (Method.Repeat repeat : List.of(Method.Repeat.DEDUPLICATED, Method.Repeat.IDEMPOTENT, Method.Repeat.NON_IDEMPOTENT)) {
+        for (Method.Repeat repeat :
+                List.of(Method.Repeat.DEDUPLICATED, Method.Repeat.IDEMPOTENT, Method.Repeat.NON_IDEMPOTENT)) {
             rows.add(new Method(2, 4, repeat, Method.Group.ALL, 0, 0, false));
         }
         return new RpcHead(List.of("checkout", "browse", "order"), List.of("solo", "team"), rows, 4, 6);
@@ -61,7 +63,14 @@
             assertThat(reader.read(cutRing)).isTrue();
             RpcHead head = head();
             head.read(cutRing, reader);
-            assertThat(List.of(head.method, head.plan, head.customer, head.units, head.gateways, head.firstGateway, head.leftMs))
+            assertThat(List.of(
+                            head.method,
+                            head.plan,
+                            head.customer,
+                            head.units,
+                            head.gateways,
+                            head.firstGateway,
+                            head.leftMs))
                     .isEqualTo(List.of(0, 1, 0xb4d65521L, 2.0, 3, 1, 480L));
             assertThat(cutRing.text(reader.bodyFrom(), reader.bodyTo())).isEqualTo("hello");
         }
@@ -69,7 +78,8 @@
 
     @Test
     void twoRequestsAtOnceAreReadOneAfterAnother() throws BadMessage {
-        HttpReader reader = whole(HttpReader.Kind.REQUEST, RPC + "\r\nGET /api HTTP/1.1\r\nConnection: x, close\r\n\r\n");
+        HttpReader reader =
+                whole(HttpReader.Kind.REQUEST, RPC + "\r\nGET /api HTTP/1.1\r\nConnection: x, close\r\n\r\n");
         assertThat(reader.keepAlive()).isTrue();
         reader.done(ring);
         assertThat(reader.read(ring)).isTrue();
@@ -105,69 +115,128 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"noise without a line's end", "HTTP/1x", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
-            "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", "HTTP/1.1 101 Other\r\n\r\n"})
+    @ValueSource(
+            strings = {
+                "noise without a line's end",
+                "HTTP/1x",
+                "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+                "HTTP/1.1 101 Other\r\n\r\n"
+            })
     void anAnswerThatIsSpoiltIsKnownAtOnce(String text) {
         put(ring, text);
-        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.RESPONSE).read(ring)).isInstanceOf(BadMessage.class);
+        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.RESPONSE).read(ring))
+                .isInstanceOf(BadMessage.class);
     }
 
     @Test
     void interimAnswersWithoutEndAreNotReadForEver() {
         put(ring, "HTTP/1.1 102 Wait\r\n\r\n".repeat(5000));
-        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.RESPONSE).read(ring)).isInstanceOf(BadMessage.class);
+        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.RESPONSE).read(ring))
+                .isInstanceOf(BadMessage.class);
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"queue=lots, util=0.6", "queue=NaN, util=0.6", "queue=-1, util=0.6", "queue=2, queue=3", "unheard=1", "\u00ff"})
+    @ValueSource(
+            strings = {
+                "queue=lots, util=0.6",
+                "queue=NaN, util=0.6",
+                "queue=-1, util=0.6",
+                "queue=2, queue=3",
+                "unheard=1",
+                "\u00ff"
+            })
     void loadFiguresThatCannotBeReadAreNoReport(String figures) throws BadMessage {
-        HttpReader reader = whole(HttpReader.Kind.RESPONSE,
+        HttpReader reader = whole(
+                HttpReader.Kind.RESPONSE,
                 "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT " + figures + "\r\nContent-Length: 0\r\n\r\n");
         assertThat(BackendAnswer.outcome(ring, reader)).isEqualTo(Outcome.OK);
-        assertThat(BackendAnswer.report(ring, reader, List.of("depth", "load_share"))).isEmpty();
+        assertThat(BackendAnswer.report(ring, reader, List.of("depth", "load_share")))
+                .isEmpty();
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"GET  HTTP/1.1\r\n\r\n", "GET /api\r\n\r\n", "GET /api HTTP/2.0\r\n\r\n", "GET /api HTTP/1.1\n\n",
-            "GET /api HTTP/1.1\r\nNo colon\r\n\r\n", "GET /api HTTP/1.1\r\nA : b\r\n\r\n", "GET /api HTTP/1.1\r\n folded\r\n\r\n",
-            "GET /api HTTP/1.1\r\nContent-Length: x\r\n\r\n", "GET /api HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
-            "GET /api HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", "GET /a\u0001 HTTP/1.1\r\n\r\n",
-            "GET /api HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", "GET /api HTTP/1.1\r\nA: b\rc\r\n\r\n",
-            "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab"})
+    @ValueSource(
+            strings = {
+                "GET  HTTP/1.1\r\n\r\n",
+                "GET /api\r\n\r\n",
+                "GET /api HTTP/2.0\r\n\r\n",
+                "GET /api HTTP/1.1\n\n",
+                "GET /api HTTP/1.1\r\nNo colon\r\n\r\n",
+                "GET /api HTTP/1.1\r\nA : b\r\n\r\n",
+                "GET /api HTTP/1.1\r\n folded\r\n\r\n",
+                "GET /api HTTP/1.1\r\nContent-Length: x\r\n\r\n",
+                "GET /api HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+                "GET /api HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+                "GET /a\u0001 HTTP/1.1\r\n\r\n",
+                "GET /api HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
+                "GET /api HTTP/1.1\r\nA: b\rc\r\n\r\n",
+                "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+                "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab"
+            })
     void whatIsMalformedIsABadRequest(String text) {
         put(ring, text);
-        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(ring)).isInstanceOf(BadMessage.class)
+        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(ring))
+                .isInstanceOf(BadMessage.class)
                 .hasFieldOrPropertyWithValue("status", 400);
     }
 
     @Test
     void aHeadOrABodyThatIsTooLongIsNamed() {
         put(ring, "GET /api HTTP/1.1\r\nLong: " + "x".repeat(HttpReader.MOST_HEAD));
-        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(ring)).hasFieldOrPropertyWithValue("status", 431);
+        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(ring))
+                .hasFieldOrPropertyWithValue("status", 431);
         Ring other = ring();
         put(other, "POST /api HTTP/1.1\r\nContent-Length: 65537\r\n\r\n");
-        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(other)).hasFieldOrPropertyWithValue("status", 413);
+        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(other))
+                .hasFieldOrPropertyWithValue("status", 413);
     }
 
     @ParameterizedTest
-    @CsvSource({"X-Trace-Id: 9b1f, X-Other: 1, 400", "X-Qos: checkout, X-Qos: nothing, 400", "Plan: team, Plan: none, 400",
-            "key=00000000b4d65521, key=00000002b4d65521, 400", "units=2, units=two, 400", "spread=3, spread=0, 400",
-            "Expires-In-Ms: 480, Expires-In-Ms: soon, 400", "/api?area=7, /other, 404",
-            "spread=3, spread=5, 400", "first=1, first=4, 400", "units=2, units=7, 400", "units=2, units=0, 400", "units=2, units=0x1p1, 400",
-            "units=2, units=2d, 400", "units=2, units=-2, 400", "units=2, units=1e0, 400", "units=2, units=1_units=2, 400",
-            "spread=3, spread=3_spread=3, 400", "Plan: team, Plan: team|Plan: solo, 400", "X-Qos: checkout, X-Qos: checkout|X-Qos: order, 400",
-            "X-Trace-Id: 9b1f, X-Trace-Id: 9b1f|x-trace-id: 9b1f, 400", "X-Trace-Id: 9b1f, X-Trace-Id:, 400", "Cookie: a=b, Cookie: key=0000000000000001, 400",
-            "Idempotency-Key: 5c0f, Idempotency-Key:, 400", "Idempotency-Key: 5c0f, X-A: 1, 400", "POST, GET, 405", "POST, PUT, 405",
-            "checkout, browse, 405", "POST_checkout, GET_browse, 400"})
+    @CsvSource({
+        "X-Trace-Id: 9b1f, X-Other: 1, 400",
+        "X-Qos: checkout, X-Qos: nothing, 400",
+        "Plan: team, Plan: none, 400",
+        "key=00000000b4d65521, key=00000002b4d65521, 400",
+        "units=2, units=two, 400",
+        "spread=3, spread=0, 400",
+        "Expires-In-Ms: 480, Expires-In-Ms: soon, 400",
+        "/api?area=7, /other, 404",
+        "spread=3, spread=5, 400",
+        "first=1, first=4, 400",
+        "units=2, units=7, 400",
+        "units=2, units=0, 400",
+        "units=2, units=0x1p1, 400",
+        "units=2, units=2d, 400",
+        "units=2, units=-2, 400",
+        "units=2, units=1e0, 400",
+        "units=2, units=1_units=2, 400",
+        "spread=3, spread=3_spread=3, 400",
+        "Plan: team, Plan: team|Plan: solo, 400",
+        "X-Qos: checkout, X-Qos: checkout|X-Qos: order, 400",
+        "X-Trace-Id: 9b1f, X-Trace-Id: 9b1f|x-trace-id: 9b1f, 400",
+        "X-Trace-Id: 9b1f, X-Trace-Id:, 400",
+        "Cookie: a=b, Cookie: key=0000000000000001, 400",
+        "Idempotency-Key: 5c0f, Idempotency-Key:, 400",
+        "Idempotency-Key: 5c0f, X-A: 1, 400",
+        "POST, GET, 405",
+        "POST, PUT, 405",
+        "checkout, browse, 405",
+        "POST_checkout, GET_browse, 400"
+    })
     void aHeadThatNamesNoRpcIsTurnedDown(String what, String by, int status) throws BadMessage {
         String text = RPC;
-        for (int i = 0; i < (what.contains("_") ? 2 : 1); i++) { // a blank, a line's end and a comma do not stand in the table
-            text = what.contains("_") ? text.replace(what.split("_")[i], by.split("_")[i])
+        for (int i = 0;
+                i < (what.contains("_") ? 2 : 1);
+                i++) { // a blank, a line's end and a comma do not stand in the table
+            text = what.contains("_")
+                    ? text.replace(what.split("_")[i], by.split("_")[i])
                     : text.replace(what, by.replace("|", "\r\n").replace('_', ','));
         }
         HttpReader reader = whole(HttpReader.Kind.REQUEST, text);
         assertThatThrownBy(() -> head().read(ring, reader))
-                .isInstanceOf(BadMessage.class).hasFieldOrPropertyWithValue("status", status);
+                .isInstanceOf(BadMessage.class)
+                .hasFieldOrPropertyWithValue("status", status);
     }
 
     @Test
@@ -175,32 +244,48 @@
         HttpReader reader = whole(HttpReader.Kind.REQUEST, RPC.replace("Host:", "Connection: keep-alive\r\nHost:"));
         Ring out = ring();
         assertThat(RpcHead.forward(ring, reader, 321, false, out)).isTrue();
-        assertThat(all(out)).isEqualTo("POST /api?area=7 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: 9b1f\r\n"
-                + "X-Qos: checkout\r\nPlan: team\r\nCookie: a=b; key=00000000b4d65521\r\nIdempotency-Key: 5c0f\r\n"
-                + "Quota-Info: units=2,spread=3,first=1\r\nX-Expires-In-Ms: 321\r\nContent-Length: 5\r\n\r\nhello");
+        assertThat(all(out))
+                .isEqualTo(
+                        "POST /api?area=7 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: 9b1f\r\n"
+                                + "X-Qos: checkout\r\nPlan: team\r\nCookie: a=b; key=00000000b4d65521\r\nIdempotency-Key: 5c0f\r\n"
+                                + "Quota-Info: units=2,spread=3,first=1\r\nX-Expires-In-Ms: 321\r\nContent-Length: 5\r\n\r\nhello");
     }
 
     @ParameterizedTest
-    @CsvSource({"200 OK, X-A: 1, OK", "500 Broken, X-A: 1, ERROR", "503 Full, X-Never-Ran: 1, FULL", "504 Over, x-never-ran: 1, FULL",
-            "503 Full, X-A: 1, ERROR", "404 None, X-Never-Ran: 1, MOOT", "400 Unfit, X-A: 1, MOOT"})
+    @CsvSource({
+        "200 OK, X-A: 1, OK",
+        "500 Broken, X-A: 1, ERROR",
+        "503 Full, X-Never-Ran: 1, FULL",
+        "504 Over, x-never-ran: 1, FULL",
+        "503 Full, X-A: 1, ERROR",
+        "404 None, X-Never-Ran: 1, MOOT",
+        "400 Unfit, X-A: 1, MOOT"
+    })
     void aBackendsAnswerMeansWhatThePageSays(String status, String field, Outcome outcome) throws BadMessage {
-        HttpReader reader = whole(HttpReader.Kind.RESPONSE, "HTTP/1.1 " + status + "\r\n" + field
-                + "\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61\r\nContent-Length: 0\r\n\r\n");
+        HttpReader reader = whole(
+                HttpReader.Kind.RESPONSE,
+                "HTTP/1.1 " + status + "\r\n" + field
+                        + "\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61\r\nContent-Length: 0\r\n\r\n");
         assertThat(BackendAnswer.outcome(ring, reader)).isEqualTo(outcome);
-        assertThat(BackendAnswer.report(ring, reader, List.of("depth", "load_share"))).containsExactly(2f, 0.61f);
+        assertThat(BackendAnswer.report(ring, reader, List.of("depth", "load_share")))
+                .containsExactly(2f, 0.61f);
         assertThat(BackendAnswer.report(ring, reader, List.of("tps"))).isEmpty();
     }
 
     @Test
     void anAnswerKeepsItsBodyAndARefusalNamesItsTime() throws BadMessage {
-        HttpReader reader = whole(HttpReader.Kind.RESPONSE,
+        HttpReader reader = whole(
+                HttpReader.Kind.RESPONSE,
                 "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc");
         Ring out = ring();
         assertThat(HttpWriter.answer(ring, reader, true, out)).isTrue();
-        assertThat(all(out)).isEqualTo("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: 3\r\n\r\nabc");
+        assertThat(all(out))
+                .isEqualTo(
+                        "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: 3\r\n\r\nabc");
         out.skip(out.size());
         assertThat(HttpWriter.plain(429, 1_234_567, false, out)).isTrue();
-        assertThat(all(out)).isEqualTo("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 1.235\r\nContent-Length: 0\r\n\r\n");
+        assertThat(all(out))
+                .isEqualTo("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 1.235\r\nContent-Length: 0\r\n\r\n");
     }
 
     @Test
@@ -220,7 +305,8 @@
 
     @Test
     void aWatchCutAnywhereGivesItsLines() throws BadMessage {
-        String watch = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{\"se\r\n5\r\nq\":1}\r\n2\r\n\n\n\r\n8\r\n{\"q\":2}\n\r\n";
+        String watch =
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{\"se\r\n5\r\nq\":1}\r\n2\r\n\n\n\r\n8\r\n{\"q\":2}\n\r\n";
         for (int cut = 0; cut <= watch.length(); cut++) {
             List<String> lines = new ArrayList<>();
             DiscoveryReader reader = new DiscoveryReader(lines::add);
@@ -240,20 +326,25 @@
     @Test
     void anIndentedListIsOneMessageAndOneCutShortTakesNoOtherAlong() throws BadMessage {
         List<String> lines = new ArrayList<>();
-        put(ring, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\n  \"seq\": 1,\n  \"hosts\": [\n    {\"host\": \"}\\\"{\"}\n  ]\n}\n\n"
-                + "{\"seq\":2,\"hosts\":[\n\n{\"seq\":3,\"ho\n{\"seq\":4}\n");
+        put(
+                ring,
+                "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\n  \"seq\": 1,\n  \"hosts\": [\n    {\"host\": \"}\\\"{\"}\n  ]\n}\n\n"
+                        + "{\"seq\":2,\"hosts\":[\n\n{\"seq\":3,\"ho\n{\"seq\":4}\n");
         new DiscoveryReader(lines::add).read(ring);
         assertThat(lines).hasSize(6);
         assertThat(Json.parse(lines.get(0))).isEqualTo(Map.of("seq", 1.0, "hosts", List.of(Map.of("host", "}\"{"))));
-        assertThat(lines.subList(1, 6)).containsExactly("", "{\"seq\":2,\"hosts\":[", "", "{\"seq\":3,\"ho", "{\"seq\":4}");
+        assertThat(lines.subList(1, 6))
+                .containsExactly("", "{\"seq\":2,\"hosts\":[", "", "{\"seq\":3,\"ho", "{\"seq\":4}");
     }
 
     @Test
     void jsonIsReadOrItsPlaceNamed() {
         assertThat(Json.parse(" {\"a\":[1,-2.5e1,true,null,\"x\\u0041\\n\"],\"b\":{}} "))
                 .isEqualTo(Map.of("a", java.util.Arrays.asList(1.0, -25.0, true, null, "xA\n"), "b", Map.of()));
-        for (String bad : new String[] {"", "{", "[1,]", "{\"a\" 1}", "\"\\x\"", "tru", "1 2", "[".repeat(100), "\"\u0001\""}) {
-            assertThatThrownBy(() -> Json.parse(bad)).isInstanceOf(IllegalArgumentException.class)
+        for (String bad :
+                new String[] {"", "{", "[1,]", "{\"a\" 1}", "\"\\x\"", "tru", "1 2", "[".repeat(100), "\"\u0001\""}) {
+            assertThatThrownBy(() -> Json.parse(bad))
+                    .isInstanceOf(IllegalArgumentException.class)
                     .hasMessageContaining("character");
         }
     }
--- a/src/test/java/hopdrum/policy/ColdFleetStoryTest.java
+++ b/src/test/java/hopdrum/policy/ColdFleetStoryTest.java
@@ -14,11 +14,11 @@
 class ColdFleetStoryTest {
     private static final int GATEWAYS = 30;
     private static final long STEP_US = 10_000;
-    private static final long WINDOW_US = 1_500_000;    // as in FakeHost's settings, like the ramp's figures
+    private static final long WINDOW_US = 1_500_000; // as in FakeHost's settings, like the ramp's figures
     private static final long WARM_AFTER_US = 10_000_000;
     private static final double COLD_FROM = 0.2;
     private static final double FACTOR = 2;
-    private static final double WORK_US = 250_000;      // what a request takes, by what each gateway knows at its start
+    private static final double WORK_US = 250_000; // what a request takes, by what each gateway knows at its start
 
     /** A gateway that always has a request waiting; what it sends is answered in the usual time. */
     private static final class Gateway {
@@ -86,7 +86,9 @@
         }
         assertThat(sentAtAge).as("it is not starved").hasSizeGreaterThan(3);
         for (long fromUs : sentAtAge) {
-            long inWindow = sentAtAge.stream().filter(at -> at >= fromUs && at < fromUs + WINDOW_US).count();
+            long inWindow = sentAtAge.stream()
+                    .filter(at -> at >= fromUs && at < fromUs + WINDOW_US)
+                    .count();
             assertThat((double) inWindow).as("from age %d", fromUs).isLessThanOrEqualTo(mostAt(fromUs));
         }
     }
--- a/src/test/java/hopdrum/policy/DistancesStoryTest.java
+++ b/src/test/java/hopdrum/policy/DistancesStoryTest.java
@@ -19,7 +19,8 @@
         door.start(0);
         door.distances = new Distances(new long[] {0, farUs});
         for (int i = 1; i <= 4; i++) {
-            door.policy.listed(0, Listed.Form.CHANGES, List.of(new Listed(i, i <= 2 ? 0 : 1, 0, i, Listed.State.READY, 1, 0)));
+            door.policy.listed(
+                    0, Listed.Form.CHANGES, List.of(new Listed(i, i <= 2 ? 0 : 1, 0, i, Listed.State.READY, 1, 0)));
         }
         door.pass(10_000);
     }
@@ -35,8 +36,13 @@
     @Test
     void aFreeBackendNearIsTakenBeforeAFarOneAndAFarOneBeforeALongLine() {
         start(700_000);
-        assertThat(sent(4)).as("two here, then a second each: still sooner than the way").isNotEmpty().noneMatch(c -> c.endsWith("3") || c.endsWith("4"));
-        assertThat(sent(6)).as("the line here is longer than the way").anyMatch(c -> c.endsWith("3") || c.endsWith("4"));
+        assertThat(sent(4))
+                .as("two here, then a second each: still sooner than the way")
+                .isNotEmpty()
+                .noneMatch(c -> c.endsWith("3") || c.endsWith("4"));
+        assertThat(sent(6))
+                .as("the line here is longer than the way")
+                .anyMatch(c -> c.endsWith("3") || c.endsWith("4"));
     }
 
     @Test
--- a/src/test/java/hopdrum/policy/FailureStoryTest.java
+++ b/src/test/java/hopdrum/policy/FailureStoryTest.java
@@ -59,7 +59,10 @@
             }
             door.end(rpc, last, Outcome.OK, 100_000);
         }
-        assertThat(door.heard("attempt").stream().filter(a -> a.endsWith("to 1")).count()).isLessThanOrEqualTo(4);
+        assertThat(door.heard("attempt").stream()
+                        .filter(a -> a.endsWith("to 1"))
+                        .count())
+                .isLessThanOrEqualTo(4);
         assertThat(door.heard("refuse")).isEmpty();
     }
 
@@ -77,7 +80,10 @@
             }
             door.pass(100_000);
         }
-        assertThat(door.heard("attempt").stream().filter(a -> a.endsWith("to 1")).count()).isGreaterThan(4);
+        assertThat(door.heard("attempt").stream()
+                        .filter(a -> a.endsWith("to 1"))
+                        .count())
+                .isGreaterThan(4);
     }
 
     @Test
@@ -89,8 +95,13 @@
             door.take();
             door.policy.counted(door.lastName(), Outcome.UNREADABLE, 0, 1_000);
         }
-        assertThat(door.heard("attempt")).as("let in by the slice of what is known").hasSizeGreaterThan(3);
-        assertThat(door.heard("add")).as("asked at each, and nothing owed").hasSize(6).allMatch(a -> a.equals("add 1.0"));
+        assertThat(door.heard("attempt"))
+                .as("let in by the slice of what is known")
+                .hasSizeGreaterThan(3);
+        assertThat(door.heard("add"))
+                .as("asked at each, and nothing owed")
+                .hasSize(6)
+                .allMatch(a -> a.equals("add 1.0"));
     }
 
     @Test
@@ -121,7 +132,8 @@
         assertThat(door.heard("attempt").size() + refused).isGreaterThanOrEqualTo(8);
         door.asked.clear();
         door.takeInQuota();
-        assertThat(door.heard("add").get(0)).as("units of work never sent ride back on the next call")
+        assertThat(door.heard("add").get(0))
+                .as("units of work never sent ride back on the next call")
                 .startsWith("add -");
     }
 
@@ -137,7 +149,9 @@
         door.pass(1_990_000);
         assertThat(door.heard("refuse")).as("all that wait, but one").hasSize(8 - sent - 1);
         door.end(taken.get(0), 0, Outcome.OK, 1_990_000);
-        assertThat(door.heard("attempt")).as("a place is free, and nobody else waits").hasSize(sent + 1);
+        assertThat(door.heard("attempt"))
+                .as("a place is free, and nobody else waits")
+                .hasSize(sent + 1);
         assertThat(door.heard("abort")).isEmpty();
     }
 
@@ -158,7 +172,10 @@
         door.takeCounted(-0.2);
         door.take();
         door.take();
-        assertThat(door.heard("refuse").stream().map(a -> a.replaceAll(".* for ", "")).distinct()).hasSize(3);
+        assertThat(door.heard("refuse").stream()
+                        .map(a -> a.replaceAll(".* for ", ""))
+                        .distinct())
+                .hasSize(3);
     }
 
     @Test
@@ -169,7 +186,9 @@
         for (int i = 0; i < 5; i++) {
             door.take();
         }
-        assertThat(door.heard("add")).as("one call for the credit of 1.5, the rest wait").hasSize(1);
+        assertThat(door.heard("add"))
+                .as("one call for the credit of 1.5, the rest wait")
+                .hasSize(1);
         door.answer(-0.5);
         assertThat(door.heard("refuse")).hasSize(5);
     }
@@ -187,7 +206,9 @@
             }
             door.pass(4_000);
         }
-        assertThat(calls).as("2 s: a window at full pace, then five trials a second").isBetween(20, 80);
+        assertThat(calls)
+                .as("2 s: a window at full pace, then five trials a second")
+                .isBetween(20, 80);
     }
 
     @Test
@@ -264,7 +285,9 @@
         door.pass(600_000);
         door.asked.clear();
         door.take();
-        assertThat(door.heard("refuse")).as("a refill of 2 a second has made room").isEmpty();
+        assertThat(door.heard("refuse"))
+                .as("a refill of 2 a second has made room")
+                .isEmpty();
     }
 
     @Test
@@ -276,9 +299,14 @@
         door.pass(301_000);
         door.take();
         door.policy.counted(door.lastName(), Outcome.OK, 3, 1_000);
-        assertThat(door.heard("add")).as("its maker is gone, or its add was lost").hasSize(3);
-        assertThat(door.totalFor(0) - 3 - Double.parseDouble(door.heard("add").get(2).substring(4)))
-                .as("trimmed to a full burst, less its unit").isBetween(2.9, 3.1);
+        assertThat(door.heard("add"))
+                .as("its maker is gone, or its add was lost")
+                .hasSize(3);
+        assertThat(door.totalFor(0)
+                        - 3
+                        - Double.parseDouble(door.heard("add").get(2).substring(4)))
+                .as("trimmed to a full burst, less its unit")
+                .isBetween(2.9, 3.1);
     }
 
     @Test
@@ -301,12 +329,15 @@
                 door.pass(10_000);
             }
         }
-        assertThat(door.heard("add").size()).as("asked in the last second, 7 or 8 at first").isGreaterThan(30);
+        assertThat(door.heard("add").size())
+                .as("asked in the last second, 7 or 8 at first")
+                .isGreaterThan(30);
     }
 
     @Test
     void aRepeatThatNobodyListedMayTakeIsAnsweredAtOnce() {
-        door.method = new Method(2_000_000, 7_500_000, Method.Repeat.DEDUPLICATED, Method.Group.CELL, 6_000_000, 0, false);
+        door.method =
+                new Method(2_000_000, 7_500_000, Method.Repeat.DEDUPLICATED, Method.Group.CELL, 6_000_000, 0, false);
         door.start(2);
         Policy.Rpc rpc = door.takeInQuota();
         long first = door.heard("attempt").get(0).endsWith("to 1") ? 1 : 2;
@@ -339,7 +370,9 @@
         door.policy.counted(door.lastName(), Outcome.OK, 1, 1_000); // emptied: the total is this call's own
         assertThat(door.heard("attempt")).hasSize(1);
         double restored = Double.parseDouble(door.heard("add").get(1).substring(4));
-        assertThat(door.totalFor(0) - 1 - restored).as("no fresh burst: nothing is left").isBetween(-0.1, 0.1);
+        assertThat(door.totalFor(0) - 1 - restored)
+                .as("no fresh burst: nothing is left")
+                .isBetween(-0.1, 0.1);
     }
 
     @Test
@@ -383,7 +416,11 @@
     }
 
     private static byte[] told(long customer, float credit) {
-        return ByteBuffer.allocate(9).put((byte) (customer >> 32)).putInt((int) customer).putFloat(credit).array();
+        return ByteBuffer.allocate(9)
+                .put((byte) (customer >> 32))
+                .putInt((int) customer)
+                .putFloat(credit)
+                .array();
     }
 
     @Test
@@ -398,7 +435,9 @@
         door.pass(1_000_000); // at 2 a second, a credit of -1 is one of 1 now
         door.takeCounted(0);
         assertThat(door.heard("add")).hasSize(1);
-        assertThat(door.heard("attempt")).as("no slice holds it back any longer").hasSize(1);
+        assertThat(door.heard("attempt"))
+                .as("no slice holds it back any longer")
+                .hasSize(1);
     }
 
     @Test
@@ -471,7 +510,9 @@
             door.policy.take(500 + i, 0, 500 + i, 0, 1, 0, 100, 7_500_000);
         }
         assertThat(door.heard("add")).isEmpty();
-        assertThat(door.heard("refuse")).as("but for one of four, soon after a start").hasSizeLessThan(10);
+        assertThat(door.heard("refuse"))
+                .as("but for one of four, soon after a start")
+                .hasSizeLessThan(10);
     }
 
     @Test
@@ -523,7 +564,9 @@
         for (int i = 0; i < 12; i++) {
             door.takeInQuota();
         }
-        assertThat(door.heard("attempt")).as("12 first places, less 0.3 for each while half are in use").hasSizeBetween(8, 10);
+        assertThat(door.heard("attempt"))
+                .as("12 first places, less 0.3 for each while half are in use")
+                .hasSizeBetween(8, 10);
     }
 
     @Test
--- a/src/test/java/hopdrum/policy/FakeHost.java
+++ b/src/test/java/hopdrum/policy/FakeHost.java
@@ -24,16 +24,39 @@
     boolean secondCopies = true;
     long clockUs = 90_000_000;
     Policy policy;
-    Sharers sharers;         // null: no fleet
-    Distances distances;     // null: no map
-    long owner;              // 0: this tier
+    Sharers sharers; // null: no fleet
+    Distances distances; // null: no map
+    long owner; // 0: this tier
     long ownedForUs = Long.MAX_VALUE / 2;
     private long wakeUs = Long.MAX_VALUE;
     private long lastId;
 
     FakeHost start(int backends) {
-        policy = new Policy(new Settings(gateways, ordinal, 1_000, List.of(method), List.of(plan), true, 50_000, true, false,
-                3, true, true, 1_000_000, secondCopies, false, false, List.of("depth"), 0.2, 10_000_000, 2, 1_500_000), 7, this);
+        policy = new Policy(
+                new Settings(
+                        gateways,
+                        ordinal,
+                        1_000,
+                        List.of(method),
+                        List.of(plan),
+                        true,
+                        50_000,
+                        true,
+                        false,
+                        3,
+                        true,
+                        true,
+                        1_000_000,
+                        secondCopies,
+                        false,
+                        false,
+                        List.of("depth"),
+                        0.2,
+                        10_000_000,
+                        2,
+                        1_500_000),
+                7,
+                this);
         for (int i = 1; i <= backends; i++) {
             list(i, Listed.State.READY, 0);
         }
@@ -42,8 +65,8 @@
     }
 
     void list(long backend, Listed.State state, long startedAtUs) {
-        policy.listed(0, Listed.Form.CHANGES,
-                List.of(new Listed(backend, 0, 0, (int) backend % 2, state, 1, startedAtUs)));
+        policy.listed(
+                0, Listed.Form.CHANGES, List.of(new Listed(backend, 0, 0, (int) backend % 2, state, 1, startedAtUs)));
     }
 
     Policy.Rpc take() {
--- a/src/test/java/hopdrum/policy/PartnersStoryTest.java
+++ b/src/test/java/hopdrum/policy/PartnersStoryTest.java
@@ -17,8 +17,12 @@
     @BeforeEach
     void start() {
         door.start(2);
-        door.policy.listed(2, Listed.Form.WHOLE, List.of(new Listed(11, 0, 0, 0, Listed.State.READY, 1, 0),
-                new Listed(12, 0, 0, 0, Listed.State.READY, 1, 0)));
+        door.policy.listed(
+                2,
+                Listed.Form.WHOLE,
+                List.of(
+                        new Listed(11, 0, 0, 0, Listed.State.READY, 1, 0),
+                        new Listed(12, 0, 0, 0, Listed.State.READY, 1, 0)));
         door.owner = 2;
     }
 
--- a/src/test/java/hopdrum/policy/QuotaStoryTest.java
+++ b/src/test/java/hopdrum/policy/QuotaStoryTest.java
@@ -19,12 +19,20 @@
     @Test
     void anRpcBeyondQuotaGivesItsUnitsBackAndIsRefusedWithATimeToReturn() {
         door.takeCounted(-5);
-        assertThat(door.asked).startsWith("add 1.0", "add -1.0").last().asString().startsWith("refuse 1 for ");
+        assertThat(door.asked)
+                .startsWith("add 1.0", "add -1.0")
+                .last()
+                .asString()
+                .startsWith("refuse 1 for ");
         assertThat(door.heard("refuse").get(0)).doesNotEndWith(" for 0");
         door.asked.clear();
         door.take();
-        assertThat(door.asked).as("the reading still stands: no call is needed").hasSize(1)
-                .first().asString().startsWith("refuse 2");
+        assertThat(door.asked)
+                .as("the reading still stands: no call is needed")
+                .hasSize(1)
+                .first()
+                .asString()
+                .startsWith("refuse 2");
     }
 
     @Test
@@ -49,7 +57,9 @@
         for (int i = 1; i <= 3; i++) {
             door.policy.counted(name, Outcome.OK, door.totalFor(-i), 30_000);
         }
-        assertThat(door.heard("add -1.0")).as("only what was not let in goes back").isNotEmpty();
+        assertThat(door.heard("add -1.0"))
+                .as("only what was not let in goes back")
+                .isNotEmpty();
         assertThat(door.names).containsOnly(name);
     }
 }
--- a/src/test/java/hopdrum/policy/RulesStoryTest.java
+++ b/src/test/java/hopdrum/policy/RulesStoryTest.java
@@ -54,7 +54,10 @@
         for (int i = 0; i < 3; i++) {
             door.end(rpc, i, Outcome.ERROR, 5_000);
         }
-        long parity = door.heard("attempt 1 ").stream().map(a -> a.charAt(a.length() - 1) % 2).distinct().count();
+        long parity = door.heard("attempt 1 ").stream()
+                .map(a -> a.charAt(a.length() - 1) % 2)
+                .distinct()
+                .count();
         assertThat(parity).isEqualTo(1);
         assertThat(door.heard("abort 1")).hasSize(1);
         assertThat(door.heard("refuse")).isEmpty();
@@ -82,7 +85,9 @@
         door.pass(300_000);
         door.end(rpc, 0, Outcome.ERROR, 300_000);
         assertThat(door.heard("attempt 1 ")).hasSize(2);
-        assertThat(door.beginWithin.get(1)).as("a window of 1 s, from the first").isBetween(600_000L, 700_000L);
+        assertThat(door.beginWithin.get(1))
+                .as("a window of 1 s, from the first")
+                .isBetween(600_000L, 700_000L);
     }
 
     @Test
@@ -143,7 +148,11 @@
         door.plan = new Plan(2, 4, 0, 2.2, 4.4, 0.4);
         door.start(3);
         door.take();
-        door.policy.counted(door.lastName(), Outcome.OK, 1, 1_000); // its call made the name: a burst of 0.8 is all that the ceiling surely leaves
+        door.policy.counted(
+                door.lastName(),
+                Outcome.OK,
+                1,
+                1_000); // its call made the name: a burst of 0.8 is all that the ceiling surely leaves
         assertThat(door.heard("refuse 1")).hasSize(1);
     }
 
--- a/src/test/java/hopdrum/policy/SharersStoryTest.java
+++ b/src/test/java/hopdrum/policy/SharersStoryTest.java
@@ -46,7 +46,9 @@
         assertThat(letIn(door, 3)).isZero();
         assertThat(door.heard("refuse")).hasSize(3).noneMatch(a -> a.endsWith(" for 0"));
         door.pass(3_000_000); // a call may be made again
-        assertThat(door.takeCounted(2)).as("the counter's word stands above all").isNotNull();
+        assertThat(door.takeCounted(2))
+                .as("the counter's word stands above all")
+                .isNotNull();
         assertThat(door.heard("attempt")).hasSize(1);
     }
 
--- a/src/test/java/hopdrum/rig/TrialsIT.java
+++ b/src/test/java/hopdrum/rig/TrialsIT.java
@@ -23,8 +23,9 @@
 class TrialsIT {
     private static final int AT_ONCE = 3;
     /** What a machine that is short of CPU for a moment can break; all other rules hold however slow it is. */
-    private static final Set<String> TIMED = Set.of("settled", "says", "map", "share", "in_time", "unchanged", "dropped", "shares", "owned",
-            "refusal");
+    private static final Set<String> TIMED =
+            Set.of("settled", "says", "map", "share", "in_time", "unchanged", "dropped", "shares", "owned", "refusal");
+
     private static final Path HOME = Path.of("").toAbsolutePath();
 
     @TempDir
@@ -44,7 +45,8 @@
         try (Stream<Path> trials = Files.list(HOME.resolve("trials/short"))) {
             for (Path trial : trials.sorted().toList()) {
                 Future<List<String>> played = pool.submit(() -> play(trial, 1));
-                tests.add(DynamicTest.dynamicTest(trial.getFileName().toString(),
+                tests.add(DynamicTest.dynamicTest(
+                        trial.getFileName().toString(),
                         () -> assertThat(again(trial, played.get())).last().isEqualTo("verdict: kept")));
             }
         }
@@ -66,7 +68,8 @@
 
     @Test
     void theCheckerCatchesFrontDoorsThatBreakTheRulesOnRpcs() throws Exception {
-        assertThat(broken("doors.yaml")).contains("answer", "once", "quota", "process", "settled", "says", "share", "in_time");
+        assertThat(broken("doors.yaml"))
+                .contains("answer", "once", "quota", "process", "settled", "says", "share", "in_time");
     }
 
     @Test
@@ -86,7 +89,8 @@
 
     @Test
     void theCheckerCatchesOwnersThatNobodyAgreedOnAndRpcsThatRunAtThem() throws Exception {
-        assertThat(broken("owners.yaml")).contains("one-owner", "owner", "one-operator", "agreed", "moves", "shares", "owned", "refusal");
+        assertThat(broken("owners.yaml"))
+                .contains("one-owner", "owner", "one-operator", "agreed", "moves", "shares", "owned", "refusal");
     }
 
     @Test
