--- a/src/main/java/hopdrum/fleet/Fleet.java
+++ b/src/main/java/hopdrum/fleet/Fleet.java
@@ -88,7 +88,7 @@
                 return "an unknown operator";
             }
             synchronized (Fleet.this) {
-                Member known = membership.reach().known(hello.who().name());
+                Member known = membership.failureDetector().known(hello.who().name());
                 boolean sameStart =
                         known != null && known.start() == hello.who().start();
                 return sameStart && !known.equals(hello.who()) ? "the name is another's" : null;
@@ -318,7 +318,7 @@
                 store.write(vote.kept);
                 synchronized (this) {
                     if (!closed) {
-                        membership.council().kept(vote.then, nowUs());
+                        membership.viewConsensus().kept(vote.then, nowUs());
                         handOut();
                     }
                 }
@@ -357,7 +357,11 @@
         }
         long now = nowUs();
         shards = partners.table(
-                membership.council().leases(), file.operators(), leaves || membership.isOut(now), loopOffsetUs, now);
+                membership.viewConsensus().leases(),
+                file.operators(),
+                leaves || membership.isOut(now),
+                loopOffsetUs,
+                now);
         Map<String, List<Shards.Door>> before = doors;
         doors = partners.doors();
         tellDoors(before);
@@ -385,7 +389,7 @@
     /** A new snapshot, if what may be claimed has changed; what it lets this gateway claim is logged first. */
     private void publish() {
         long now = nowUs();
-        Leases leases = membership.council().leases();
+        Leases leases = membership.viewConsensus().leases();
         long until = membership.isOut(now) ? Long.MIN_VALUE / 2 : leases.untilUs(now);
         List<BitSet> views = new ArrayList<>();
         int most = 0;
@@ -400,7 +404,7 @@
             views.add(gateways);
         }
         String claim = until + "/" + most + "/" + views.size() + "/"
-                + membership.council().view().number();
+                + membership.viewConsensus().view().number();
         if (!claim.equals(claimed)) {
             claimed = claim;
             log.event("claim", "until_us", Math.max(0, until), "of", most, "operator", self.operator());
@@ -416,7 +420,7 @@
         }
         mapUs = now;
         TreeSet<String> sites = new TreeSet<>();
-        membership.reach().present().forEach(m -> sites.add(m.site()));
+        membership.failureDetector().present().forEach(m -> sites.add(m.site()));
         Map<String, Object> ways = new TreeMap<>();
         membership
                 .latency()
@@ -436,8 +440,8 @@
             return;
         }
         statusUs = now;
-        View view = membership.council().view();
-        long alive = membership.reach().believed().values().stream()
+        View view = membership.viewConsensus().view();
+        long alive = membership.failureDetector().believed().values().stream()
                 .filter(s -> s == State.ALIVE)
                 .count();
         log.event(
@@ -453,7 +457,7 @@
                 "alive",
                 alive + 1,
                 "cut_off",
-                membership.council().leases().isCutOff(),
+                membership.viewConsensus().leases().isCutOff(),
                 "bytes_out",
                 links.bytesOut(),
                 "messages_out",
--- a/src/main/java/hopdrum/fleet/message/Message.java
+++ b/src/main/java/hopdrum/fleet/message/Message.java
@@ -60,7 +60,7 @@
     /** Instead of a hello, and the connection's last. */
     record TurnedDown(String why) implements Message {}
 
-    // ---- Reachability ----
+    // ---- Failure detection (SWIM) ----
 
     /** Asks for an ack; era and number name the sender's settled view, in acks too. */
     record Ping(long seq, long era, long number, List<Rumour> rumours) implements Message {
--- a/src/main/java/hopdrum/fleet/shards/Negotiation.java
+++ b/src/main/java/hopdrum/fleet/shards/Negotiation.java
@@ -6,7 +6,7 @@
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.message.Offer;
 import hopdrum.fleet.message.View;
-import hopdrum.fleet.view.Decisions;
+import hopdrum.fleet.view.DecisionLog;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -23,7 +23,7 @@
 
     private final Member self;
     private final Rule rule;
-    private final Decisions log;
+    private final DecisionLog log;
     private final Map<Agreement, Offer> offers =
             new LinkedHashMap<>(); // emptied by tick(): what is in force, old or too much
     private final Map<Agreement, Long> namedUs = new LinkedHashMap<>(); // the same
@@ -31,7 +31,7 @@
     private Agreement notice; // that this member has given; null if none
     private Agreement countered; // what it said that it would take instead; null if none
 
-    Negotiation(Member self, Rule rule, Decisions log) {
+    Negotiation(Member self, Rule rule, DecisionLog log) {
         this.self = self;
         this.rule = rule;
         this.log = log;
--- a/src/main/java/hopdrum/fleet/shards/Partners.java
+++ b/src/main/java/hopdrum/fleet/shards/Partners.java
@@ -8,11 +8,11 @@
 import hopdrum.fleet.message.Offer;
 import hopdrum.fleet.message.Rumour.State;
 import hopdrum.fleet.message.View;
-import hopdrum.fleet.view.Decisions;
-import hopdrum.fleet.view.Dividing;
+import hopdrum.fleet.view.DecisionLog;
+import hopdrum.fleet.view.FailureDetector;
 import hopdrum.fleet.view.Leases;
-import hopdrum.fleet.view.Out;
-import hopdrum.fleet.view.Reachability;
+import hopdrum.fleet.view.MessageSender;
+import hopdrum.fleet.view.ShardAssignmentRule;
 import hopdrum.host.Shards;
 import java.util.ArrayList;
 import java.util.List;
@@ -28,7 +28,7 @@
  * who owns what, and says what this front door may act on. Not thread-safe. Times are microseconds of one monotonic clock;
  * agreements alone are by the wall clock.
  */
-public final class Partners implements Dividing {
+public final class Partners implements ShardAssignmentRule {
     private static final int TOLD = 3; // peers that are told of offers, each period
     private static final int OPENED_PERIODS = 5;
     private static final int TELL_TAKERS_PERIODS = 3;
@@ -37,13 +37,13 @@
     private final Timing timing;
     private final Rule rule;
     private final SplittableRandom random;
-    private final Out out;
-    private final Decisions log;
+    private final MessageSender out;
+    private final DecisionLog log;
     private final LongSupplier wallMs;
     private final Negotiation negotiation;
     private final Ownership ownership;
     private View view = View.NONE;
-    private Reachability reach;
+    private FailureDetector reach;
     private long nextTellUs;
     private long nextOpenedUs;
     private long tellTakersUntilUs = Long.MIN_VALUE / 2;
@@ -59,8 +59,8 @@
             long mostAloneMs,
             Timing timing,
             SplittableRandom random,
-            Out out,
-            Decisions log,
+            MessageSender out,
+            DecisionLog log,
             LongSupplier wallMs) {
         this.self = self;
         this.timing = timing;
@@ -74,7 +74,7 @@
     }
 
     /** Whom this member believes to be there. */
-    public void watches(Reachability who) {
+    public void watches(FailureDetector who) {
         reach = who;
     }
 
--- a/src/main/java/hopdrum/fleet/view/Decisions.java
+++ b/src/main/java/hopdrum/fleet/view/DecisionLog.java
@@ -1,6 +1,6 @@
 package hopdrum.fleet.view;
 
 /** Who is told what was decided, for the log: an event and pairs of key and value. */
-public interface Decisions {
+public interface DecisionLog {
     void event(String event, Object... pairs);
 }
--- a/src/main/java/hopdrum/fleet/view/Reachability.java
+++ b/src/main/java/hopdrum/fleet/view/FailureDetector.java
@@ -23,7 +23,7 @@
  * the pings. After SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey 2018); docs/fleet.md says
  * what was changed. Not thread-safe. Times are microseconds of one monotonic clock.
  */
-public final class Reachability {
+public final class FailureDetector {
     private static final int HELPERS = 3; // members asked to ping in one's stead; confirmations that count
     private static final int MOST_RUMOURS = 8; // on one ping: its size stays flat as the fleet grows
     private static final int SAID_PER_DOUBLING = 4; // a rumour is said so often for each doubling of the fleet
@@ -77,8 +77,8 @@
     }
 
     /** Who is told how long a direct ping took to be answered, microseconds. */
-    public interface Pings {
-        void took(Member peer, long rttUs, long nowUs);
+    public interface RoundTripListener {
+        void roundTripMeasured(Member peer, long rttUs, long nowUs);
     }
 
     private static final class Pending {
@@ -106,9 +106,9 @@
     private final Timing timing;
     private final List<String> seeds;
     private final SplittableRandom random;
-    private final Out out;
-    private final Decisions log;
-    private final Pings pings;
+    private final MessageSender out;
+    private final DecisionLog log;
+    private final RoundTripListener roundTrips;
     private final Map<String, Entry> entries = new LinkedHashMap<>(); // by name; emptied by forget()
     private final Map<String, Pending> rumours =
             new LinkedHashMap<>(); // by name; emptied as they have been said enough
@@ -132,14 +132,14 @@
     private long nextExchangeUs;
     private long nextSeekUs;
 
-    public Reachability(
+    public FailureDetector(
             Member self,
             List<String> seeds,
             Timing timing,
             SplittableRandom random,
-            Out out,
-            Decisions log,
-            Pings pings,
+            MessageSender out,
+            DecisionLog log,
+            RoundTripListener roundTrips,
             long nowUs) {
         this.self = self;
         this.seeds = List.copyOf(seeds);
@@ -147,7 +147,7 @@
         this.random = random;
         this.out = out;
         this.log = log;
-        this.pings = pings;
+        this.roundTrips = roundTrips;
         this.lastTickUs = nowUs;
         this.nextProbeUs = nowUs + random.nextLong(timing.periodUs());
         this.nextExchangeUs = nowUs;
@@ -424,7 +424,7 @@
             out.send(forWhom.origin, new Message.Ack(forWhom.seq, view.era(), view.number(), List.of()));
         } else if (probed != null && ack.seq() == probeSeq) {
             if (from.is(probed.member) && nowUs - lastTickUs < timing.periodUs() / 2) { // no pause of ours in it
-                pings.took(from, nowUs - probeSentUs, nowUs);
+                roundTrips.roundTripMeasured(from, nowUs - probeSentUs, nowUs);
             }
             probed = null; // answered, itself or through another
             health = Math.max(0, health - 1);
--- a/src/main/java/hopdrum/fleet/view/Leases.java
+++ b/src/main/java/hopdrum/fleet/view/Leases.java
@@ -27,8 +27,8 @@
 
     private final Member self;
     private final Timing timing;
-    private final Out out;
-    private final Decisions log;
+    private final MessageSender out;
+    private final DecisionLog log;
     private final long startedUs;
     private final List<Claim> former = new ArrayList<>(); // emptied as they lapse
     private final Map<String, Long> answered = new HashMap<>(); // the chair's: by member, its clock; emptied by a view
@@ -42,7 +42,7 @@
     private long gapUntilUs; // views were skipped: what they gave is not known
     private boolean cutOff;
 
-    Leases(Member self, Timing timing, Out out, Decisions log, long nowUs) {
+    Leases(Member self, Timing timing, MessageSender out, DecisionLog log, long nowUs) {
         this.self = self;
         this.timing = timing;
         this.out = out;
--- a/src/main/java/hopdrum/fleet/view/Membership.java
+++ b/src/main/java/hopdrum/fleet/view/Membership.java
@@ -21,11 +21,11 @@
     private final Member self;
     private final Timing timing;
     private final SplittableRandom random;
-    private final Decisions log;
-    private final Reachability reach;
-    private final Council council;
+    private final DecisionLog log;
+    private final FailureDetector failureDetector;
+    private final ViewConsensus viewConsensus;
     private final LatencyMap latency;
-    private final Out out;
+    private final MessageSender out;
     private final Partners partners; // null where nothing is divided
     private long nextLatencyUs;
     private long tickedUs;
@@ -40,10 +40,10 @@
             Kept kept,
             Timing timing,
             SplittableRandom random,
-            Out out,
-            Council.Keeper keeper,
+            MessageSender out,
+            ViewConsensus.DurableStateWriter keeper,
             Partners partners,
-            Decisions log,
+            DecisionLog log,
             long nowUs) {
         this.self = self;
         this.timing = timing;
@@ -51,40 +51,40 @@
         this.log = log;
         this.out = out;
         latency = new LatencyMap(self, timing.periodUs());
-        reach = new Reachability(self, seeds, timing, random, out, log, latency::sampled, nowUs);
+        failureDetector = new FailureDetector(self, seeds, timing, random, out, log, latency::sampled, nowUs);
         this.partners = partners;
         if (partners != null) {
-            partners.watches(reach);
+            partners.watches(failureDetector);
         }
-        council = new Council(
+        viewConsensus = new ViewConsensus(
                 self,
                 founders,
                 kept,
                 timing,
                 random,
                 out,
-                reach,
+                failureDetector,
                 keeper,
-                partners == null ? Dividing.NONE : partners,
+                partners == null ? ShardAssignmentRule.NONE : partners,
                 log,
                 nowUs);
     }
 
-    public Reachability reach() {
-        return reach;
+    public FailureDetector failureDetector() {
+        return failureDetector;
     }
 
     public LatencyMap latency() {
         return latency;
     }
 
-    public Council council() {
-        return council;
+    public ViewConsensus viewConsensus() {
+        return viewConsensus;
     }
 
     /** Its name is another's, or it has left: it acts on nothing. */
     public boolean isOut(long nowUs) {
-        return left || council.isSuperseded() || nowUs < outUntilUs;
+        return left || viewConsensus.isSuperseded() || nowUs < outUntilUs;
     }
 
     public void tick(long nowUs) {
@@ -93,8 +93,8 @@
         }
         tickedUs = nowUs;
         if (!isOut(nowUs)) {
-            reach.tick(nowUs);
-            council.tick(nowUs);
+            failureDetector.tick(nowUs);
+            viewConsensus.tick(nowUs);
             shareLatency(nowUs);
             if (partners != null) {
                 partners.tick(nowUs);
@@ -108,7 +108,7 @@
             return;
         }
         nextLatencyUs = nowUs + timing.periodUs();
-        List<Member> peers = reach.present();
+        List<Member> peers = failureDetector.present();
         peers.removeIf(m -> m.is(self));
         for (int i = peers.size() - 1; i > 0; i--) {
             Collections.swap(peers, i, random.nextInt(i + 1));
@@ -128,7 +128,7 @@
 
     public void leave(long nowUs) {
         if (!isOut(nowUs)) {
-            reach.leave();
+            failureDetector.leave();
             log.event("leaves");
         }
         left = true;
@@ -139,13 +139,13 @@
             return;
         }
         if (message instanceof Message.Ping m) {
-            reach.heard(from, m, nowUs);
+            failureDetector.heard(from, m, nowUs);
             has(from, m.era(), m.number(), nowUs);
         } else if (message instanceof Message.Ack m) {
-            reach.heard(from, m, nowUs);
+            failureDetector.heard(from, m, nowUs);
             has(from, m.era(), m.number(), nowUs);
         } else if (message instanceof Message.PingFor m) {
-            reach.heard(from, m, nowUs);
+            failureDetector.heard(from, m, nowUs);
         } else if (message instanceof Message.Latency m) {
             latency.heard(m.readings(), nowUs);
             if (m.answer() && nowUs - tickedUs < timing.periodUs()) { // no pause of ours in it
@@ -154,24 +154,24 @@
                 out.send(from.address(), new Message.Latency(m.seq(), true, latency.readings(nowUs)));
             }
         } else if (message instanceof Message.Nack m) {
-            reach.heard(from, m, nowUs);
+            failureDetector.heard(from, m, nowUs);
         } else if (message instanceof Message.Exchange m) {
-            reach.heard(from, m, nowUs);
+            failureDetector.heard(from, m, nowUs);
             has(from, m.era(), m.number(), nowUs);
         } else if (message instanceof Message.NameTaken m) {
             taken(m, nowUs);
         } else if (message instanceof Message.Prepare m) {
-            council.heard(from, m, nowUs);
+            viewConsensus.heard(from, m, nowUs);
         } else if (message instanceof Message.Promise m) {
-            council.heard(from, m, nowUs);
+            viewConsensus.heard(from, m, nowUs);
         } else if (message instanceof Message.Accept m) {
-            council.heard(from, m, nowUs);
+            viewConsensus.heard(from, m, nowUs);
         } else if (message instanceof Message.Accepted m) {
-            council.heard(from, m, nowUs);
+            viewConsensus.heard(from, m, nowUs);
         } else if (message instanceof Message.Overruled m) {
-            council.heard(from, m, nowUs);
+            viewConsensus.heard(from, m, nowUs);
         } else if (message instanceof Message.Settled m) {
-            council.heard(from, m, nowUs);
+            viewConsensus.heard(from, m, nowUs);
             if (partners != null) {
                 partners.heard(from, m.view().era(), m.view().number()); // who tells of a view holds it
             }
@@ -180,19 +180,19 @@
         } else if (message instanceof Message.Opened m && partners != null) {
             partners.heard(from, m, nowUs);
         } else if (message instanceof Message.AskSettled m) {
-            council.heard(from, m, nowUs);
+            viewConsensus.heard(from, m, nowUs);
         } else if (message instanceof Message.Renew m) {
-            council.heard(from, m, nowUs);
+            viewConsensus.heard(from, m, nowUs);
         } else if (message instanceof Message.Renewed m) {
-            council.heard(from, m, nowUs);
+            viewConsensus.heard(from, m, nowUs);
         } else if (message instanceof Message.Held m) {
-            council.leases().heard(m, council.view(), nowUs);
+            viewConsensus.leases().heard(m, viewConsensus.view(), nowUs);
         }
     }
 
     /** A peer has named the view that it holds. */
     private void has(Member from, long era, long number, long nowUs) {
-        council.peerHas(from, era, number, nowUs);
+        viewConsensus.peerHas(from, era, number, nowUs);
         if (partners != null) {
             partners.heard(from, era, number);
         }
@@ -202,7 +202,7 @@
     private void taken(Message.NameTaken said, long nowUs) {
         if (said.holder().name().equals(self.name())
                 && !said.holder().is(self)
-                && !council.view().has(self)) {
+                && !viewConsensus.view().has(self)) {
             outUntilUs = nowUs + OUT_PERIODS * timing.periodUs() / 2 + random.nextLong(OUT_PERIODS * timing.periodUs());
             log.event(
                     "refused",
--- a/src/main/java/hopdrum/fleet/view/Dividing.java
+++ b/src/main/java/hopdrum/fleet/view/ShardAssignmentRule.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** What is settled along with a view's members, by a rule that is the same at all of them. */
-public interface Dividing {
+public interface ShardAssignmentRule {
     /** What goes along with the next view of these members; null where nothing is divided. */
     Division next(View before, List<Member> members);
 
@@ -17,7 +17,7 @@
     void settled(View view, long nowUs);
 
     /** Where nothing is divided. */
-    Dividing NONE = new Dividing() {
+    ShardAssignmentRule NONE = new ShardAssignmentRule() {
         @Override
         public Division next(View before, List<Member> members) {
             return null;
--- a/src/main/java/hopdrum/fleet/view/Council.java
+++ b/src/main/java/hopdrum/fleet/view/ViewConsensus.java
@@ -26,9 +26,9 @@
  * Changes wait until what is believed has stood still for a period, and so come in batches (after Rapid, Suresh and
  * others 2018). A vote is kept before it is given. Not thread-safe. Times are microseconds of one monotonic clock.
  */
-public final class Council {
+public final class ViewConsensus {
     /** Keeps what must outlast a restart, in the order given; what is to be done then is done once it is kept, or never. */
-    public interface Keeper {
+    public interface DurableStateWriter {
         void write(Kept kept, Runnable then);
     }
 
@@ -54,12 +54,12 @@
     private final List<String> founders;
     private final Timing timing;
     private final SplittableRandom random;
-    private final Out out;
-    private final Reachability reach;
-    private final Keeper keeper;
-    private final Decisions log;
+    private final MessageSender out;
+    private final FailureDetector failureDetector;
+    private final DurableStateWriter keeper;
+    private final DecisionLog log;
     private final Leases leases;
-    private final Dividing dividing;
+    private final ShardAssignmentRule dividing;
     private final Deque<Message> toSelf = new ArrayDeque<>(); // emptied at the end of each call
     private View view;
     private Ballot promised;
@@ -75,17 +75,17 @@
     private boolean superseded;
     private long askedUs = NOTHING;
 
-    public Council(
+    public ViewConsensus(
             Member self,
             List<String> founders,
             Kept kept,
             Timing timing,
             SplittableRandom random,
-            Out out,
-            Reachability reach,
-            Keeper keeper,
-            Dividing dividing,
-            Decisions log,
+            MessageSender out,
+            FailureDetector failureDetector,
+            DurableStateWriter keeper,
+            ShardAssignmentRule dividing,
+            DecisionLog log,
             long nowUs) {
         this.self = self;
         this.dividing = dividing;
@@ -93,7 +93,7 @@
         this.timing = timing;
         this.random = random;
         this.out = out;
-        this.reach = reach;
+        this.failureDetector = failureDetector;
         this.keeper = keeper;
         this.log = log;
         this.view = kept == null ? View.NONE : kept.view();
@@ -102,7 +102,7 @@
         this.accepted = kept == null ? null : kept.accepted();
         this.highestRound = promised.round();
         this.leases = new Leases(self, timing, out, log, nowUs);
-        reach.learn(view, nowUs);
+        failureDetector.learn(view, nowUs);
         leases.settled(view, nowUs, false);
         if (view.era() > 0) {
             dividing.settled(view, nowUs);
@@ -141,7 +141,7 @@
             founders.forEach(name -> addKnown(voters, name));
         } else {
             for (Member m : view.members()) {
-                Member known = reach.known(m.name());
+                Member known = failureDetector.known(m.name());
                 voters.add(known != null && known.voter() == m.voter() ? known : m);
             }
         }
@@ -149,7 +149,7 @@
     }
 
     private void addKnown(List<Member> to, String name) {
-        Member known = reach.known(name);
+        Member known = failureDetector.known(name);
         if (known != null) {
             to.add(known);
         }
@@ -190,7 +190,7 @@
      */
     private boolean isChair() {
         for (Member m : voters()) {
-            if (reach.state(m.name()) == State.ALIVE && m.is(reach.known(m.name()))) {
+            if (failureDetector.state(m.name()) == State.ALIVE && m.is(failureDetector.known(m.name()))) {
                 return m.name().equals(self.name());
             }
         }
@@ -228,8 +228,8 @@
     private List<Member> founding() {
         List<Member> all = new ArrayList<>();
         for (String name : founders) {
-            Member known = reach.known(name);
-            if (known == null || reach.state(name) != State.ALIVE) {
+            Member known = failureDetector.known(name);
+            if (known == null || failureDetector.state(name) != State.ALIVE) {
                 return null;
             }
             all.add(known);
@@ -240,8 +240,8 @@
     private List<Member> wantedNow(long nowUs) {
         List<Member> next = new ArrayList<>();
         for (Member m : view.members()) {
-            Member known = reach.known(m.name());
-            State state = reach.state(m.name());
+            Member known = failureDetector.known(m.name());
+            State state = failureDetector.state(m.name());
             boolean later = known != null && known.start() > m.start();
             if (later && state == State.ALIVE) {
                 next.add(known); // a restart
@@ -249,10 +249,10 @@
                 next.add(m); // nobody knows better, or it is not decided yet
             }
         }
-        for (Member m : reach.present()) {
+        for (Member m : failureDetector.present()) {
             if (view.named(m.name()) == null
-                    && reach.state(m.name()) == State.ALIVE
-                    && (m.is(self) || nowUs - reach.sinceUs(m.name()) >= STILL_PERIODS * timing.periodUs())) {
+                    && failureDetector.state(m.name()) == State.ALIVE
+                    && (m.is(self) || nowUs - failureDetector.sinceUs(m.name()) >= STILL_PERIODS * timing.periodUs())) {
                 next.add(m);
             }
         }
@@ -261,7 +261,7 @@
     }
 
     private boolean anySuspect() {
-        return view.members().stream().anyMatch(m -> reach.state(m.name()) == State.SUSPECT);
+        return view.members().stream().anyMatch(m -> failureDetector.state(m.name()) == State.SUSPECT);
     }
 
     private static boolean sameStarts(List<Member> a, List<Member> b) {
@@ -339,7 +339,7 @@
             proposal = null;
             adopt(settled, "agreed", nowUs);
             settled.members().forEach(m -> addOther(all, m));
-            reach.present().forEach(m -> addOther(all, m));
+            failureDetector.present().forEach(m -> addOther(all, m));
             all.removeIf(m -> m.is(self));
             all.forEach(m -> out.send(m.address(), new Message.Settled(settled)));
         }
@@ -502,7 +502,7 @@
             superseded = true;
             log.event("superseded", "by", mine.start());
         }
-        reach.learn(view, nowUs);
+        failureDetector.learn(view, nowUs);
         leases.settled(view, nowUs, follows);
         dividing.settled(view, nowUs);
     }
--- a/src/rig/java/hopdrum/rig/swarm/Swarm.java
+++ b/src/rig/java/hopdrum/rig/swarm/Swarm.java
@@ -9,8 +9,8 @@
 import hopdrum.fleet.shards.ShardTable;
 import hopdrum.fleet.shards.Terms;
 import hopdrum.fleet.store.Store.Kept;
-import hopdrum.fleet.view.Council;
 import hopdrum.fleet.view.Membership;
+import hopdrum.fleet.view.ViewConsensus;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -65,7 +65,7 @@
         }
 
         public View view() {
-            return membership.council().view();
+            return membership.viewConsensus().view();
         }
 
         public Membership membership() {
@@ -173,7 +173,7 @@
         Member self = node.self;
         node.lastNumber = 0;
         node.lastEra = 0;
-        Council.Keeper keeper = (k, then) ->
+        ViewConsensus.DurableStateWriter keeper = (k, then) ->
                 writes.add(new Write(nowUs + diskUs.applyAsLong(node.name), node, node.membership, k, then));
         node.kept = kept == null
                 ? new Kept(voter, start, View.NONE, null, null, null)
@@ -327,7 +327,8 @@
                     ? null
                     : node.pausedUntilUs > nowUs
                             ? node.table
-                            : node.partners.table(node.membership.council().leases(), List.of(), false, 0, nowUs);
+                            : node.partners.table(
+                                    node.membership.viewConsensus().leases(), List.of(), false, 0, nowUs);
             node.table = table;
             String acts = table == null ? "" : table.acts(nowUs);
             for (int i = 0; i < acts.length(); i++) {
@@ -373,7 +374,7 @@
                 continue;
             }
             w.node.kept = w.kept;
-            w.of.council().kept(w.then, nowUs);
+            w.of.viewConsensus().kept(w.then, nowUs);
         }
     }
 
@@ -402,9 +403,9 @@
         for (Node node : nodes.values()) {
             if (node.isUp()
                     && !node.membership.isOut(nowUs)
-                    && nowUs < node.membership.council().leases().untilUs(nowUs)) {
+                    && nowUs < node.membership.viewConsensus().leases().untilUs(nowUs)) {
                 int most = 1;
-                for (View view : node.membership.council().leases().live(nowUs)) {
+                for (View view : node.membership.viewConsensus().leases().live(nowUs)) {
                     most = Math.max(most, (int) view.members().stream()
                             .filter(m -> m.operator().equals(node.operator))
                             .count());
--- a/src/test/java/hopdrum/fleet/SettledViewsTest.java
+++ b/src/test/java/hopdrum/fleet/SettledViewsTest.java
@@ -25,7 +25,7 @@
     }
 
     private static boolean claims(Swarm swarm, Node node) {
-        return swarm.nowUs() < node.membership().council().leases().untilUs(swarm.nowUs());
+        return swarm.nowUs() < node.membership().viewConsensus().leases().untilUs(swarm.nowUs());
     }
 
     @Test
@@ -38,11 +38,11 @@
         swarm.run(6 * S);
         for (Node cut : swarm.nodes().subList(0, 2)) {
             assertThat(cut.view().number()).isEqualTo(before);
-            assertThat(cut.membership().council().leases().isCutOff()).isTrue();
+            assertThat(cut.membership().viewConsensus().leases().isCutOff()).isTrue();
             assertThat(claims(swarm, cut)).isFalse();
         }
         assertThat(claims(swarm, swarm.node(3))).isTrue();
-        assertThat(swarm.node(3).membership().council().leases().live(swarm.nowUs()))
+        assertThat(swarm.node(3).membership().viewConsensus().leases().live(swarm.nowUs()))
                 .hasSize(1);
         swarm.net = (a, b) -> true;
         assertThat(swarm.until(20 * S, swarm::isSettled)).isTrue();
