--- a/src/main/java/hopdrum/fleet/Fleet.java
+++ b/src/main/java/hopdrum/fleet/Fleet.java
@@ -2,9 +2,9 @@
 
 import hopdrum.fleet.latency.LatencyMap;
 import hopdrum.fleet.link.Links;
+import hopdrum.fleet.message.GossipUpdate.State;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
-import hopdrum.fleet.message.Rumour.State;
 import hopdrum.fleet.message.View;
 import hopdrum.fleet.shards.Partners;
 import hopdrum.fleet.shards.Terms;
--- a/src/main/java/hopdrum/fleet/FleetFile.java
+++ b/src/main/java/hopdrum/fleet/FleetFile.java
@@ -1,7 +1,7 @@
 package hopdrum.fleet;
 
-import hopdrum.fleet.message.Division;
 import hopdrum.fleet.message.Member;
+import hopdrum.fleet.message.ShardAssignment;
 import java.io.IOException;
 import java.io.StringReader;
 import java.nio.file.Files;
@@ -180,7 +180,7 @@
         String store = r.text("store", null, t -> !t.isBlank(), "a folder");
         String log = r.text("log", "", t -> !t.isBlank(), "a file");
         String placement = r.text("placement", "map", t -> t.equals("map") || t.equals("plain"), "map or plain");
-        long shards = r.whole("shards", 0, 0, Division.MOST_SHARDS);
+        long shards = r.whole("shards", 0, 0, ShardAssignment.MOST_SHARDS);
         String serves = r.text("serves", "", FleetFile::isAddress, ADDRESS);
         String terms = r.text("terms", "", t -> !t.isBlank(), "a file");
         long aloneMs = r.whole("most_alone_ms", 30_000, 0, 240_000);
--- a/src/main/java/hopdrum/fleet/TermsFile.java
+++ b/src/main/java/hopdrum/fleet/TermsFile.java
@@ -1,8 +1,8 @@
 package hopdrum.fleet;
 
-import hopdrum.fleet.message.Agreement;
-import hopdrum.fleet.message.Agreement.Party;
 import hopdrum.fleet.message.Member;
+import hopdrum.fleet.message.PartnerAgreement;
+import hopdrum.fleet.message.PartnerAgreement.Party;
 import hopdrum.fleet.shards.Terms;
 import java.nio.file.Path;
 import java.time.Instant;
@@ -46,7 +46,7 @@
         long mostDays = r.whole("accepts_days", 366, 1, 3_650);
         String notices = r.text("gives_notice", "false", TermsFile::isFlag, "true or false");
         r.end();
-        Agreement agreement = null;
+        PartnerAgreement agreement = null;
         if (proposes) {
             List<Party> all = new ArrayList<>();
             for (String text : parties) {
@@ -60,7 +60,7 @@
             }
             all.sort(Comparator.comparing(Party::operator));
             try {
-                agreement = new Agreement(
+                agreement = new PartnerAgreement(
                         name,
                         (int) revision,
                         all,
--- a/src/main/java/hopdrum/fleet/latency/LatencyMap.java
+++ b/src/main/java/hopdrum/fleet/latency/LatencyMap.java
@@ -1,7 +1,7 @@
 package hopdrum.fleet.latency;
 
+import hopdrum.fleet.message.LatencyReading;
 import hopdrum.fleet.message.Member;
-import hopdrum.fleet.message.Reading;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -47,7 +47,7 @@
 
     private record Key(String observer, String to) {}
 
-    private record Held(Reading reading, long bornUs) {}
+    private record Held(LatencyReading reading, long bornUs) {}
 
     private record Asked(Member peer, long atUs) {}
 
@@ -107,19 +107,19 @@
         o.lastUs = rttUs;
         o.lastAtUs = nowUs;
         o.leastUs = Math.min(o.leastUs, rttUs);
-        put(new Reading(self.name(), self.start(), self.site(), peer.site(), ++o.seq, reading, 0), nowUs);
+        put(new LatencyReading(self.name(), self.start(), self.site(), peer.site(), ++o.seq, reading, 0), nowUs);
     }
 
     /** What another has measured or heard of. */
-    public void heard(Collection<Reading> readings, long nowUs) {
-        for (Reading r : readings) {
+    public void heard(Collection<LatencyReading> readings, long nowUs) {
+        for (LatencyReading r : readings) {
             if (!r.observer().equals(self.name())) { // of oneself one knows better
                 put(r, nowUs);
             }
         }
     }
 
-    private void put(Reading r, long nowUs) {
+    private void put(LatencyReading r, long nowUs) {
         long born = nowUs - r.ageUs();
         Key key = new Key(r.observer(), r.to());
         Held before = held.get(key);
@@ -142,12 +142,12 @@
     }
 
     /** What to tell a peer: the youngest readings, with their ages now. */
-    public List<Reading> readings(long nowUs) {
+    public List<LatencyReading> readings(long nowUs) {
         held.values().removeIf(h -> nowUs - h.bornUs > OLDEST_US);
         return held.values().stream()
                 .sorted(Comparator.comparingLong((Held h) -> -h.bornUs))
                 .limit(READINGS_A_MESSAGE)
-                .map(h -> new Reading(
+                .map(h -> new LatencyReading(
                         h.reading.observer(),
                         h.reading.start(),
                         h.reading.from(),
@@ -166,7 +166,7 @@
         long youngest = Long.MAX_VALUE;
         Way mine = null;
         for (Held h : held.values()) {
-            Reading r = h.reading;
+            LatencyReading r = h.reading;
             boolean ofPair =
                     r.from().equals(from) && r.to().equals(to) || r.from().equals(to) && r.to().equals(from);
             long age = nowUs - h.bornUs;
--- a/src/main/java/hopdrum/fleet/link/Links.java
+++ b/src/main/java/hopdrum/fleet/link/Links.java
@@ -131,7 +131,7 @@
                 throw new IOException("no hello");
             }
             String why = theirs.version() != Message.VERSION ? "version " + theirs.version() : owner.objection(theirs);
-            Frames.write(socket.getOutputStream(), why == null ? hello : new Message.TurnedDown(why));
+            Frames.write(socket.getOutputStream(), why == null ? hello : new Message.Rejected(why));
             if (why != null) {
                 throw new IOException(why + ", " + theirs.who().name() + " of " + theirs.fleet());
             }
--- a/src/main/java/hopdrum/fleet/link/PeerLink.java
+++ b/src/main/java/hopdrum/fleet/link/PeerLink.java
@@ -133,7 +133,7 @@
         fresh.setTcpNoDelay(true);
         write(links.hello());
         Message answer = Frames.read(fresh, new BufferedInputStream(fresh.getInputStream(), 1 << 10), CONNECT_MS);
-        if (answer instanceof Message.TurnedDown down) {
+        if (answer instanceof Message.Rejected down) {
             links.owner().turnedDown(address, down.why());
             throw new IOException("turned down: " + down.why());
         }
--- a/src/main/java/hopdrum/fleet/message/Offer.java
+++ b/src/main/java/hopdrum/fleet/message/AgreementProposal.java
@@ -10,10 +10,10 @@
  * @param by the operator that proposes it
  * @param said by operator: empty where it agrees, else why it does not; an agreement outdoes a refusal, for good
  */
-public record Offer(Agreement terms, String by, Map<String, String> said) {
+public record AgreementProposal(PartnerAgreement terms, String by, Map<String, String> said) {
     private static final int MOST_TEXT = 200;
 
-    public Offer {
+    public AgreementProposal {
         Member.check(terms != null && Member.isName(by), "an offer");
         Member.check(said != null && said.size() <= terms.parties().size() + 1, "what was said");
         said.forEach((operator, text) ->
@@ -26,15 +26,15 @@
     }
 
     /** The same in whatever order, however often. */
-    public Offer merged(Offer other) {
+    public AgreementProposal merged(AgreementProposal other) {
         Map<String, String> all = new TreeMap<>(said);
         other.said.forEach((operator, text) ->
                 all.merge(operator, text, (a, b) -> a.isEmpty() || b.isEmpty() ? "" : a.compareTo(b) > 0 ? a : b));
-        return new Offer(terms, by.compareTo(other.by) < 0 ? by : other.by, all);
+        return new AgreementProposal(terms, by.compareTo(other.by) < 0 ? by : other.by, all);
     }
 
-    public Offer with(String operator, String text) {
-        return merged(new Offer(
+    public AgreementProposal with(String operator, String text) {
+        return merged(new AgreementProposal(
                 terms, by, Map.of(operator, text.length() > MOST_TEXT ? text.substring(0, MOST_TEXT) : text)));
     }
 }
--- a/src/main/java/hopdrum/fleet/message/Rumour.java
+++ b/src/main/java/hopdrum/fleet/message/GossipUpdate.java
@@ -6,7 +6,7 @@
  * @param incarnation raised by the member it is about alone, to refute
  * @param by who has seen it, for suspicions
  */
-public record Rumour(Member about, long incarnation, State state, String by) {
+public record GossipUpdate(Member about, long incarnation, State state, String by) {
     /** In the order in which, of one incarnation, they outdo each other. */
     public enum State {
         ALIVE,
@@ -15,7 +15,7 @@
         LEFT
     }
 
-    public Rumour {
+    public GossipUpdate {
         Member.check(about != null && state != null && Member.isName(by), "a rumour");
         Member.check(incarnation >= 0 && incarnation < Integer.MAX_VALUE, "an incarnation");
     }
--- a/src/main/java/hopdrum/fleet/message/Message.java
+++ b/src/main/java/hopdrum/fleet/message/Message.java
@@ -10,33 +10,33 @@
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
 @JsonSubTypes({
     @Type(value = Message.Hello.class, name = "hello"),
-    @Type(value = Message.TurnedDown.class, name = "turneddown"),
+    @Type(value = Message.Rejected.class, name = "turneddown"),
     @Type(value = Message.Ping.class, name = "ping"),
     @Type(value = Message.Ack.class, name = "ack"),
-    @Type(value = Message.PingFor.class, name = "pingfor"),
+    @Type(value = Message.PingRequest.class, name = "pingfor"),
     @Type(value = Message.Nack.class, name = "nack"),
-    @Type(value = Message.Exchange.class, name = "exchange"),
+    @Type(value = Message.FullStateExchange.class, name = "exchange"),
     @Type(value = Message.NameTaken.class, name = "taken"),
     @Type(value = Message.Prepare.class, name = "prepare"),
     @Type(value = Message.Promise.class, name = "promise"),
     @Type(value = Message.Accept.class, name = "accept"),
     @Type(value = Message.Accepted.class, name = "accepted"),
-    @Type(value = Message.Overruled.class, name = "overruled"),
-    @Type(value = Message.Settled.class, name = "settled"),
-    @Type(value = Message.AskSettled.class, name = "asksettled"),
+    @Type(value = Message.Preempted.class, name = "overruled"),
+    @Type(value = Message.ViewSettled.class, name = "settled"),
+    @Type(value = Message.SettledViewRequest.class, name = "asksettled"),
     @Type(value = Message.Renew.class, name = "renew"),
     @Type(value = Message.Renewed.class, name = "renewed"),
-    @Type(value = Message.Latency.class, name = "latency"),
-    @Type(value = Message.Held.class, name = "held"),
-    @Type(value = Message.Offers.class, name = "offers"),
-    @Type(value = Message.Opened.class, name = "opened")
+    @Type(value = Message.LatencyExchange.class, name = "latency"),
+    @Type(value = Message.LeaseGranted.class, name = "held"),
+    @Type(value = Message.AgreementProposals.class, name = "offers"),
+    @Type(value = Message.ShardsHandedOver.class, name = "opened")
 })
 public sealed interface Message {
     int VERSION = 2;
     int MOST_RUMOURS = 2_000;
     int MOST_OFFERS = 32;
 
-    private static List<Rumour> checked(List<Rumour> rumours) {
+    private static List<GossipUpdate> checked(List<GossipUpdate> rumours) {
         Member.check(rumours != null && rumours.size() <= MOST_RUMOURS, "rumours");
         return List.copyOf(rumours);
     }
@@ -58,19 +58,19 @@
     }
 
     /** Instead of a hello, and the connection's last. */
-    record TurnedDown(String why) implements Message {}
+    record Rejected(String why) implements Message {}
 
     // ---- Failure detection (SWIM) ----
 
     /** Asks for an ack; era and number name the sender's settled view, in acks too. */
-    record Ping(long seq, long era, long number, List<Rumour> rumours) implements Message {
+    record Ping(long seq, long era, long number, List<GossipUpdate> rumours) implements Message {
         public Ping {
             named(era, number);
             rumours = checked(rumours);
         }
     }
 
-    record Ack(long seq, long era, long number, List<Rumour> rumours) implements Message {
+    record Ack(long seq, long era, long number, List<GossipUpdate> rumours) implements Message {
         public Ack {
             named(era, number);
             rumours = checked(rumours);
@@ -78,8 +78,8 @@
     }
 
     /** Asks to ping another in the sender's stead. */
-    record PingFor(long seq, Member whom, List<Rumour> rumours) implements Message {
-        public PingFor {
+    record PingRequest(long seq, Member whom, List<GossipUpdate> rumours) implements Message {
+        public PingRequest {
             Member.check(whom != null, "nobody to ping");
             rumours = checked(rumours);
         }
@@ -89,8 +89,8 @@
     record Nack(long seq) implements Message {}
 
     /** All that the sender believes; one that is no answer asks for the same. */
-    record Exchange(boolean answer, long era, long number, List<Rumour> rumours) implements Message {
-        public Exchange {
+    record FullStateExchange(boolean answer, long era, long number, List<GossipUpdate> rumours) implements Message {
+        public FullStateExchange {
             named(era, number);
             rumours = checked(rumours);
         }
@@ -104,8 +104,8 @@
     }
 
     /** Readings of the sender's own and of others; one that is no answer asks for the same, and so measures the way. */
-    record Latency(long seq, boolean answer, List<Reading> readings) implements Message {
-        public Latency {
+    record LatencyExchange(long seq, boolean answer, List<LatencyReading> readings) implements Message {
+        public LatencyExchange {
             Member.check(readings != null && readings.size() <= MOST_RUMOURS, "readings");
             readings = List.copyOf(readings);
         }
@@ -145,22 +145,22 @@
         }
     }
 
-    record Overruled(long era, long number, Ballot by) implements Message {
-        public Overruled {
+    record Preempted(long era, long number, Ballot by) implements Message {
+        public Preempted {
             named(era, number);
             Member.check(by != null, "no ballot");
         }
     }
 
-    record Settled(View view) implements Message {
-        public Settled {
+    record ViewSettled(View view) implements Message {
+        public ViewSettled {
             Member.check(view != null, "no view");
         }
     }
 
     /** Asks for the settled view, where the asked one has a later one than this. */
-    record AskSettled(long era, long number) implements Message {
-        public AskSettled {
+    record SettledViewRequest(long era, long number) implements Message {
+        public SettledViewRequest {
             named(era, number);
         }
     }
@@ -173,7 +173,7 @@
         }
     }
 
-    /** atUs is the answering member's own monotonic clock; it comes back in Held and means nothing to others. */
+    /** atUs is the answering member's own monotonic clock; it comes back in LeaseGranted and means nothing to others. */
     record Renewed(long era, long number, long round, long atUs) implements Message {
         public Renewed {
             named(era, number);
@@ -181,8 +181,8 @@
     }
 
     /** A majority has held the view since a time that was atUs or later on the told member's own clock. */
-    record Held(long era, long number, long atUs) implements Message {
-        public Held {
+    record LeaseGranted(long era, long number, long atUs) implements Message {
+        public LeaseGranted {
             named(era, number);
         }
     }
@@ -190,19 +190,19 @@
     // ---- Shards ----
 
     /** What operators propose and say of it; merged in any order. */
-    record Offers(List<Offer> offers) implements Message {
-        public Offers {
+    record AgreementProposals(List<AgreementProposal> offers) implements Message {
+        public AgreementProposals {
             Member.check(offers != null && offers.size() <= MOST_OFFERS, "offers");
             offers = List.copyOf(offers);
         }
     }
 
     /** To the operator's own: of these shards, as they moved with these views, all former owners have surely stopped. */
-    record Opened(long era, Map<Integer, Long> numbers) implements Message {
-        public Opened {
-            Member.check(era >= 0 && numbers != null && numbers.size() <= Division.MOST_SHARDS, "shards");
+    record ShardsHandedOver(long era, Map<Integer, Long> numbers) implements Message {
+        public ShardsHandedOver {
+            Member.check(era >= 0 && numbers != null && numbers.size() <= ShardAssignment.MOST_SHARDS, "shards");
             numbers.forEach((shard, number) ->
-                    Member.check(shard >= 0 && shard < Division.MOST_SHARDS && number > 0, "a shard"));
+                    Member.check(shard >= 0 && shard < ShardAssignment.MOST_SHARDS && number > 0, "a shard"));
             numbers = Map.copyOf(numbers);
         }
     }
--- a/src/main/java/hopdrum/fleet/message/Agreement.java
+++ b/src/main/java/hopdrum/fleet/message/PartnerAgreement.java
@@ -18,7 +18,7 @@
  * @param epochMs an epoch's length
  * @param noticeMs after how long a party that gives notice is out
  */
-public record Agreement(
+public record PartnerAgreement(
         String name,
         int revision,
         List<Party> parties,
@@ -51,7 +51,7 @@
         }
     }
 
-    public Agreement {
+    public PartnerAgreement {
         Member.check(Member.isName(name) && revision > 0, "an agreement's name");
         Member.check(parties != null && parties.size() <= MOST_PARTIES, "parties");
         parties = List.copyOf(parties);
--- a/src/main/java/hopdrum/fleet/message/Division.java
+++ b/src/main/java/hopdrum/fleet/message/ShardAssignment.java
@@ -20,12 +20,12 @@
  * @param epoch the epoch of the last move
  * @param moved how many moved in it
  */
-public record Division(
+public record ShardAssignment(
         long asOfMs,
         List<String> operators,
         String owners,
         List<Move> moves,
-        Agreement agreement,
+        PartnerAgreement agreement,
         List<String> agreedBy,
         boolean expired,
         Map<String, Long> goneMs,
@@ -52,7 +52,7 @@
         }
     }
 
-    public Division {
+    public ShardAssignment {
         Member.check(
                 operators != null
                         && operators.size() <= MOST_OPERATORS
@@ -104,7 +104,7 @@
     }
 
     /** Nothing but the time that it was made at is another. */
-    public boolean isLike(Division other) {
+    public boolean isLike(ShardAssignment other) {
         return other != null
                 && owners.equals(other.owners)
                 && operators.equals(other.operators)
--- a/src/main/java/hopdrum/fleet/message/View.java
+++ b/src/main/java/hopdrum/fleet/message/View.java
@@ -13,7 +13,7 @@
  * @param members sorted by name
  * @param division who owns which shard; null where nothing is split between partners
  */
-public record View(long era, long number, List<Member> members, Division division) {
+public record View(long era, long number, List<Member> members, ShardAssignment division) {
     /** What stands before a fleet is founded. */
     public static final View NONE = new View(0, 0, List.of());
 
--- a/src/main/java/hopdrum/fleet/shards/Negotiation.java
+++ b/src/main/java/hopdrum/fleet/shards/Negotiation.java
@@ -1,10 +1,10 @@
 package hopdrum.fleet.shards;
 
-import hopdrum.fleet.message.Agreement;
-import hopdrum.fleet.message.Agreement.Party;
+import hopdrum.fleet.message.AgreementProposal;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
-import hopdrum.fleet.message.Offer;
+import hopdrum.fleet.message.PartnerAgreement;
+import hopdrum.fleet.message.PartnerAgreement.Party;
 import hopdrum.fleet.message.View;
 import hopdrum.fleet.view.DecisionLog;
 import java.util.ArrayList;
@@ -24,12 +24,12 @@
     private final Member self;
     private final Rule rule;
     private final DecisionLog log;
-    private final Map<Agreement, Offer> offers =
+    private final Map<PartnerAgreement, AgreementProposal> offers =
             new LinkedHashMap<>(); // emptied by tick(): what is in force, old or too much
-    private final Map<Agreement, Long> namedUs = new LinkedHashMap<>(); // the same
+    private final Map<PartnerAgreement, Long> namedUs = new LinkedHashMap<>(); // the same
     private Terms terms = Terms.NONE;
-    private Agreement notice; // that this member has given; null if none
-    private Agreement countered; // what it said that it would take instead; null if none
+    private PartnerAgreement notice; // that this member has given; null if none
+    private PartnerAgreement countered; // what it said that it would take instead; null if none
 
     Negotiation(Member self, Rule rule, DecisionLog log) {
         this.self = self;
@@ -50,20 +50,20 @@
     }
 
     /** What peers are told: of what this operator proposed, only what it still does. */
-    List<Offer> offers() {
+    List<AgreementProposal> offers() {
         return offers.values().stream()
                 .filter(o -> !o.by().equals(self.operator()) || isMine(o.terms()))
                 .toList();
     }
 
-    private boolean isMine(Agreement a) {
+    private boolean isMine(PartnerAgreement a) {
         return a.equals(terms.proposes()) || a.equals(notice) || a.equals(countered);
     }
 
     /** Terms that may come in force after this view; null if there are none. */
-    Offer ready(View view, long nowMs) {
-        Offer first = null;
-        for (Offer o : offers.values()) {
+    AgreementProposal ready(View view, long nowMs) {
+        AgreementProposal first = null;
+        for (AgreementProposal o : offers.values()) {
             if (rule.mayFollow(view, o.terms(), agreedBy(o), nowMs)
                     && (first == null
                             || o.terms().toString().compareTo(first.terms().toString()) < 0)) { // the same one at all
@@ -73,26 +73,26 @@
         return first;
     }
 
-    static List<String> agreedBy(Offer offer) {
+    static List<String> agreedBy(AgreementProposal offer) {
         return offer.said().entrySet().stream()
                 .filter(e -> e.getValue().isEmpty())
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
-    void heard(Member from, Message.Offers said, long nowUs) {
-        for (Offer o : said.offers()) {
+    void heard(Member from, Message.AgreementProposals said, long nowUs) {
+        for (AgreementProposal o : said.offers()) {
             take(o, from.operator().equals(o.by()), nowUs);
         }
     }
 
     /** @param fromOwn whether its own operator names it: what others pass on does not keep it alive for ever */
-    private void take(Offer heard, boolean fromOwn, long nowUs) {
-        Offer known = offers.get(heard.terms());
+    private void take(AgreementProposal heard, boolean fromOwn, long nowUs) {
+        AgreementProposal known = offers.get(heard.terms());
         if (known == null && offers.size() >= Message.MOST_OFFERS) {
             return; // guards against a peer that floods: those that are there go by themselves
         }
-        Offer now = known == null ? heard : known.merged(heard);
+        AgreementProposal now = known == null ? heard : known.merged(heard);
         if (!now.equals(known)) {
             offers.put(heard.terms(), now);
             log.event(
@@ -113,7 +113,7 @@
 
     /** @param speaks whether this member is its operator's speaker now */
     void tick(View view, boolean speaks, long nowMs, long nowUs) {
-        Agreement last = view.division() == null ? null : view.division().agreement();
+        PartnerAgreement last = view.division() == null ? null : view.division().agreement();
         int revision = last == null ? 0 : last.revision();
         offers.keySet()
                 .removeIf(a -> a.revision() <= revision || a.untilMs() <= nowMs || nowUs - namedUs.get(a) > KEEP_US);
@@ -121,13 +121,13 @@
         if (!speaks) {
             return;
         }
-        Agreement mine = terms.proposes();
+        PartnerAgreement mine = terms.proposes();
         namedUs.replaceAll((a, at) -> isMine(a) ? nowUs : at);
         if (mine != null
                 && mine.revision() == revision + 1
                 && !offers.containsKey(mine)
                 && mine.faults(nowMs, rule.mostAloneMs()).isEmpty()) {
-            take(new Offer(mine, self.operator(), Map.of(self.operator(), "")), true, nowUs);
+            take(new AgreementProposal(mine, self.operator(), Map.of(self.operator(), "")), true, nowUs);
             agreed(mine);
         }
         if (terms.givesNotice()
@@ -137,7 +137,7 @@
                 && offers.keySet().stream()
                         .noneMatch(a -> a.untilMs() <= nowMs + last.noticeMs()
                                 && a.parties().equals(last.parties()))) {
-            Agreement ends = new Agreement(
+            PartnerAgreement ends = new PartnerAgreement(
                     last.name(),
                     revision + 1,
                     last.parties(),
@@ -149,18 +149,18 @@
                     last.epochMs(),
                     last.noticeMs());
             notice = ends;
-            take(new Offer(ends, self.operator(), Map.of(self.operator(), "")), true, nowUs);
+            take(new AgreementProposal(ends, self.operator(), Map.of(self.operator(), "")), true, nowUs);
             log.event("gives_notice", "until_ms", ends.untilMs());
             agreed(ends);
         }
-        for (Offer o : List.copyOf(offers.values())) {
+        for (AgreementProposal o : List.copyOf(offers.values())) {
             if (o.terms().party(self.operator()) != null && !o.agrees(self.operator())) {
                 answer(o, revision, nowMs, nowUs);
             }
         }
     }
 
-    private void answer(Offer offer, int revision, long nowMs, long nowUs) {
+    private void answer(AgreementProposal offer, int revision, long nowMs, long nowUs) {
         List<String> why = objections(offer, revision, nowMs);
         if (why.isEmpty()) {
             take(offer.with(self.operator(), ""), false, nowUs);
@@ -173,27 +173,28 @@
         }
         take(offer.with(self.operator(), text), false, nowUs);
         log.event("refuses", "terms", say(offer.terms()), "why", text);
-        Agreement counter = offer.by().equals(self.operator()) ? null : terms.counter(offer.terms(), self.operator());
+        PartnerAgreement counter =
+                offer.by().equals(self.operator()) ? null : terms.counter(offer.terms(), self.operator());
         if (counter != null
                 && !offers.containsKey(counter)
                 && counter.faults(nowMs, rule.mostAloneMs()).isEmpty()
-                && objections(new Offer(counter, self.operator(), Map.of()), revision, nowMs)
+                && objections(new AgreementProposal(counter, self.operator(), Map.of()), revision, nowMs)
                         .isEmpty()) {
             countered = counter;
-            take(new Offer(counter, self.operator(), Map.of(self.operator(), "")), true, nowUs);
+            take(new AgreementProposal(counter, self.operator(), Map.of(self.operator(), "")), true, nowUs);
             log.event("counters", "terms", say(counter));
             agreed(counter);
         }
     }
 
     /** Each names the term that it is about. */
-    private List<String> objections(Offer offer, int revision, long nowMs) {
-        Agreement a = offer.terms();
+    private List<String> objections(AgreementProposal offer, int revision, long nowMs) {
+        PartnerAgreement a = offer.terms();
         List<String> why = new ArrayList<>(a.faults(nowMs, rule.mostAloneMs()));
         if (a.revision() != revision + 1) {
             why.add("revision: " + a.revision() + ", where " + revision + " is in force");
         }
-        for (Offer other : offers.values()) {
+        for (AgreementProposal other : offers.values()) {
             if (other.by().equals(offer.by())
                     && !other.terms().equals(a)
                     && other.terms().revision() == a.revision()
@@ -206,12 +207,12 @@
         return why;
     }
 
-    private void agreed(Agreement to) {
+    private void agreed(PartnerAgreement to) {
         log.event("agrees", "terms", say(to));
     }
 
     /** For the log: all terms, the same at all. */
-    static Map<String, Object> say(Agreement a) {
+    static Map<String, Object> say(PartnerAgreement a) {
         Map<String, Object> parties = new TreeMap<>();
         for (Party p : a.parties()) {
             parties.put(p.operator(), List.of(p.brings(), p.owed(), p.floor()));
--- a/src/main/java/hopdrum/fleet/shards/Ownership.java
+++ b/src/main/java/hopdrum/fleet/shards/Ownership.java
@@ -1,12 +1,12 @@
 package hopdrum.fleet.shards;
 
 import hopdrum.fleet.Timing;
-import hopdrum.fleet.message.Agreement;
-import hopdrum.fleet.message.Agreement.Party;
-import hopdrum.fleet.message.Division;
-import hopdrum.fleet.message.Division.Move;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
+import hopdrum.fleet.message.PartnerAgreement;
+import hopdrum.fleet.message.PartnerAgreement.Party;
+import hopdrum.fleet.message.ShardAssignment;
+import hopdrum.fleet.message.ShardAssignment.Move;
 import hopdrum.fleet.message.View;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -52,7 +52,7 @@
     private long longestAloneUs;
 
     /** A view as it was adopted here. */
-    private record Adopted(long atUs, Division division) {}
+    private record Adopted(long atUs, ShardAssignment division) {}
 
     Ownership(Member self, Timing timing, long mostAloneUs) {
         this.self = self;
@@ -67,7 +67,8 @@
     }
 
     long aloneUs() {
-        Agreement terms = view.division() == null ? null : view.division().agreement();
+        PartnerAgreement terms =
+                view.division() == null ? null : view.division().agreement();
         return terms == null ? 0 : Math.min(mostAloneUs, terms.aloneMs() * 1000);
     }
 
@@ -133,7 +134,7 @@
         }
     }
 
-    void heard(Message.Opened said, long nowUs) {
+    void heard(Message.ShardsHandedOver said, long nowUs) {
         if (said.era() == view.era()) {
             said.numbers().forEach((shard, number) -> {
                 if (opened.getOrDefault(shard, 0L) < number) {
@@ -189,7 +190,7 @@
 
     /** What this member may act on now, as one snapshot. Times in it are this clock's. */
     Rights rights(long heldSinceUs, long nowUs, long wallNowUs) {
-        Division d = view.division();
+        ShardAssignment d = view.division();
         if (d == null) {
             return null;
         }
@@ -216,7 +217,7 @@
         }
         long untilUs = heldSinceUs + Math.max(timing.leaseUs(), aloneUs());
         long all = Long.MAX_VALUE;
-        Agreement terms = d.agreement();
+        PartnerAgreement terms = d.agreement();
         if (terms != null && !d.expired()) {
             all = nowUs + terms.untilMs() * 1000 - wallNowUs;
         }
@@ -224,8 +225,8 @@
     }
 
     /** The first shards, as many as its floor is: what it has left once the agreement has expired. */
-    private int mine(Division d) {
-        Agreement terms = d.agreement();
+    private int mine(ShardAssignment d) {
+        PartnerAgreement terms = d.agreement();
         Party p = terms == null ? null : terms.party(self.operator());
         long all = terms == null
                 ? 0
--- a/src/main/java/hopdrum/fleet/shards/Partners.java
+++ b/src/main/java/hopdrum/fleet/shards/Partners.java
@@ -1,12 +1,12 @@
 package hopdrum.fleet.shards;
 
 import hopdrum.fleet.Timing;
-import hopdrum.fleet.message.Division;
-import hopdrum.fleet.message.Division.Move;
+import hopdrum.fleet.message.AgreementProposal;
+import hopdrum.fleet.message.GossipUpdate.State;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
-import hopdrum.fleet.message.Offer;
-import hopdrum.fleet.message.Rumour.State;
+import hopdrum.fleet.message.ShardAssignment;
+import hopdrum.fleet.message.ShardAssignment.Move;
 import hopdrum.fleet.message.View;
 import hopdrum.fleet.view.DecisionLog;
 import hopdrum.fleet.view.FailureDetector;
@@ -85,12 +85,12 @@
     // ---- What the council asks ----
 
     @Override
-    public Division next(View before, List<Member> members) {
+    public ShardAssignment next(View before, List<Member> members) {
         Set<String> present = new TreeSet<>();
         members.forEach(m -> present.add(m.operator()));
         long now = wallMs.getAsLong();
-        Offer ready = negotiation.ready(before, now);
-        Division next = rule.next(
+        AgreementProposal ready = negotiation.ready(before, now);
+        ShardAssignment next = rule.next(
                 before,
                 present,
                 ready == null ? null : ready.terms(),
@@ -116,7 +116,7 @@
         View before = view;
         view = now;
         ownership.adopted(now, nowUs);
-        Division d = now.division();
+        ShardAssignment d = now.division();
         if (d == null) {
             return;
         }
@@ -149,7 +149,7 @@
     /** At once, and some times again, since messages get lost: they wait for this member's word that it has stopped. */
     private void tellTakers(long nowUs) {
         nextTakersUs = nowUs + timing.periodUs() / 2;
-        Division d = view.division();
+        ShardAssignment d = view.division();
         Set<String> takers = new TreeSet<>();
         for (Move m : d.moves()) {
             if (m.number() == view.number() && m.from().equals(self.operator()) && d.owner(m.shard()) != null) {
@@ -158,7 +158,7 @@
         }
         for (Member m : view.members()) {
             if (takers.contains(m.operator())) {
-                out.send(m.address(), new Message.Settled(view));
+                out.send(m.address(), new Message.ViewSettled(view));
             }
         }
     }
@@ -169,11 +169,11 @@
         ownership.heard(from, era, number);
     }
 
-    public void heard(Member from, Message.Offers said, long nowUs) {
+    public void heard(Member from, Message.AgreementProposals said, long nowUs) {
         negotiation.heard(from, said, nowUs);
     }
 
-    public void heard(Member from, Message.Opened said, long nowUs) {
+    public void heard(Member from, Message.ShardsHandedOver said, long nowUs) {
         if (from.operator().equals(self.operator())) {
             ownership.heard(said, nowUs);
         }
@@ -197,7 +197,7 @@
                 for (int i = 0; i < TOLD; i++) {
                     out.send(
                             peers.get(random.nextInt(peers.size())).address(),
-                            new Message.Offers(negotiation.offers()));
+                            new Message.AgreementProposals(negotiation.offers()));
                 }
             }
         }
@@ -207,7 +207,7 @@
             openedSaid = opened;
             for (Member m : peers) {
                 if (m.operator().equals(self.operator())) {
-                    out.send(m.address(), new Message.Opened(view.era(), opened));
+                    out.send(m.address(), new Message.ShardsHandedOver(view.era(), opened));
                 }
             }
         }
--- a/src/main/java/hopdrum/fleet/shards/Rule.java
+++ b/src/main/java/hopdrum/fleet/shards/Rule.java
@@ -1,9 +1,9 @@
 package hopdrum.fleet.shards;
 
-import hopdrum.fleet.message.Agreement;
-import hopdrum.fleet.message.Agreement.Party;
-import hopdrum.fleet.message.Division;
-import hopdrum.fleet.message.Division.Move;
+import hopdrum.fleet.message.PartnerAgreement;
+import hopdrum.fleet.message.PartnerAgreement.Party;
+import hopdrum.fleet.message.ShardAssignment;
+import hopdrum.fleet.message.ShardAssignment.Move;
 import hopdrum.fleet.message.View;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -44,8 +44,9 @@
     }
 
     /** Whether the terms can come in force after what the view has, with the word of these alone. */
-    public boolean mayFollow(View before, Agreement terms, List<String> agreedBy, long nowMs) {
-        Agreement last = before.division() == null ? null : before.division().agreement();
+    public boolean mayFollow(View before, PartnerAgreement terms, List<String> agreedBy, long nowMs) {
+        PartnerAgreement last =
+                before.division() == null ? null : before.division().agreement();
         return terms.revision() == (last == null ? 1 : last.revision() + 1)
                 && nowMs >= terms.fromMs()
                 && (isNotice(last, terms, agreedBy, nowMs)
@@ -53,12 +54,12 @@
     }
 
     /** One party alone may end an agreement sooner, as the terms that all have agreed to say: nothing else may change. */
-    private static boolean isNotice(Agreement last, Agreement terms, List<String> by, long nowMs) {
+    private static boolean isNotice(PartnerAgreement last, PartnerAgreement terms, List<String> by, long nowMs) {
         return last != null
                 && by.stream().anyMatch(o -> last.party(o) != null)
                 && terms.untilMs() < last.untilMs()
                 && terms.untilMs() >= nowMs + last.noticeMs() - CLOCKS_APART_MS
-                && terms.equals(new Agreement(
+                && terms.equals(new PartnerAgreement(
                         last.name(),
                         last.revision() + 1,
                         last.parties(),
@@ -73,8 +74,8 @@
 
     /** Null if a proposed division follows by this rule, else what does not. */
     public String objection(View before, View proposed, long nowMs) {
-        Division next = proposed.division();
-        Division last = before.division();
+        ShardAssignment next = proposed.division();
+        ShardAssignment last = before.division();
         if (next == null) {
             return "it divides nothing";
         }
@@ -87,7 +88,7 @@
                 && (next.agreement() == null || !mayFollow(before, next.agreement(), next.agreedBy(), next.asOfMs()))) {
             return "its agreement is not one that all parties have agreed to";
         }
-        Division right =
+        ShardAssignment right =
                 next(before, proposed.operators(), other ? next.agreement() : null, next.agreedBy(), next.asOfMs());
         return right.equals(next) ? null : "its shards are not divided by the rule";
     }
@@ -99,9 +100,10 @@
      * @param ready terms that may follow; null if none do
      * @param agreedBy who has agreed to them
      */
-    public Division next(View before, Set<String> present, Agreement ready, List<String> agreedBy, long nowMs) {
-        Division last = before.division();
-        Agreement terms = ready != null ? ready : last == null ? null : last.agreement();
+    public ShardAssignment next(
+            View before, Set<String> present, PartnerAgreement ready, List<String> agreedBy, long nowMs) {
+        ShardAssignment last = before.division();
+        PartnerAgreement terms = ready != null ? ready : last == null ? null : last.agreement();
         boolean expired = terms != null && (nowMs >= terms.untilMs() || ready == null && last.expired());
         TreeSet<String> operators = new TreeSet<>(present);
         Map<String, Integer> has = new HashMap<>();
@@ -126,7 +128,7 @@
         List<Integer> give = new ArrayList<>();
         for (int i = shards - 1; i >= 0; i--) { // the last first: one that is left with its floor knows which are in it
             String owner = last == null ? null : last.owner(i);
-            owners[i] = owner == null ? Division.NOBODY : (char) ('A' + names.indexOf(owner));
+            owners[i] = owner == null ? ShardAssignment.NOBODY : (char) ('A' + names.indexOf(owner));
             if (owner == null || over.get(owner) > 0) {
                 over.computeIfPresent(owner == null ? "" : owner, (k, v) -> v - 1);
                 give.add(i);
@@ -152,7 +154,7 @@
             String from = last == null ? null : last.owner(shard);
             moves.put(shard, new Move(shard, from == null ? "" : from, before.number() + 1, nowMs));
         }
-        return new Division(
+        return new ShardAssignment(
                 nowMs,
                 names,
                 new String(owners),
@@ -170,7 +172,7 @@
             Set<String> operators,
             Map<String, Long> gone,
             Map<String, Integer> has,
-            Agreement terms,
+            PartnerAgreement terms,
             boolean expired,
             long nowMs) {
         Map<String, Integer> weights = new TreeMap<>();
@@ -226,7 +228,7 @@
             Map<String, Integer> over,
             Map<String, Integer> has,
             Map<String, Integer> target,
-            Agreement terms) {
+            PartnerAgreement terms) {
         String best = null;
         double bestLack = 0;
         for (String o : names) {
--- a/src/main/java/hopdrum/fleet/shards/Terms.java
+++ b/src/main/java/hopdrum/fleet/shards/Terms.java
@@ -1,7 +1,7 @@
 package hopdrum.fleet.shards;
 
-import hopdrum.fleet.message.Agreement;
-import hopdrum.fleet.message.Agreement.Party;
+import hopdrum.fleet.message.PartnerAgreement;
+import hopdrum.fleet.message.PartnerAgreement.Party;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -19,7 +19,7 @@
  * @param givesNotice whether it wants out
  */
 public record Terms(
-        Agreement proposes,
+        PartnerAgreement proposes,
         double leastPart,
         int mostBrings,
         int leastFloor,
@@ -30,14 +30,14 @@
     /** Of one without a file: it proposes nothing and agrees to nothing. */
     public static final Terms NONE = new Terms(null, 2, 0, 0, 0, 0, 0, false);
 
-    private static double part(Agreement a, String operator) {
+    private static double part(PartnerAgreement a, String operator) {
         Party p = a.party(operator);
         long owed = a.parties().stream().mapToLong(Party::owed).sum();
         return p == null || owed == 0 ? 0 : p.owed() / (double) owed;
     }
 
     /** Why this operator would not agree; a sentence for each term. */
-    List<String> objections(Agreement a, String operator, long nowMs) {
+    List<String> objections(PartnerAgreement a, String operator, long nowMs) {
         List<String> why = new ArrayList<>();
         Party p = a.party(operator);
         if (a.equals(proposes)) {
@@ -66,7 +66,7 @@
     }
 
     /** The same with this operator's own figures as near as it would agree to; null where no figure of its own would help. */
-    Agreement counter(Agreement a, String operator) {
+    PartnerAgreement counter(PartnerAgreement a, String operator) {
         List<Party> parties = new ArrayList<>();
         double others = a.parties().stream()
                 .filter(p -> !p.operator().equals(operator))
@@ -85,7 +85,7 @@
                             : new Party(
                                     operator, Math.min(p.brings(), mostBrings), owed, Math.max(p.floor(), leastFloor)));
         }
-        return new Agreement(
+        return new PartnerAgreement(
                 a.name(),
                 a.revision(),
                 parties,
--- a/src/main/java/hopdrum/fleet/view/FailureDetector.java
+++ b/src/main/java/hopdrum/fleet/view/FailureDetector.java
@@ -1,10 +1,10 @@
 package hopdrum.fleet.view;
 
 import hopdrum.fleet.Timing;
+import hopdrum.fleet.message.GossipUpdate;
+import hopdrum.fleet.message.GossipUpdate.State;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
-import hopdrum.fleet.message.Rumour;
-import hopdrum.fleet.message.Rumour.State;
 import hopdrum.fleet.message.View;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -43,12 +43,12 @@
         long lookUs; // when a suspect may be looked at again
         final Set<String> accusers = new HashSet<>(2); // of a suspicion; emptied with it
 
-        Entry(Rumour of, long nowUs) {
+        Entry(GossipUpdate of, long nowUs) {
             member = of.about();
             take(of, nowUs);
         }
 
-        void take(Rumour r, long nowUs) {
+        void take(GossipUpdate r, long nowUs) {
             incarnation = r.incarnation();
             state = r.state();
             sinceUs = nowUs;
@@ -63,8 +63,8 @@
             return state == State.ALIVE || state == State.SUSPECT;
         }
 
-        Rumour rumour(String by) {
-            return new Rumour(member, incarnation, state, by);
+        GossipUpdate rumour(String by) {
+            return new GossipUpdate(member, incarnation, state, by);
         }
 
         /** Shrinks from the longest to the least time as others confirm. */
@@ -82,7 +82,7 @@
     }
 
     private static final class Pending {
-        Rumour rumour;
+        GossipUpdate rumour;
         int said;
     }
 
@@ -152,7 +152,7 @@
         this.nextProbeUs = nowUs + random.nextLong(timing.periodUs());
         this.nextExchangeUs = nowUs;
         this.nextSeekUs = nowUs;
-        say(new Rumour(self, incarnation, State.ALIVE, self.name()));
+        say(new GossipUpdate(self, incarnation, State.ALIVE, self.name()));
     }
 
     // ---- What is asked ----
@@ -227,7 +227,7 @@
         }
         for (Entry e : List.copyOf(entries.values())) {
             if (e.state == State.SUSPECT && nowUs >= e.deadAtUs()) {
-                take(e, new Rumour(e.member, e.incarnation, State.DEAD, self.name()), nowUs);
+                take(e, new GossipUpdate(e.member, e.incarnation, State.DEAD, self.name()), nowUs);
             } else if (!e.isThere() && nowUs - e.sinceUs > timing.forgetUs()) {
                 entries.remove(e.member.name());
                 rumours.remove(e.member.name());
@@ -296,7 +296,7 @@
     private int askHelpers(Entry about, long number) {
         List<Entry> helpers = some(HELPERS, e -> e.state == State.ALIVE && e != about);
         for (Entry helper : helpers) {
-            out.send(helper.member.address(), new Message.PingFor(number, about.member, gossipFor(helper)));
+            out.send(helper.member.address(), new Message.PingRequest(number, about.member, gossipFor(helper)));
         }
         return helpers.size();
     }
@@ -399,7 +399,7 @@
 
     /** Somebody speaks: who it is stands in its hello. */
     private Entry heardFrom(Member from, long nowUs) {
-        hear(new Rumour(from, 0, State.ALIVE, from.name()), nowUs);
+        hear(new GossipUpdate(from, 0, State.ALIVE, from.name()), nowUs);
         Entry e = entries.get(from.name());
         if (e != null && e.member.is(from)) {
             e.heardUs = nowUs;
@@ -431,7 +431,7 @@
         }
     }
 
-    public void heard(Member from, Message.PingFor asked, long nowUs) {
+    public void heard(Member from, Message.PingRequest asked, long nowUs) {
         heardFrom(from, nowUs);
         hear(asked.rumours(), nowUs);
         long mine = ++seq;
@@ -452,7 +452,7 @@
         }
     }
 
-    public void heard(Member from, Message.Exchange exchange, long nowUs) {
+    public void heard(Member from, Message.FullStateExchange exchange, long nowUs) {
         heardFrom(from, nowUs);
         hear(exchange.rumours(), nowUs);
         if (!exchange.answer()) {
@@ -460,17 +460,17 @@
         }
     }
 
-    private Message.Exchange exchange(boolean answer) {
-        List<Rumour> all = new ArrayList<>();
+    private Message.FullStateExchange exchange(boolean answer) {
+        List<GossipUpdate> all = new ArrayList<>();
         all.add(mine());
         for (Entry e : entries.values()) {
             all.add(e.rumour(accuser(e)));
         }
-        return new Message.Exchange(answer, view.era(), view.number(), all);
+        return new Message.FullStateExchange(answer, view.era(), view.number(), all);
     }
 
-    private Rumour mine() {
-        return new Rumour(self, incarnation, leaving ? State.LEFT : State.ALIVE, self.name());
+    private GossipUpdate mine() {
+        return new GossipUpdate(self, incarnation, leaving ? State.LEFT : State.ALIVE, self.name());
     }
 
     private String accuser(Entry e) {
@@ -479,8 +479,8 @@
 
     // ---- What is believed ----
 
-    private void hear(Collection<Rumour> heard, long nowUs) {
-        for (Rumour r : heard) {
+    private void hear(Collection<GossipUpdate> heard, long nowUs) {
+        for (GossipUpdate r : heard) {
             hear(r, nowUs);
         }
     }
@@ -490,12 +490,12 @@
         view = settled;
         for (Member m : settled.members()) {
             if (!entries.containsKey(m.name())) {
-                hear(new Rumour(m, 0, State.ALIVE, self.name()), nowUs);
+                hear(new GossipUpdate(m, 0, State.ALIVE, self.name()), nowUs);
             }
         }
     }
 
-    private void hear(Rumour r, long nowUs) {
+    private void hear(GossipUpdate r, long nowUs) {
         if (r.about().name().equals(self.name())) {
             heardOfSelf(r);
             return;
@@ -528,13 +528,13 @@
     }
 
     /** Guards against two processes of one name: while one of them speaks, a later start elsewhere is no restart. */
-    private boolean holdsName(Entry e, Rumour later, long nowUs) {
+    private boolean holdsName(Entry e, GossipUpdate later, long nowUs) {
         boolean elsewhere = !later.about().address().equals(e.member.address());
         boolean speaks = e.state == State.ALIVE && nowUs - e.heardUs < 2L * timing.periodUs() * Math.max(1, there());
         return elsewhere && speaks && later.state() != State.LEFT;
     }
 
-    private void heardOfSelf(Rumour r) {
+    private void heardOfSelf(GossipUpdate r) {
         if (r.about().is(self)) {
             if (!leaving && r.state() != State.ALIVE && r.incarnation() >= incarnation) {
                 incarnation = r.incarnation() + 1;
@@ -553,13 +553,13 @@
 
     private void suspect(Entry e, long nowUs) {
         if (e.state == State.ALIVE) {
-            take(e, new Rumour(e.member, e.incarnation, State.SUSPECT, self.name()), nowUs);
+            take(e, new GossipUpdate(e.member, e.incarnation, State.SUSPECT, self.name()), nowUs);
         } else if (e.accusers.size() <= HELPERS && e.accusers.add(self.name())) {
-            say(new Rumour(e.member, e.incarnation, State.SUSPECT, self.name())); // confirms
+            say(new GossipUpdate(e.member, e.incarnation, State.SUSPECT, self.name())); // confirms
         }
     }
 
-    private void take(Entry e, Rumour r, long nowUs) {
+    private void take(Entry e, GossipUpdate r, long nowUs) {
         if (probed == e && r.state() != State.SUSPECT) {
             probed = null;
         }
@@ -589,15 +589,15 @@
 
     // ---- Rumours ----
 
-    private void say(Rumour r) {
+    private void say(GossipUpdate r) {
         Pending p = rumours.computeIfAbsent(r.about().name(), k -> new Pending());
         p.rumour = r;
         p.said = 0;
     }
 
     /** The least said first; to a suspect, first of all what is believed of it, so that it can refute. */
-    private List<Rumour> gossipFor(Entry to) {
-        List<Rumour> chosen = new ArrayList<>(MOST_RUMOURS);
+    private List<GossipUpdate> gossipFor(Entry to) {
+        List<GossipUpdate> chosen = new ArrayList<>(MOST_RUMOURS);
         if (to.state != State.ALIVE) {
             chosen.add(to.rumour(accuser(to)));
         }
--- a/src/main/java/hopdrum/fleet/view/Leases.java
+++ b/src/main/java/hopdrum/fleet/view/Leases.java
@@ -171,12 +171,12 @@
         if (m.name().equals(self.name())) {
             held(since);
         } else {
-            out.send(m.address(), new Message.Held(now.era(), now.number(), since));
+            out.send(m.address(), new Message.LeaseGranted(now.era(), now.number(), since));
         }
     }
 
     /** Told by a chair; a time that this clock has not shown since the start is nobody's. */
-    public void heard(Message.Held said, View now, long nowUs) {
+    public void heard(Message.LeaseGranted said, View now, long nowUs) {
         if (now.isNamed(said.era(), said.number())
                 && said.atUs() >= startedUs
                 && said.atUs() <= nowUs
--- a/src/main/java/hopdrum/fleet/view/Membership.java
+++ b/src/main/java/hopdrum/fleet/view/Membership.java
@@ -122,7 +122,9 @@
             }
             String site = peer.site();
             peers.removeIf(m -> m.site().equals(site));
-            out.send(peer.address(), new Message.Latency(latency.asks(peer, nowUs), false, latency.readings(nowUs)));
+            out.send(
+                    peer.address(),
+                    new Message.LatencyExchange(latency.asks(peer, nowUs), false, latency.readings(nowUs)));
         }
     }
 
@@ -144,18 +146,18 @@
         } else if (message instanceof Message.Ack m) {
             failureDetector.heard(from, m, nowUs);
             has(from, m.era(), m.number(), nowUs);
-        } else if (message instanceof Message.PingFor m) {
+        } else if (message instanceof Message.PingRequest m) {
             failureDetector.heard(from, m, nowUs);
-        } else if (message instanceof Message.Latency m) {
+        } else if (message instanceof Message.LatencyExchange m) {
             latency.heard(m.readings(), nowUs);
             if (m.answer() && nowUs - tickedUs < timing.periodUs()) { // no pause of ours in it
                 latency.answered(from, m.seq(), nowUs);
             } else if (!m.answer()) {
-                out.send(from.address(), new Message.Latency(m.seq(), true, latency.readings(nowUs)));
+                out.send(from.address(), new Message.LatencyExchange(m.seq(), true, latency.readings(nowUs)));
             }
         } else if (message instanceof Message.Nack m) {
             failureDetector.heard(from, m, nowUs);
-        } else if (message instanceof Message.Exchange m) {
+        } else if (message instanceof Message.FullStateExchange m) {
             failureDetector.heard(from, m, nowUs);
             has(from, m.era(), m.number(), nowUs);
         } else if (message instanceof Message.NameTaken m) {
@@ -168,24 +170,24 @@
             viewConsensus.heard(from, m, nowUs);
         } else if (message instanceof Message.Accepted m) {
             viewConsensus.heard(from, m, nowUs);
-        } else if (message instanceof Message.Overruled m) {
+        } else if (message instanceof Message.Preempted m) {
             viewConsensus.heard(from, m, nowUs);
-        } else if (message instanceof Message.Settled m) {
+        } else if (message instanceof Message.ViewSettled m) {
             viewConsensus.heard(from, m, nowUs);
             if (partners != null) {
                 partners.heard(from, m.view().era(), m.view().number()); // who tells of a view holds it
             }
-        } else if (message instanceof Message.Offers m && partners != null) {
+        } else if (message instanceof Message.AgreementProposals m && partners != null) {
             partners.heard(from, m, nowUs);
-        } else if (message instanceof Message.Opened m && partners != null) {
+        } else if (message instanceof Message.ShardsHandedOver m && partners != null) {
             partners.heard(from, m, nowUs);
-        } else if (message instanceof Message.AskSettled m) {
+        } else if (message instanceof Message.SettledViewRequest m) {
             viewConsensus.heard(from, m, nowUs);
         } else if (message instanceof Message.Renew m) {
             viewConsensus.heard(from, m, nowUs);
         } else if (message instanceof Message.Renewed m) {
             viewConsensus.heard(from, m, nowUs);
-        } else if (message instanceof Message.Held m) {
+        } else if (message instanceof Message.LeaseGranted m) {
             viewConsensus.leases().heard(m, viewConsensus.view(), nowUs);
         }
     }
--- a/src/main/java/hopdrum/fleet/view/ShardAssignmentRule.java
+++ b/src/main/java/hopdrum/fleet/view/ShardAssignmentRule.java
@@ -1,14 +1,14 @@
 package hopdrum.fleet.view;
 
-import hopdrum.fleet.message.Division;
 import hopdrum.fleet.message.Member;
+import hopdrum.fleet.message.ShardAssignment;
 import hopdrum.fleet.message.View;
 import java.util.List;
 
 /** What is settled along with a view's members, by a rule that is the same at all of them. */
 public interface ShardAssignmentRule {
     /** What goes along with the next view of these members; null where nothing is divided. */
-    Division next(View before, List<Member> members);
+    ShardAssignment next(View before, List<Member> members);
 
     /** Null if a view that is proposed divides by the rule, else what does not. */
     String objection(View before, View proposed);
@@ -19,7 +19,7 @@
     /** Where nothing is divided. */
     ShardAssignmentRule NONE = new ShardAssignmentRule() {
         @Override
-        public Division next(View before, List<Member> members) {
+        public ShardAssignment next(View before, List<Member> members) {
             return null;
         }
 
--- a/src/main/java/hopdrum/fleet/view/ViewConsensus.java
+++ b/src/main/java/hopdrum/fleet/view/ViewConsensus.java
@@ -2,10 +2,10 @@
 
 import hopdrum.fleet.Timing;
 import hopdrum.fleet.message.Ballot;
-import hopdrum.fleet.message.Division;
+import hopdrum.fleet.message.GossipUpdate.State;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
-import hopdrum.fleet.message.Rumour.State;
+import hopdrum.fleet.message.ShardAssignment;
 import hopdrum.fleet.message.View;
 import hopdrum.fleet.store.Store.Kept;
 import java.util.ArrayDeque;
@@ -201,7 +201,7 @@
     private void look(long nowUs) {
         List<Member> now = view.era() == 0 ? founding() : wantedNow(nowUs);
         boolean chair = isChair();
-        Division next = chair && now != null ? dividing.next(view, now) : view.division();
+        ShardAssignment next = chair && now != null ? dividing.next(view, now) : view.division();
         boolean divides = next != null && !next.isLike(view.division());
         if (now == null || sameStarts(now, view.members()) && !divides) {
             wanted = null;
@@ -341,7 +341,7 @@
             settled.members().forEach(m -> addOther(all, m));
             failureDetector.present().forEach(m -> addOther(all, m));
             all.removeIf(m -> m.is(self));
-            all.forEach(m -> out.send(m.address(), new Message.Settled(settled)));
+            all.forEach(m -> out.send(m.address(), new Message.ViewSettled(settled)));
         }
         drain(nowUs);
     }
@@ -352,7 +352,7 @@
         }
     }
 
-    public void heard(Member from, Message.Overruled overruled, long nowUs) {
+    public void heard(Member from, Message.Preempted overruled, long nowUs) {
         if (proposal != null
                 && view.isNamed(overruled.era(), overruled.number())
                 && overruled.by().compareTo(proposal.ballot) > 0) {
@@ -370,11 +370,11 @@
             return false;
         }
         if (view.era() > era || view.era() == era && view.number() > number) {
-            reply(from, new Message.Settled(view));
+            reply(from, new Message.ViewSettled(view));
             return false;
         }
         if (!view.isNamed(era, number)) {
-            reply(from, new Message.AskSettled(view.era(), view.number()));
+            reply(from, new Message.SettledViewRequest(view.era(), view.number()));
             return false;
         }
         return isVoter() && mayVote(from);
@@ -383,7 +383,7 @@
     public void heard(Member from, Message.Prepare prepare, long nowUs) {
         if (votesOn(from, prepare.era(), prepare.number())) {
             if (prepare.ballot().compareTo(promised) < 0) {
-                reply(from, new Message.Overruled(prepare.era(), prepare.number(), promised));
+                reply(from, new Message.Preempted(prepare.era(), prepare.number(), promised));
             } else {
                 highestRound = Math.max(highestRound, prepare.ballot().round());
                 Message promise =
@@ -397,7 +397,7 @@
     public void heard(Member from, Message.Accept accept, long nowUs) {
         if (votesOn(from, accept.era(), accept.number())) {
             if (accept.ballot().compareTo(promised) < 0) {
-                reply(from, new Message.Overruled(accept.era(), accept.number(), promised));
+                reply(from, new Message.Preempted(accept.era(), accept.number(), promised));
             } else if (dividing.objection(view, accept.view()) != null) {
                 log.event(
                         "objects",
@@ -450,14 +450,14 @@
 
     // ---- Settled ----
 
-    public void heard(Member from, Message.Settled settled, long nowUs) {
+    public void heard(Member from, Message.ViewSettled settled, long nowUs) {
         adopt(settled.view(), "told", nowUs);
         drain(nowUs);
     }
 
-    public void heard(Member from, Message.AskSettled ask, long nowUs) {
+    public void heard(Member from, Message.SettledViewRequest ask, long nowUs) {
         if (view.era() > ask.era() || view.era() == ask.era() && view.number() > ask.number()) {
-            reply(from, new Message.Settled(view));
+            reply(from, new Message.ViewSettled(view));
         }
         drain(nowUs);
     }
@@ -467,9 +467,9 @@
         boolean ahead = era > view.era() || era == view.era() && number > view.number();
         if (ahead && nowUs - askedUs > timing.pingUs()) {
             askedUs = nowUs;
-            reply(from, new Message.AskSettled(view.era(), view.number()));
+            reply(from, new Message.SettledViewRequest(view.era(), view.number()));
         } else if (view.era() > 0 && (era < view.era() || number < view.number()) && !ahead) {
-            reply(from, new Message.Settled(view));
+            reply(from, new Message.ViewSettled(view));
         }
         drain(nowUs);
     }
@@ -566,7 +566,7 @@
                 heard(self, x, nowUs);
             } else if (m instanceof Message.Accepted x) {
                 heard(self, x, nowUs);
-            } else if (m instanceof Message.Overruled x) {
+            } else if (m instanceof Message.Preempted x) {
                 heard(self, x, nowUs);
             }
         }
--- a/src/rig/java/hopdrum/rig/planted/Planted.java
+++ b/src/rig/java/hopdrum/rig/planted/Planted.java
@@ -150,7 +150,7 @@
     /** Tells one peer, and no other, of a view that nobody has agreed to. */
     private static void settle(String address, String fleet, Member self, View view) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", Integer.parseInt(address.substring(address.indexOf(':') + 1)))) {
-            for (Message m : List.of(new Message.Hello(Message.VERSION, fleet, self), new Message.Settled(view))) {
+            for (Message m : List.of(new Message.Hello(Message.VERSION, fleet, self), new Message.ViewSettled(view))) {
                 byte[] body = Codec.bytes(m);
                 socket.getOutputStream()
                         .write(java.nio.ByteBuffer.allocate(4 + body.length)
--- a/src/rig/java/hopdrum/rig/swarm/MeasureMap.java
+++ b/src/rig/java/hopdrum/rig/swarm/MeasureMap.java
@@ -2,8 +2,8 @@
 
 import hopdrum.fleet.Timing;
 import hopdrum.fleet.latency.LatencyMap.Way;
+import hopdrum.fleet.message.LatencyReading;
 import hopdrum.fleet.message.Message;
-import hopdrum.fleet.message.Reading;
 import hopdrum.rig.swarm.Swarm.Node;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -142,14 +142,14 @@
     }
 
     private static Message lie(String from, Message message) {
-        if (from.equals("m007") && message instanceof Message.Latency l) {
-            return new Message.Latency(
+        if (from.equals("m007") && message instanceof Message.LatencyExchange l) {
+            return new Message.LatencyExchange(
                     l.seq(),
                     l.answer(),
                     l.readings().stream()
                             .map(r -> !r.observer().equals(from)
                                     ? r
-                                    : new Reading(
+                                    : new LatencyReading(
                                             r.observer(),
                                             r.start(),
                                             r.from(),
--- a/src/rig/java/hopdrum/rig/swarm/MeasureShards.java
+++ b/src/rig/java/hopdrum/rig/swarm/MeasureShards.java
@@ -1,9 +1,9 @@
 package hopdrum.rig.swarm;
 
 import hopdrum.fleet.Timing;
-import hopdrum.fleet.message.Agreement;
-import hopdrum.fleet.message.Agreement.Party;
-import hopdrum.fleet.message.Division;
+import hopdrum.fleet.message.PartnerAgreement;
+import hopdrum.fleet.message.PartnerAgreement.Party;
+import hopdrum.fleet.message.ShardAssignment;
 import hopdrum.fleet.shards.Terms;
 import hopdrum.rig.swarm.Swarm.Node;
 import java.util.ArrayList;
@@ -124,11 +124,12 @@
         for (int i = 0; i < owed.length; i++) {
             parties.add(new Party("op" + i, 100, owed[i], 0));
         }
-        Agreement a = new Agreement("pact", revision, parties, 0, NO_END_MS, 5_000, false, SHARDS / 4, 10_000, 0);
+        PartnerAgreement a =
+                new PartnerAgreement("pact", revision, parties, 0, NO_END_MS, 5_000, false, SHARDS / 4, 10_000, 0);
         s.nodes().stream().filter(n -> n.operator.equals(by)).forEach(n -> s.follow(n, willing(a)));
     }
 
-    private static Terms willing(Agreement proposes) {
+    private static Terms willing(PartnerAgreement proposes) {
         return new Terms(proposes, 0, 1_000, 0, ALONE_MS, SHARDS, NO_END_MS, false);
     }
 
@@ -184,7 +185,7 @@
         if (!s.isSettled()) {
             return false;
         }
-        Division d = s.node(0).view().division();
+        ShardAssignment d = s.node(0).view().division();
         double all = d.agreement() == null
                 ? 0
                 : d.agreement().parties().stream().mapToInt(Party::owed).sum();
--- a/src/test/java/hopdrum/fleet/BadInputTest.java
+++ b/src/test/java/hopdrum/fleet/BadInputTest.java
@@ -5,9 +5,9 @@
 
 import hopdrum.fleet.message.Ballot;
 import hopdrum.fleet.message.Codec;
+import hopdrum.fleet.message.GossipUpdate;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
-import hopdrum.fleet.message.Rumour;
 import hopdrum.fleet.message.View;
 import hopdrum.fleet.shards.Terms;
 import hopdrum.fleet.store.Store;
@@ -114,10 +114,10 @@
         View view = new View(9, 3, List.of(ONE));
         List<Message> all = List.of(
                 new Message.Hello(1, "demo", ONE),
-                new Message.Ping(4, 9, 3, List.of(new Rumour(ONE, 2, Rumour.State.SUSPECT, "n2"))),
+                new Message.Ping(4, 9, 3, List.of(new GossipUpdate(ONE, 2, GossipUpdate.State.SUSPECT, "n2"))),
                 new Message.Promise(9, 3, new Ballot(2, "n1"), null, null),
-                new Message.Settled(view),
-                new Message.Held(9, 3, 77));
+                new Message.ViewSettled(view),
+                new Message.LeaseGranted(9, 3, 77));
         for (Message m : all) {
             byte[] bytes = Codec.bytes(m);
             assertThat(Codec.read(bytes)).isEqualTo(m);
@@ -131,7 +131,7 @@
         assertThatThrownBy(() -> new View(9, 3, List.of(ONE, ONE))).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> new Message.Accept(9, 3, Ballot.NONE, new View(9, 5, List.of(ONE))))
                 .isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> new Rumour(ONE, Long.MAX_VALUE, Rumour.State.ALIVE, "n1"))
+        assertThatThrownBy(() -> new GossipUpdate(ONE, Long.MAX_VALUE, GossipUpdate.State.ALIVE, "n1"))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
@@ -190,7 +190,7 @@
                     new Message.Hello(Message.VERSION, "demo", 8, 1_000, ONE))) {
                 try (Socket socket = new Socket("127.0.0.1", port)) {
                     say(socket, hello);
-                    assertThat(hears(socket)).isInstanceOf(Message.TurnedDown.class);
+                    assertThat(hears(socket)).isInstanceOf(Message.Rejected.class);
                     assertThat(socket.getInputStream().read()).isNegative();
                 }
             }
--- a/src/test/java/hopdrum/fleet/LatencyMapTest.java
+++ b/src/test/java/hopdrum/fleet/LatencyMapTest.java
@@ -4,8 +4,8 @@
 
 import hopdrum.fleet.latency.LatencyMap;
 import hopdrum.fleet.latency.LatencyMap.Kind;
+import hopdrum.fleet.message.LatencyReading;
 import hopdrum.fleet.message.Member;
-import hopdrum.fleet.message.Reading;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -24,8 +24,8 @@
         return new Member(name, 5, 7, "north", site, 0, "127.0.0.1:9");
     }
 
-    private static Reading reading(String by, String from, String to, long seq, long rttUs, long ageUs) {
-        return new Reading(by, 5, from, to, seq, rttUs, ageUs);
+    private static LatencyReading reading(String by, String from, String to, long seq, long rttUs, long ageUs) {
+        return new LatencyReading(by, 5, from, to, seq, rttUs, ageUs);
     }
 
     @Test
@@ -89,7 +89,7 @@
     @Property(tries = 100)
     void theOrderAndNumberOfMessagesChangeNothing(@ForAll long seed) {
         Random random = new Random(seed);
-        List<Reading> all = new ArrayList<>();
+        List<LatencyReading> all = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             all.add(reading(
                     "o" + random.nextInt(5),
@@ -100,8 +100,8 @@
                     random.nextInt(5) * S));
         }
         all.sort((x, y) -> Long.compare(x.seq(), y.seq()));
-        List<Reading> distinct = new ArrayList<>(); // one content a number, as an honest observer has
-        for (Reading r : all) {
+        List<LatencyReading> distinct = new ArrayList<>(); // one content a number, as an honest observer has
+        for (LatencyReading r : all) {
             if (distinct.stream().noneMatch(d -> d.observer().equals(r.observer()) && d.seq() == r.seq())) {
                 distinct.add(r);
             }
@@ -109,7 +109,7 @@
         LatencyMap one = new LatencyMap(member("me", "a"), S);
         LatencyMap two = new LatencyMap(member("me", "a"), S);
         one.heard(distinct, NOW);
-        List<Reading> again = new ArrayList<>(distinct);
+        List<LatencyReading> again = new ArrayList<>(distinct);
         again.addAll(distinct.subList(0, distinct.size() / 2));
         Collections.shuffle(again, random);
         again.forEach(r -> two.heard(List.of(r), NOW));
--- a/src/test/java/hopdrum/fleet/PartnersTest.java
+++ b/src/test/java/hopdrum/fleet/PartnersTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import hopdrum.fleet.message.Agreement;
-import hopdrum.fleet.message.Agreement.Party;
-import hopdrum.fleet.message.Division;
 import hopdrum.fleet.message.Member;
+import hopdrum.fleet.message.PartnerAgreement;
+import hopdrum.fleet.message.PartnerAgreement.Party;
+import hopdrum.fleet.message.ShardAssignment;
 import hopdrum.fleet.message.View;
 import hopdrum.fleet.shards.Rule;
 import hopdrum.fleet.shards.Terms;
@@ -29,15 +29,16 @@
     private static final int SHARDS = 32;
     private static final long ALONE_MS = 10_000;
 
-    static Agreement terms(int revision, long fromMs, long untilMs, boolean standIn, int... owed) {
+    static PartnerAgreement terms(int revision, long fromMs, long untilMs, boolean standIn, int... owed) {
         List<Party> parties = new ArrayList<>();
         for (int i = 0; i < owed.length; i++) {
             parties.add(new Party("op" + i, Math.max(owed[i], 100), owed[i], Math.min(owed[i], 10)));
         }
-        return new Agreement("pact", revision, parties, fromMs, untilMs, 5_000, standIn, SHARDS / 4, 10_000, 20_000);
+        return new PartnerAgreement(
+                "pact", revision, parties, fromMs, untilMs, 5_000, standIn, SHARDS / 4, 10_000, 20_000);
     }
 
-    private static Terms proposes(Agreement a) {
+    private static Terms proposes(PartnerAgreement a) {
         return new Terms(a, 0, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false);
     }
 
@@ -192,7 +193,7 @@
         Swarm swarm = settled(6, 2, 6);
         follow(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000, false, 75, 25)));
         assertThat(swarm.until(40 * S, () -> shares(swarm, 24, 8))).isTrue();
-        Agreement before = swarm.node(0).view().division().agreement();
+        PartnerAgreement before = swarm.node(0).view().division().agreement();
         swarm.nodes().forEach(swarm::kill);
         swarm.run(2 * S);
         swarm.nodes().forEach(n -> swarm.start(n, !n.operator.equals("op1") || n.gateway == 1));
@@ -214,7 +215,7 @@
             follow(
                     swarm,
                     "op0",
-                    proposes(new Agreement(
+                    proposes(new PartnerAgreement(
                             "pact",
                             revision,
                             parties,
@@ -261,7 +262,7 @@
                 case 4 -> swarm.net = (a, b) -> !a.equals(node.name);
                 case 5 -> swarm.loss = random.nextDouble() * 0.4;
                 default -> {
-                    Division d = node.isUp() ? node.view().division() : null;
+                    ShardAssignment d = node.isUp() ? node.view().division() : null;
                     int next = d == null || d.agreement() == null
                             ? 1
                             : d.agreement().revision() + 1;
@@ -295,7 +296,7 @@
 
     // ---- The rule alone ----
 
-    private static View view(Division division, int number) {
+    private static View view(ShardAssignment division, int number) {
         return new View(1, number, List.of(new Member("m", 1, 1, "op0", "here", 0, "127.0.0.1:1")), division);
     }
 
@@ -310,14 +311,14 @@
         for (int i = 0; i < operators; i++) {
             present.add("op" + i);
         }
-        Agreement agreement = terms(1, 0, 1_000_000_000, false, owed);
-        Division d = rule.next(view(null, 0), present, null, List.of(), 0);
+        PartnerAgreement agreement = terms(1, 0, 1_000_000_000, false, owed);
+        ShardAssignment d = rule.next(view(null, 0), present, null, List.of(), 0);
         int number = 1;
         long now = 1;
-        Division first = d;
+        ShardAssignment first = d;
         for (int epoch = 0; epoch < 12; epoch++, now += 10_000) {
             for (int again = 0; again < 2; again++) {
-                Division next = rule.next(
+                ShardAssignment next = rule.next(
                         view(d, number++),
                         present,
                         agreement.equals(d.agreement()) ? null : agreement,
@@ -346,7 +347,7 @@
 
     @Test
     void termsThatPromiseTooMuchContradictThemselvesOrAreOverAreRefusedEachByName() {
-        Agreement bad = new Agreement(
+        PartnerAgreement bad = new PartnerAgreement(
                 "pact",
                 1,
                 List.of(new Party("op0", 10, 60, 70), new Party("op1", 10, 60, 0)),
@@ -366,8 +367,8 @@
                         "alone: 60000 ms",
                         "moves: none");
         Rule rule = new Rule(SHARDS, ALONE_MS);
-        Agreement good = terms(1, 0, 100_000, false, 50, 50);
-        Division d = rule.next(view(null, 0), Set.of("op0", "op1"), good, good.operators(), 10);
+        PartnerAgreement good = terms(1, 0, 100_000, false, 50, 50);
+        ShardAssignment d = rule.next(view(null, 0), Set.of("op0", "op1"), good, good.operators(), 10);
         assertThat(rule.mayFollow(view(d, 1), good, good.operators(), 20)).isFalse(); // said once more
         assertThat(rule.mayFollow(view(null, 0), good, List.of("op0"), 20)).isFalse(); // one party's word alone
         assertThat(rule.objection(view(null, 0), new View(1, 1, view(null, 0).members(), d), 10))
--- a/src/test/java/hopdrum/fleet/message/MessageWireFormatTest.java
+++ b/src/test/java/hopdrum/fleet/message/MessageWireFormatTest.java
@@ -27,11 +27,11 @@
     private static final Member SECOND = new Member("m002", 6, -3, "opb", "west", 1, "[::1]:7001");
     private static final Ballot BALLOT = new Ballot(4, "m001");
 
-    private static Agreement agreement() {
-        return new Agreement(
+    private static PartnerAgreement agreement() {
+        return new PartnerAgreement(
                 "deal",
                 1,
-                List.of(new Agreement.Party("opa", 10, 6, 2), new Agreement.Party("opb", 10, 4, 1)),
+                List.of(new PartnerAgreement.Party("opa", 10, 6, 2), new PartnerAgreement.Party("opb", 10, 4, 1)),
                 1000,
                 2000,
                 30000,
@@ -42,11 +42,11 @@
     }
 
     private static View viewWithDivision() {
-        Division division = new Division(
+        ShardAssignment division = new ShardAssignment(
                 1234,
                 List.of("opa", "opb"),
                 "AB-A",
-                List.of(new Division.Move(1, "opa", 2, 99)),
+                List.of(new ShardAssignment.Move(1, "opa", 2, 99)),
                 agreement(),
                 List.of("opa"),
                 false,
@@ -62,32 +62,32 @@
 
     /** One message of each kind that Message names, keyed as in the file. */
     private static Map<String, Message> oneOfEachKind() {
-        Rumour rumour = new Rumour(FIRST, 2, Rumour.State.SUSPECT, "m002");
-        Reading reading = new Reading("m001", 5, "east", "west", 3, 1500, 20);
-        Offer offer = new Offer(agreement(), "opa", Map.of("opb", "", "opa", "no"));
+        GossipUpdate rumour = new GossipUpdate(FIRST, 2, GossipUpdate.State.SUSPECT, "m002");
+        LatencyReading reading = new LatencyReading("m001", 5, "east", "west", 3, 1500, 20);
+        AgreementProposal offer = new AgreementProposal(agreement(), "opa", Map.of("opb", "", "opa", "no"));
         Map<String, Message> all = new LinkedHashMap<>();
         all.put("hello", new Message.Hello(2, "fleet1", 256, 30000, FIRST));
-        all.put("turneddown", new Message.TurnedDown("why"));
+        all.put("turneddown", new Message.Rejected("why"));
         all.put("ping", new Message.Ping(1, ERA, 3, List.of(rumour)));
         all.put("ack", new Message.Ack(2, ERA, 3, List.of()));
-        all.put("pingfor", new Message.PingFor(3, SECOND, List.of(rumour)));
+        all.put("pingfor", new Message.PingRequest(3, SECOND, List.of(rumour)));
         all.put("nack", new Message.Nack(4));
-        all.put("exchange", new Message.Exchange(true, ERA, 3, List.of(rumour)));
+        all.put("exchange", new Message.FullStateExchange(true, ERA, 3, List.of(rumour)));
         all.put("taken", new Message.NameTaken(FIRST));
-        all.put("latency", new Message.Latency(5, false, List.of(reading)));
+        all.put("latency", new Message.LatencyExchange(5, false, List.of(reading)));
         all.put("prepare", new Message.Prepare(ERA, 3, BALLOT));
         all.put("promise", new Message.Promise(ERA, 3, BALLOT, BALLOT, viewWithDivision()));
         all.put("promise_empty", new Message.Promise(ERA, 3, BALLOT, null, null));
         all.put("accept", new Message.Accept(ERA, 3, BALLOT, nextView()));
         all.put("accepted", new Message.Accepted(ERA, 3, BALLOT));
-        all.put("overruled", new Message.Overruled(ERA, 3, BALLOT));
-        all.put("settled", new Message.Settled(viewWithDivision()));
-        all.put("asksettled", new Message.AskSettled(ERA, 3));
+        all.put("overruled", new Message.Preempted(ERA, 3, BALLOT));
+        all.put("settled", new Message.ViewSettled(viewWithDivision()));
+        all.put("asksettled", new Message.SettledViewRequest(ERA, 3));
         all.put("renew", new Message.Renew(ERA, 3, 7));
         all.put("renewed", new Message.Renewed(ERA, 3, 7, 123_456));
-        all.put("held", new Message.Held(ERA, 3, 123));
-        all.put("offers", new Message.Offers(List.of(offer)));
-        all.put("opened", new Message.Opened(ERA, Map.of(1, 2L)));
+        all.put("held", new Message.LeaseGranted(ERA, 3, 123));
+        all.put("offers", new Message.AgreementProposals(List.of(offer)));
+        all.put("opened", new Message.ShardsHandedOver(ERA, Map.of(1, 2L)));
         return all;
     }
 
