--- a/src/main/java/hopdrum/fleet/shards/Partners.java
+++ b/src/main/java/hopdrum/fleet/shards/Partners.java
@@ -1,18 +1,18 @@
 package hopdrum.fleet.shards;
 
 import hopdrum.fleet.Timing;
-import hopdrum.fleet.message.Division;
-import hopdrum.fleet.message.Division.Move;
+import hopdrum.fleet.message.AgreementProposal;
+import hopdrum.fleet.message.GossipUpdate.State;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
-import hopdrum.fleet.message.Offer;
-import hopdrum.fleet.message.Rumour.State;
+import hopdrum.fleet.message.ShardAssignment;
+import hopdrum.fleet.message.ShardAssignment.Move;
 import hopdrum.fleet.message.View;
-import hopdrum.fleet.view.Decisions;
-import hopdrum.fleet.view.Dividing;
+import hopdrum.fleet.view.DecisionLog;
+import hopdrum.fleet.view.FailureDetector;
 import hopdrum.fleet.view.Leases;
-import hopdrum.fleet.view.Out;
-import hopdrum.fleet.view.Reachability;
+import hopdrum.fleet.view.MessageSender;
+import hopdrum.fleet.view.ShardAssignmentRule;
 import hopdrum.host.Shards;
 import java.util.ArrayList;
 import java.util.List;
@@ -28,7 +28,7 @@
  * who owns what, and says what this front door may act on. Not thread-safe. Times are microseconds of one monotonic clock;
  * agreements alone are by the wall clock.
  */
-public final class Partners implements Dividing {
+public final class Partners implements ShardAssignmentRule {
     private static final int TOLD = 3; // peers that are told of offers, each period
     private static final int OPENED_PERIODS = 5;
     private static final int TELL_TAKERS_PERIODS = 3;
@@ -37,13 +37,13 @@
     private final Timing timing;
     private final Rule rule;
     private final SplittableRandom random;
-    private final Out out;
-    private final Decisions log;
+    private final MessageSender out;
+    private final DecisionLog log;
     private final LongSupplier wallMs;
     private final Negotiation negotiation;
     private final Ownership ownership;
     private View view = View.NONE;
-    private Reachability reach;
+    private FailureDetector reach;
     private long nextTellUs;
     private long nextOpenedUs;
     private long tellTakersUntilUs = Long.MIN_VALUE / 2;
@@ -59,8 +59,8 @@
             long mostAloneMs,
             Timing timing,
             SplittableRandom random,
-            Out out,
-            Decisions log,
+            MessageSender out,
+            DecisionLog log,
             LongSupplier wallMs) {
         this.self = self;
         this.timing = timing;
@@ -74,7 +74,7 @@
     }
 
     /** Whom this member believes to be there. */
-    public void watches(Reachability who) {
+    public void watches(FailureDetector who) {
         reach = who;
     }
 
@@ -85,12 +85,12 @@
     // ---- What the council asks ----
 
     @Override
-    public Division next(View before, List<Member> members) {
+    public ShardAssignment next(View before, List<Member> members) {
         Set<String> present = new TreeSet<>();
         members.forEach(m -> present.add(m.operator()));
         long now = wallMs.getAsLong();
-        Offer ready = negotiation.ready(before, now);
-        Division next = rule.next(
+        AgreementProposal ready = negotiation.ready(before, now);
+        ShardAssignment next = rule.next(
                 before,
                 present,
                 ready == null ? null : ready.terms(),
@@ -116,7 +116,7 @@
         View before = view;
         view = now;
         ownership.adopted(now, nowUs);
-        Division d = now.division();
+        ShardAssignment d = now.division();
         if (d == null) {
             return;
         }
@@ -149,7 +149,7 @@
     /** At once, and some times again, since messages get lost: they wait for this member's word that it has stopped. */
     private void tellTakers(long nowUs) {
         nextTakersUs = nowUs + timing.periodUs() / 2;
-        Division d = view.division();
+        ShardAssignment d = view.division();
         Set<String> takers = new TreeSet<>();
         for (Move m : d.moves()) {
             if (m.number() == view.number() && m.from().equals(self.operator()) && d.owner(m.shard()) != null) {
@@ -158,7 +158,7 @@
         }
         for (Member m : view.members()) {
             if (takers.contains(m.operator())) {
-                out.send(m.address(), new Message.Settled(view));
+                out.send(m.address(), new Message.ViewSettled(view));
             }
         }
     }
@@ -169,11 +169,11 @@
         ownership.heard(from, era, number);
     }
 
-    public void heard(Member from, Message.Offers said, long nowUs) {
+    public void heard(Member from, Message.AgreementProposals said, long nowUs) {
         negotiation.heard(from, said, nowUs);
     }
 
-    public void heard(Member from, Message.Opened said, long nowUs) {
+    public void heard(Member from, Message.ShardsHandedOver said, long nowUs) {
         if (from.operator().equals(self.operator())) {
             ownership.heard(said, nowUs);
         }
@@ -197,7 +197,7 @@
                 for (int i = 0; i < TOLD; i++) {
                     out.send(
                             peers.get(random.nextInt(peers.size())).address(),
-                            new Message.Offers(negotiation.offers()));
+                            new Message.AgreementProposals(negotiation.offers()));
                 }
             }
         }
@@ -207,7 +207,7 @@
             openedSaid = opened;
             for (Member m : peers) {
                 if (m.operator().equals(self.operator())) {
-                    out.send(m.address(), new Message.Opened(view.era(), opened));
+                    out.send(m.address(), new Message.ShardsHandedOver(view.era(), opened));
                 }
             }
         }
