--- a/src/main/java/hopdrum/FleetServer.java
+++ b/src/main/java/hopdrum/FleetServer.java
@@ -21,21 +21,21 @@
             file = FleetFile.read(Path.of(fleetFile));
             termsMs = file.terms() == null ? 0 : file.terms().toFile().lastModified(); // before it is read
             terms = file.terms() == null ? Terms.NONE : TermsFile.read(file.terms());
-        } catch (FleetFile.Faulty | IllegalArgumentException e) {
+        } catch (FleetFile.InvalidFileException | IllegalArgumentException e) {
             System.err.println("hopdrum serve: the fleet's file cannot be used\n" + e.getMessage());
             return 1;
         }
         return Server.serve(configFile, (config, loop) -> {
             Fleet fleet =
                     Fleet.start(file, terms, termsMs, config.settings().ordinal(), config.seed(), loop.offsetUs());
-            fleet.zones(config.zones());
+            fleet.setBackendZones(config.zones());
             return new Server.Beside() {
                 @Override
                 public void serves(FrontDoor door) {
                     door.knows(fleet, fleet::distances);
                     if (fleet.sharesCustomers()) {
                         door.shares(fleet::shards);
-                        fleet.onDoors((tier, there) -> loop.ask(() -> door.partners(tier, there)));
+                        fleet.setDoorListener((tier, there) -> loop.ask(() -> door.partners(tier, there)));
                     }
                 }
 
--- a/src/main/java/hopdrum/fleet/FleetFile.java
+++ b/src/main/java/hopdrum/fleet/FleetFile.java
@@ -34,7 +34,7 @@
         List<String> founders,
         Path store,
         Path log,
-        Timing timing,
+        FleetTiming timing,
         boolean places,
         int shards,
         String serves,
@@ -43,12 +43,38 @@
     private static final String NAME = "a name: letters, digits, dot, dash, underscore, 64 at most";
     private static final String ADDRESS = "a numeric address and a port, as 127.0.0.1:7401";
 
-    /** The faults of a file, a line each: place, key, what was found and what was expected. */
-    public static final class Faulty extends Exception {
+    /**
+     * A fleet or terms file that cannot be used. The message has all its faults, a line each, in the file's order:
+     * {@code FILE:LINE: KEY: what was found, expected what}.
+     */
+    public static final class InvalidFileException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Faulty(List<String> faults) {
+        private final String file;
+        private final List<String> faults;
+
+        InvalidFileException(Path file, List<String> faults) {
             super(String.join("\n", faults));
+            this.file = String.valueOf(file);
+            this.faults = List.copyOf(faults);
+        }
+
+        /**
+         * Returns the file that was read.
+         *
+         * @return its path as it was given
+         */
+        public String file() {
+            return file;
+        }
+
+        /**
+         * Returns each fault, as the message has it.
+         *
+         * @return one entry a fault: file, line, key, what was found and what was expected
+         */
+        public List<String> faults() {
+            return faults;
         }
     }
 
@@ -146,11 +172,11 @@
         }
 
         /** Throws all that was found, in the file's order; keys that nobody asked for among them. */
-        void end() throws Faulty {
+        void end() throws InvalidFileException {
             values.forEach((key, node) -> fault(node, key + ": is not known here"));
             if (!faults.isEmpty()) {
                 faults.sort(java.util.Comparator.comparingInt(FleetFile::lineOf));
-                throw new Faulty(faults);
+                throw new InvalidFileException(file, faults);
             }
         }
 
@@ -164,8 +190,14 @@
         }
     }
 
-    /** Throws Faulty with all faults where the file cannot be used. */
-    public static FleetFile read(Path file) throws Faulty {
+    /**
+     * Reads a fleet file whole; all its faults are found before one is said.
+     *
+     * @param file the file that serve --fleet names
+     * @return the fleet file's settings, defaults filled in
+     * @throws InvalidFileException with all faults, each with file, line, key, what was found and what was expected
+     */
+    public static FleetFile read(Path file) throws InvalidFileException {
         Reader r = new Reader(file);
         r.open();
         String fleet = r.text("fleet", null, Member::isName, NAME);
@@ -184,21 +216,9 @@
         String serves = r.text("serves", "", FleetFile::isAddress, ADDRESS);
         String terms = r.text("terms", "", t -> !t.isBlank(), "a file");
         long aloneMs = r.whole("most_alone_ms", 30_000, 0, 240_000);
-        if (shards == 0 && !(serves + terms).isEmpty()) {
-            r.fault(null, "shards: is missing, expected how many there are, as serves or terms is there");
-        }
-        Node lease = r.values.get("lease_ms");
-        long periodMs = r.whole("probe_period_ms", 1_000, 50, 60_000);
-        long leaseMs = r.whole("lease_ms", 10_000, 500, 600_000);
-        long forgetS = r.whole("forget_s", 3_600, 60, 604_800);
-        if (leaseMs < 5 * periodMs) {
-            r.fault(
-                    lease,
-                    "lease_ms: " + leaseMs + ", expected five times probe_period_ms at least, so " + 5 * periodMs);
-        }
-        if (!operators.isEmpty() && operator != null && !operators.contains(operator)) {
-            r.fault(null, "operators: lacks this member's own operator '" + operator + "'");
-        }
+        checkShardsNamed(r, shards, serves + terms);
+        FleetTiming timing = readTiming(r);
+        checkOwnOperatorListed(r, operators, operator);
         r.end();
         return new FleetFile(
                 fleet,
@@ -212,7 +232,7 @@
                 founders,
                 Path.of(store),
                 log.isEmpty() ? null : Path.of(log),
-                new Timing(periodMs * 1_000, leaseMs * 1_000, forgetS * 1_000_000),
+                timing,
                 placement.equals("map"),
                 (int) shards,
                 serves.isEmpty() ? null : serves,
@@ -220,6 +240,33 @@
                 aloneMs);
     }
 
+    /** Serves and terms need shards to be named. */
+    private static void checkShardsNamed(Reader r, long shards, String servesAndTerms) {
+        if (shards == 0 && !servesAndTerms.isEmpty()) {
+            r.fault(null, "shards: is missing, expected how many there are, as serves or terms is there");
+        }
+    }
+
+    /** The probe period, lease and forget times; a lease of fewer than five periods is a fault. */
+    private static FleetTiming readTiming(Reader r) {
+        Node lease = r.values.get("lease_ms");
+        long periodMs = r.whole("probe_period_ms", 1_000, 50, 60_000);
+        long leaseMs = r.whole("lease_ms", 10_000, 500, 600_000);
+        long forgetS = r.whole("forget_s", 3_600, 60, 604_800);
+        if (leaseMs < 5 * periodMs) {
+            r.fault(
+                    lease,
+                    "lease_ms: " + leaseMs + ", expected five times probe_period_ms at least, so " + 5 * periodMs);
+        }
+        return new FleetTiming(periodMs * 1_000, leaseMs * 1_000, forgetS * 1_000_000);
+    }
+
+    private static void checkOwnOperatorListed(Reader r, List<String> operators, String operator) {
+        if (!operators.isEmpty() && operator != null && !operators.contains(operator)) {
+            r.fault(null, "operators: lacks this member's own operator '" + operator + "'");
+        }
+    }
+
     private static int lineOf(String fault) {
         String[] parts = fault.split(":");
         for (String part : parts) {
--- a/src/main/java/hopdrum/fleet/Timing.java
+++ b/src/main/java/hopdrum/fleet/FleetTiming.java
@@ -7,7 +7,7 @@
  * @param leaseUs how long a member may act on its view after a majority was seen to hold it
  * @param forgetUs how long the dead are remembered
  */
-public record Timing(long periodUs, long leaseUs, long forgetUs) {
+public record FleetTiming(long periodUs, long leaseUs, long forgetUs) {
     /** How much faster or slower than another a clock is allowed to run, in 100. */
     public static final int MOST_DRIFT = 2;
 
--- a/src/main/java/hopdrum/fleet/TermsFile.java
+++ b/src/main/java/hopdrum/fleet/TermsFile.java
@@ -23,21 +23,48 @@
 
     private TermsFile() {}
 
-    /** Throws Faulty with all faults where the file cannot be used. */
-    public static Terms read(Path file) throws FleetFile.Faulty {
+    /** The keys of a proposal, as read; checked, but not yet an agreement. */
+    private record ProposalKeys(
+            String name,
+            long revision,
+            List<String> parties,
+            String from,
+            String until,
+            long aloneMs,
+            String standIn,
+            long moves,
+            long epochMs,
+            long noticeMs) {
+
+        /** Reads the proposal's keys in the file's documented order, so that missing keys are named in that order. */
+        static ProposalKeys read(FleetFile.Reader r, boolean proposes) {
+            long revision = r.whole("revision", 1, 1, 1_000_000);
+            String name = r.text("agreement", proposes ? null : "none", Member::isName, "a name");
+            List<String> parties =
+                    r.list("parties", proposes, t -> PARTY.matcher(t).matches(), PARTY_FORM);
+            String from = r.text("from", "1970-01-01T00:00:00Z", TermsFile::isTime, TIME_FORM);
+            String until = r.text("until", proposes ? null : "1970-01-01T00:00:00Z", TermsFile::isTime, TIME_FORM);
+            long alone = r.whole("alone_ms", 10_000, 0, 240_000);
+            String standIn = r.text("stand_in", "false", TermsFile::isFlag, "true or false");
+            long moves = r.whole("moves", 8, 1, 256);
+            long epoch = r.whole("epoch_ms", 60_000, 100, 3_600_000);
+            long notice = r.whole("notice_ms", 0, 0, 3_650 * DAY_MS);
+            return new ProposalKeys(name, revision, parties, from, until, alone, standIn, moves, epoch, notice);
+        }
+    }
+
+    /**
+     * Reads a terms file whole; all its faults are found before one is said.
+     *
+     * @param file the operator's terms file
+     * @return what the operator proposes and would agree to
+     * @throws FleetFile.InvalidFileException with all faults, each with file, line, key, what was found and expected
+     */
+    public static Terms read(Path file) throws FleetFile.InvalidFileException {
         FleetFile.Reader r = new FleetFile.Reader(file);
         r.open();
         boolean proposes = r.values.containsKey("revision");
-        long revision = r.whole("revision", 1, 1, 1_000_000);
-        String name = r.text("agreement", proposes ? null : "none", Member::isName, "a name");
-        List<String> parties = r.list("parties", proposes, t -> PARTY.matcher(t).matches(), PARTY_FORM);
-        String from = r.text("from", "1970-01-01T00:00:00Z", TermsFile::isTime, TIME_FORM);
-        String until = r.text("until", proposes ? null : "1970-01-01T00:00:00Z", TermsFile::isTime, TIME_FORM);
-        long alone = r.whole("alone_ms", 10_000, 0, 240_000);
-        String standIn = r.text("stand_in", "false", TermsFile::isFlag, "true or false");
-        long moves = r.whole("moves", 8, 1, 256);
-        long epoch = r.whole("epoch_ms", 60_000, 100, 3_600_000);
-        long notice = r.whole("notice_ms", 0, 0, 3_650 * DAY_MS);
+        ProposalKeys proposal = ProposalKeys.read(r, proposes);
         String leastPart = r.text("accepts_part", "2", t -> t.matches("[01](\\.\\d{1,6})?|2"), "a part from 0 to 1");
         long mostBrings = r.whole("accepts_brings", 0, 0, 1_000_000);
         long leastFloor = r.whole("accepts_floor", 0, 0, 1_000_000);
@@ -46,36 +73,7 @@
         long mostDays = r.whole("accepts_days", 366, 1, 3_650);
         String notices = r.text("gives_notice", "false", TermsFile::isFlag, "true or false");
         r.end();
-        PartnerAgreement agreement = null;
-        if (proposes) {
-            List<Party> all = new ArrayList<>();
-            for (String text : parties) {
-                Matcher m = PARTY.matcher(text);
-                m.matches();
-                all.add(new Party(
-                        m.group(1),
-                        Integer.parseInt(m.group(2)),
-                        Integer.parseInt(m.group(3)),
-                        Integer.parseInt(m.group(4))));
-            }
-            all.sort(Comparator.comparing(Party::operator));
-            try {
-                agreement = new PartnerAgreement(
-                        name,
-                        (int) revision,
-                        all,
-                        Instant.parse(from).toEpochMilli(),
-                        Instant.parse(until).toEpochMilli(),
-                        alone,
-                        standIn.equals("true"),
-                        (int) moves,
-                        epoch,
-                        notice);
-            } catch (IllegalArgumentException e) {
-                r.fault(null, "parties: " + e.getMessage());
-            }
-            r.end();
-        }
+        PartnerAgreement agreement = proposes ? agreementOf(r, proposal) : null;
         return new Terms(
                 agreement,
                 Double.parseDouble(leastPart),
@@ -87,6 +85,46 @@
                 notices.equals("true"));
     }
 
+    /** The agreement that the proposal's keys describe; a fault where they do not make one. */
+    private static PartnerAgreement agreementOf(FleetFile.Reader r, ProposalKeys keys)
+            throws FleetFile.InvalidFileException {
+        List<Party> parties = partiesOf(keys.parties()); // outside the try: the pattern has checked them
+        PartnerAgreement agreement = null;
+        try {
+            agreement = new PartnerAgreement(
+                    keys.name(),
+                    (int) keys.revision(),
+                    parties,
+                    Instant.parse(keys.from()).toEpochMilli(),
+                    Instant.parse(keys.until()).toEpochMilli(),
+                    keys.aloneMs(),
+                    keys.standIn().equals("true"),
+                    (int) keys.moves(),
+                    keys.epochMs(),
+                    keys.noticeMs());
+        } catch (IllegalArgumentException e) {
+            r.fault(null, "parties: " + e.getMessage());
+        }
+        r.end();
+        return agreement;
+    }
+
+    /** Parties by operator's name, from lines that the pattern has already matched. */
+    private static List<Party> partiesOf(List<String> lines) {
+        List<Party> all = new ArrayList<>();
+        for (String text : lines) {
+            Matcher m = PARTY.matcher(text);
+            m.matches();
+            all.add(new Party(
+                    m.group(1),
+                    Integer.parseInt(m.group(2)),
+                    Integer.parseInt(m.group(3)),
+                    Integer.parseInt(m.group(4))));
+        }
+        all.sort(Comparator.comparing(Party::operator));
+        return all;
+    }
+
     private static boolean isFlag(String text) {
         return text.equals("true") || text.equals("false");
     }
--- a/src/main/java/hopdrum/fleet/link/Frames.java
+++ b/src/main/java/hopdrum/fleet/link/FrameCodec.java
@@ -10,12 +10,12 @@
 import java.net.SocketTimeoutException;
 import java.nio.ByteBuffer;
 
-/** Frames on a stream: four bytes of length, then one message. Throws IOException for what is no frame. */
-final class Frames {
+/** FrameCodec on a stream: four bytes of length, then one message. Throws IOException for what is no frame. */
+final class FrameCodec {
     static final int MOST_BYTES = 512 << 10;
     private static final int WHOLE_MS = 5_000; // from its first byte on: guards against one that dribbles
 
-    private Frames() {}
+    private FrameCodec() {}
 
     static void write(OutputStream to, Message message) throws IOException {
         byte[] body = Codec.bytes(message);
--- a/src/main/java/hopdrum/fleet/link/PeerLink.java
+++ b/src/main/java/hopdrum/fleet/link/OutboundConnection.java
@@ -15,7 +15,7 @@
  * The task that writes to one address: connect, hello, write what is queued, and after a failure back off and start
  * again. It ends when it has had nothing to write for a while.
  */
-final class PeerLink implements Runnable {
+final class OutboundConnection implements Runnable {
     private static final int MOST_QUEUED = 256; // the oldest goes first: later ones say more
     private static final long STALE_US = 2_000_000; // older ones answer nothing any more
     private static final int CONNECT_MS = 1_000;
@@ -25,7 +25,7 @@
 
     private record Queued(Message message, long atUs) {}
 
-    private final Links links;
+    private final PeerConnections links;
     private final String address;
     private final SplittableRandom random;
     private final Deque<Queued> queue = new ArrayDeque<>(); // emptied by the writer, by age and by its bound
@@ -33,7 +33,7 @@
     private long writingSinceUs;
     private boolean ending;
 
-    PeerLink(Links links, String address, SplittableRandom random) {
+    OutboundConnection(PeerConnections links, String address, SplittableRandom random) {
         this.links = links;
         this.address = address;
         this.random = random;
@@ -132,7 +132,7 @@
                 CONNECT_MS);
         fresh.setTcpNoDelay(true);
         write(links.hello());
-        Message answer = Frames.read(fresh, new BufferedInputStream(fresh.getInputStream(), 1 << 10), CONNECT_MS);
+        Message answer = FrameCodec.read(fresh, new BufferedInputStream(fresh.getInputStream(), 1 << 10), CONNECT_MS);
         if (answer instanceof Message.Rejected down) {
             links.owner().turnedDown(address, down.why());
             throw new IOException("turned down: " + down.why());
@@ -197,7 +197,7 @@
     private synchronized void close() {
         writingSinceUs = 0;
         if (socket != null) {
-            Links.closeQuietly(socket);
+            PeerConnections.closeQuietly(socket);
             socket = null;
         }
     }
--- a/src/main/java/hopdrum/fleet/link/Links.java
+++ b/src/main/java/hopdrum/fleet/link/PeerConnections.java
@@ -20,9 +20,9 @@
  * The connections of one member: it writes on those that it opened, one to each address that it has something for, and
  * reads on those that others opened. One thread for each; this class starts and ends them all.
  */
-public final class Links implements AutoCloseable {
+public final class PeerConnections implements AutoCloseable {
     /** Who is told what peers say. */
-    public interface Owner {
+    public interface MessageHandler {
         /** Null if the peer may speak, else why not. */
         String objection(Message.Hello hello);
 
@@ -38,19 +38,20 @@
     private static final int IDLE_MS = 120_000;
     private static final long STALLED_US = 3_000_000;
 
-    private final Owner owner;
+    private final MessageHandler owner;
     private final FleetLog log;
     private final Message.Hello hello;
     private final ServerSocket listener;
     private final SplittableRandom random;
-    private final Map<String, PeerLink> out = new HashMap<>(); // one goes as its thread ends, idle or told to
+    private final Map<String, OutboundConnection> out = new HashMap<>(); // one goes as its thread ends, idle or told to
     private final Set<Socket> in = new HashSet<>(); // one goes as its thread ends
     private final AtomicLong bytesOut = new AtomicLong();
     private final AtomicLong messagesOut = new AtomicLong();
     private boolean closed;
 
     /** Listens from here on, but takes nobody before start(). */
-    public Links(InetSocketAddress listen, Message.Hello hello, SplittableRandom random, Owner owner, FleetLog log)
+    public PeerConnections(
+            InetSocketAddress listen, Message.Hello hello, SplittableRandom random, MessageHandler owner, FleetLog log)
             throws IOException {
         this.owner = owner;
         this.log = log;
@@ -82,9 +83,9 @@
             if (closed) {
                 return;
             }
-            PeerLink link = out.get(address);
+            OutboundConnection link = out.get(address);
             if (link == null) {
-                link = new PeerLink(this, address, random.split());
+                link = new OutboundConnection(this, address, random.split());
                 out.put(address, link);
                 thread("fleet-out-" + address, link).start();
             }
@@ -94,7 +95,7 @@
 
     /** Cuts connections whose peer does not read: a write that has not come through for 3 s. */
     public synchronized void cutStalled(long nowUs) {
-        for (PeerLink link : out.values()) {
+        for (OutboundConnection link : out.values()) {
             link.cutIfStalledSince(nowUs - STALLED_US);
         }
     }
@@ -127,15 +128,17 @@
         try (socket) {
             socket.setTcpNoDelay(true);
             InputStream from = new BufferedInputStream(socket.getInputStream(), 16 << 10);
-            if (!(Frames.read(socket, from, HELLO_MS) instanceof Message.Hello theirs)) {
+            if (!(FrameCodec.read(socket, from, HELLO_MS) instanceof Message.Hello theirs)) {
                 throw new IOException("no hello");
             }
             String why = theirs.version() != Message.VERSION ? "version " + theirs.version() : owner.objection(theirs);
-            Frames.write(socket.getOutputStream(), why == null ? hello : new Message.Rejected(why));
+            FrameCodec.write(socket.getOutputStream(), why == null ? hello : new Message.Rejected(why));
             if (why != null) {
                 throw new IOException(why + ", " + theirs.who().name() + " of " + theirs.fleet());
             }
-            for (Message m = Frames.read(socket, from, IDLE_MS); m != null; m = Frames.read(socket, from, IDLE_MS)) {
+            for (Message m = FrameCodec.read(socket, from, IDLE_MS);
+                    m != null;
+                    m = FrameCodec.read(socket, from, IDLE_MS)) {
                 owner.heard(theirs.who(), m);
             }
         } catch (IOException | RuntimeException e) {
@@ -158,7 +161,7 @@
         return hello;
     }
 
-    Owner owner() {
+    MessageHandler owner() {
         return owner;
     }
 
@@ -180,7 +183,7 @@
     }
 
     /** The idle end of a link's thread: false if something came in meanwhile. */
-    synchronized boolean removeIfEmpty(PeerLink link) {
+    synchronized boolean removeIfEmpty(OutboundConnection link) {
         return link.isEmpty() && out.remove(link.address(), link);
     }
 
@@ -191,10 +194,10 @@
         synchronized (this) {
             closed = true;
             sockets = new HashSet<>(in);
-            out.values().forEach(PeerLink::endSoon);
+            out.values().forEach(OutboundConnection::endSoon);
         }
         closeQuietly(listener);
-        sockets.forEach(Links::closeQuietly);
+        sockets.forEach(PeerConnections::closeQuietly);
     }
 
     static void closeQuietly(java.io.Closeable socket) {
--- a/src/main/java/hopdrum/fleet/shards/Negotiation.java
+++ b/src/main/java/hopdrum/fleet/shards/AgreementNegotiation.java
@@ -17,12 +17,12 @@
  * What operators propose to each other and say of it, as one member knows it. One member speaks for its operator: the
  * first by name of those that are there. What all parties agree to is put in force with the next view. Not thread-safe.
  */
-final class Negotiation {
+final class AgreementNegotiation {
     private static final long KEEP_US =
             60_000_000; // an offer that its own operator has not named for so long is forgotten
 
     private final Member self;
-    private final Rule rule;
+    private final ShardAssignmentRule rule;
     private final DecisionLog log;
     private final Map<PartnerAgreement, AgreementProposal> offers =
             new LinkedHashMap<>(); // emptied by tick(): what is in force, old or too much
@@ -31,7 +31,7 @@
     private PartnerAgreement notice; // that this member has given; null if none
     private PartnerAgreement countered; // what it said that it would take instead; null if none
 
-    Negotiation(Member self, Rule rule, DecisionLog log) {
+    AgreementNegotiation(Member self, ShardAssignmentRule rule, DecisionLog log) {
         this.self = self;
         this.rule = rule;
         this.log = log;
--- a/src/main/java/hopdrum/fleet/shards/Rule.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardAssignmentRule.java
@@ -20,7 +20,7 @@
  * wall clock, and of nothing else; so all members come to the same, and a voter can tell a proposal that does not follow
  * from it. Shares are met within one shard, as few move as can, and so many an epoch at most.
  */
-public final class Rule {
+public final class ShardAssignmentRule {
     private static final long CLOCKS_APART_MS = 10_000;
     private static final long KEEP_MOVES_MS = 600_000; // far longer than anybody may act alone
     private static final long PLAIN_EPOCH_MS = 60_000; // without an agreement
@@ -30,7 +30,7 @@
     private final long mostAloneMs;
 
     /** @param mostAloneMs the longest that an agreement may let an operator go on alone */
-    public Rule(int shards, long mostAloneMs) {
+    public ShardAssignmentRule(int shards, long mostAloneMs) {
         this.shards = shards;
         this.mostAloneMs = mostAloneMs;
     }
--- a/src/main/java/hopdrum/fleet/shards/Partners.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
@@ -1,6 +1,6 @@
 package hopdrum.fleet.shards;
 
-import hopdrum.fleet.Timing;
+import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.message.AgreementProposal;
 import hopdrum.fleet.message.GossipUpdate.State;
 import hopdrum.fleet.message.Member;
@@ -12,7 +12,7 @@
 import hopdrum.fleet.view.FailureDetector;
 import hopdrum.fleet.view.Leases;
 import hopdrum.fleet.view.MessageSender;
-import hopdrum.fleet.view.ShardAssignmentRule;
+import hopdrum.fleet.view.ShardAssigner;
 import hopdrum.host.Shards;
 import java.util.ArrayList;
 import java.util.List;
@@ -28,20 +28,20 @@
  * who owns what, and says what this front door may act on. Not thread-safe. Times are microseconds of one monotonic clock;
  * agreements alone are by the wall clock.
  */
-public final class Partners implements ShardAssignmentRule {
+public final class ShardCoordinator implements ShardAssigner {
     private static final int TOLD = 3; // peers that are told of offers, each period
     private static final int OPENED_PERIODS = 5;
     private static final int TELL_TAKERS_PERIODS = 3;
 
     private final Member self;
-    private final Timing timing;
-    private final Rule rule;
+    private final FleetTiming timing;
+    private final ShardAssignmentRule rule;
     private final SplittableRandom random;
     private final MessageSender out;
     private final DecisionLog log;
     private final LongSupplier wallMs;
-    private final Negotiation negotiation;
-    private final Ownership ownership;
+    private final AgreementNegotiation negotiation;
+    private final ShardLeases ownership;
     private View view = View.NONE;
     private FailureDetector reach;
     private long nextTellUs;
@@ -53,24 +53,24 @@
     private long saidUntilUs;
 
     /** @param wallMs the wall clock, milliseconds */
-    public Partners(
+    public ShardCoordinator(
             Member self,
             int shards,
             long mostAloneMs,
-            Timing timing,
+            FleetTiming timing,
             SplittableRandom random,
             MessageSender out,
             DecisionLog log,
             LongSupplier wallMs) {
         this.self = self;
         this.timing = timing;
-        this.rule = new Rule(shards, mostAloneMs);
+        this.rule = new ShardAssignmentRule(shards, mostAloneMs);
         this.random = random;
         this.out = out;
         this.log = log;
         this.wallMs = wallMs;
-        this.negotiation = new Negotiation(self, rule, log);
-        this.ownership = new Ownership(self, timing, mostAloneMs * 1000);
+        this.negotiation = new AgreementNegotiation(self, rule, log);
+        this.ownership = new ShardLeases(self, timing, mostAloneMs * 1000);
     }
 
     /** Whom this member believes to be there. */
@@ -94,7 +94,7 @@
                 before,
                 present,
                 ready == null ? null : ready.terms(),
-                ready == null ? List.of() : Negotiation.agreedBy(ready),
+                ready == null ? List.of() : AgreementNegotiation.agreedBy(ready),
                 now);
         return next.isLike(before.division()) ? before.division() : next;
     }
@@ -132,7 +132,7 @@
                     "owners",
                     d.owners(),
                     "agreement",
-                    d.agreement() == null ? Map.of() : Negotiation.say(d.agreement()),
+                    d.agreement() == null ? Map.of() : AgreementNegotiation.say(d.agreement()),
                     "agreed_by",
                     d.agreedBy(),
                     "expired",
@@ -248,7 +248,7 @@
      */
     public ShardTable table(Leases leases, List<String> operators, boolean leaves, long offsetUs, long nowUs) {
         long since = leaves ? Long.MIN_VALUE / 2 : leases.sinceUs(nowUs);
-        Ownership.Rights rights = ownership.rights(since, nowUs, wallMs.getAsLong() * 1000);
+        ShardLeases.Rights rights = ownership.rights(since, nowUs, wallMs.getAsLong() * 1000);
         if (rights == null) {
             return null;
         }
--- a/src/main/java/hopdrum/fleet/shards/Ownership.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardLeases.java
@@ -1,6 +1,6 @@
 package hopdrum.fleet.shards;
 
-import hopdrum.fleet.Timing;
+import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.message.PartnerAgreement;
@@ -21,7 +21,7 @@
  * operator once each front door of that one has said that it holds a later view, or surely has stopped by its lease and by
  * any drift allowed. docs/fleet.md derives why two operators never act on one shard at once. Not thread-safe.
  */
-final class Ownership {
+final class ShardLeases {
     private static final long PAST = Long.MIN_VALUE / 2;
     private static final int MOST_ADOPTED = 64;
 
@@ -39,7 +39,7 @@
     }
 
     private final Member self;
-    private final Timing timing;
+    private final FleetTiming timing;
     private final long mostAloneUs;
     private final Map<Long, Door> doors = new HashMap<>(); // by start and name's hash; emptied once surely stopped
     private final TreeMap<Long, Adopted> adopted = new TreeMap<>(); // by number; the last 64
@@ -54,7 +54,7 @@
     /** A view as it was adopted here. */
     private record Adopted(long atUs, ShardAssignment division) {}
 
-    Ownership(Member self, Timing timing, long mostAloneUs) {
+    ShardLeases(Member self, FleetTiming timing, long mostAloneUs) {
         this.self = self;
         this.timing = timing;
         this.mostAloneUs = mostAloneUs;
@@ -63,7 +63,7 @@
     /** How long after its last word to the fleet a front door may still act, and any clock's drift. */
     private long spanUs(long aloneUs) {
         long us = Math.max(timing.leaseUs(), aloneUs);
-        return us + us * 2 * Timing.MOST_DRIFT / 100;
+        return us + us * 2 * FleetTiming.MOST_DRIFT / 100;
     }
 
     long aloneUs() {
@@ -231,7 +231,7 @@
         long all = terms == null
                 ? 0
                 : terms.parties().stream().mapToLong(Party::floor).sum();
-        return p == null ? 0 : all == 0 ? d.shards() : Rule.floorShards(d.shards(), p.floor(), all);
+        return p == null ? 0 : all == 0 ? d.shards() : ShardAssignmentRule.floorShards(d.shards(), p.floor(), all);
     }
 
     /**
--- a/src/main/java/hopdrum/fleet/shards/ShardTable.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardTable.java
@@ -32,7 +32,7 @@
      * @param offsetUs what the snapshot's clock is ahead of the one in the rights
      */
     static ShardTable of(
-            Ownership.Rights rights,
+            ShardLeases.Rights rights,
             String self,
             List<String> operators,
             Set<String> there,
--- a/src/main/java/hopdrum/fleet/store/Store.java
+++ b/src/main/java/hopdrum/fleet/store/Store.java
@@ -26,7 +26,8 @@
      * @param promised below this ballot nothing is accepted for the view after it
      * @param acceptedIn the ballot in which a view was accepted; null if none was
      */
-    public record Kept(long voter, long lastStart, View view, Ballot promised, Ballot acceptedIn, View accepted) {}
+    public record DurableState(
+            long voter, long lastStart, View view, Ballot promised, Ballot acceptedIn, View accepted) {}
 
     private static final ObjectMapper MAPPER = new CBORMapper();
     private static final int HEAD = 12; // "hdf1", length, checksum
@@ -55,7 +56,7 @@
     }
 
     /** Null where nothing was kept, or nothing that can be trusted; damage() then says why. */
-    public Kept read() {
+    public DurableState read() {
         Path file = folder.resolve(FILE);
         damage = null;
         try {
@@ -70,7 +71,7 @@
                     || head.getInt() != checksum(bytes, HEAD)) {
                 damage = "its length or checksum is wrong";
             } else {
-                return MAPPER.readValue(bytes, HEAD, bytes.length - HEAD, Kept.class);
+                return MAPPER.readValue(bytes, HEAD, bytes.length - HEAD, DurableState.class);
             }
         } catch (IOException | IllegalArgumentException e) {
             damage = String.valueOf(e.getMessage()).lines().findFirst().orElse("unreadable");
@@ -93,7 +94,7 @@
     }
 
     /** Returns once the state would outlast the machine's fall; what fails here must not be answered. */
-    public void write(Kept kept) throws IOException {
+    public void write(DurableState kept) throws IOException {
         byte[] body = MAPPER.writeValueAsBytes(kept);
         ByteBuffer bytes = ByteBuffer.allocate(HEAD + body.length)
                 .putInt(MAGIC)
--- a/src/main/java/hopdrum/fleet/view/FailureDetector.java
+++ b/src/main/java/hopdrum/fleet/view/FailureDetector.java
@@ -1,6 +1,6 @@
 package hopdrum.fleet.view;
 
-import hopdrum.fleet.Timing;
+import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.message.GossipUpdate;
 import hopdrum.fleet.message.GossipUpdate.State;
 import hopdrum.fleet.message.Member;
@@ -103,7 +103,7 @@
     }
 
     private final Member self;
-    private final Timing timing;
+    private final FleetTiming timing;
     private final List<String> seeds;
     private final SplittableRandom random;
     private final MessageSender out;
@@ -135,7 +135,7 @@
     public FailureDetector(
             Member self,
             List<String> seeds,
-            Timing timing,
+            FleetTiming timing,
             SplittableRandom random,
             MessageSender out,
             DecisionLog log,
--- a/src/main/java/hopdrum/fleet/view/Leases.java
+++ b/src/main/java/hopdrum/fleet/view/Leases.java
@@ -1,6 +1,6 @@
 package hopdrum.fleet.view;
 
-import hopdrum.fleet.Timing;
+import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.message.View;
@@ -26,7 +26,7 @@
     public record Claim(View view, long untilUs) {}
 
     private final Member self;
-    private final Timing timing;
+    private final FleetTiming timing;
     private final MessageSender out;
     private final DecisionLog log;
     private final long startedUs;
@@ -42,7 +42,7 @@
     private long gapUntilUs; // views were skipped: what they gave is not known
     private boolean cutOff;
 
-    Leases(Member self, Timing timing, MessageSender out, DecisionLog log, long nowUs) {
+    Leases(Member self, FleetTiming timing, MessageSender out, DecisionLog log, long nowUs) {
         this.self = self;
         this.timing = timing;
         this.out = out;
--- a/src/main/java/hopdrum/fleet/view/Membership.java
+++ b/src/main/java/hopdrum/fleet/view/Membership.java
@@ -1,11 +1,11 @@
 package hopdrum.fleet.view;
 
-import hopdrum.fleet.Timing;
+import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.latency.LatencyMap;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
-import hopdrum.fleet.shards.Partners;
-import hopdrum.fleet.store.Store.Kept;
+import hopdrum.fleet.shards.ShardCoordinator;
+import hopdrum.fleet.store.Store.DurableState;
 import java.util.Collections;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -19,14 +19,14 @@
     private static final int OUT_PERIODS = 20; // before one whose name is taken tries again
 
     private final Member self;
-    private final Timing timing;
+    private final FleetTiming timing;
     private final SplittableRandom random;
     private final DecisionLog log;
     private final FailureDetector failureDetector;
     private final ViewConsensus viewConsensus;
     private final LatencyMap latency;
     private final MessageSender out;
-    private final Partners partners; // null where nothing is divided
+    private final ShardCoordinator partners; // null where nothing is divided
     private long nextLatencyUs;
     private long tickedUs;
     private long outUntilUs = Long.MIN_VALUE / 2;
@@ -37,12 +37,12 @@
             Member self,
             List<String> seeds,
             List<String> founders,
-            Kept kept,
-            Timing timing,
+            DurableState kept,
+            FleetTiming timing,
             SplittableRandom random,
             MessageSender out,
             ViewConsensus.DurableStateWriter keeper,
-            Partners partners,
+            ShardCoordinator partners,
             DecisionLog log,
             long nowUs) {
         this.self = self;
@@ -65,7 +65,7 @@
                 out,
                 failureDetector,
                 keeper,
-                partners == null ? ShardAssignmentRule.NONE : partners,
+                partners == null ? ShardAssigner.NONE : partners,
                 log,
                 nowUs);
     }
--- a/src/main/java/hopdrum/fleet/view/ShardAssignmentRule.java
+++ b/src/main/java/hopdrum/fleet/view/ShardAssigner.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** What is settled along with a view's members, by a rule that is the same at all of them. */
-public interface ShardAssignmentRule {
+public interface ShardAssigner {
     /** What goes along with the next view of these members; null where nothing is divided. */
     ShardAssignment next(View before, List<Member> members);
 
@@ -17,7 +17,7 @@
     void settled(View view, long nowUs);
 
     /** Where nothing is divided. */
-    ShardAssignmentRule NONE = new ShardAssignmentRule() {
+    ShardAssigner NONE = new ShardAssigner() {
         @Override
         public ShardAssignment next(View before, List<Member> members) {
             return null;
--- a/src/main/java/hopdrum/fleet/view/ViewConsensus.java
+++ b/src/main/java/hopdrum/fleet/view/ViewConsensus.java
@@ -1,13 +1,13 @@
 package hopdrum.fleet.view;
 
-import hopdrum.fleet.Timing;
+import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.message.Ballot;
 import hopdrum.fleet.message.GossipUpdate.State;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.message.ShardAssignment;
 import hopdrum.fleet.message.View;
-import hopdrum.fleet.store.Store.Kept;
+import hopdrum.fleet.store.Store.DurableState;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -29,7 +29,7 @@
 public final class ViewConsensus {
     /** Keeps what must outlast a restart, in the order given; what is to be done then is done once it is kept, or never. */
     public interface DurableStateWriter {
-        void write(Kept kept, Runnable then);
+        void write(DurableState kept, Runnable then);
     }
 
     private static final int STILL_PERIODS = 1; // before a change is proposed
@@ -52,14 +52,14 @@
 
     private final Member self;
     private final List<String> founders;
-    private final Timing timing;
+    private final FleetTiming timing;
     private final SplittableRandom random;
     private final MessageSender out;
     private final FailureDetector failureDetector;
     private final DurableStateWriter keeper;
     private final DecisionLog log;
     private final Leases leases;
-    private final ShardAssignmentRule dividing;
+    private final ShardAssigner dividing;
     private final Deque<Message> toSelf = new ArrayDeque<>(); // emptied at the end of each call
     private View view;
     private Ballot promised;
@@ -78,13 +78,13 @@
     public ViewConsensus(
             Member self,
             List<String> founders,
-            Kept kept,
-            Timing timing,
+            DurableState kept,
+            FleetTiming timing,
             SplittableRandom random,
             MessageSender out,
             FailureDetector failureDetector,
             DurableStateWriter keeper,
-            ShardAssignmentRule dividing,
+            ShardAssigner dividing,
             DecisionLog log,
             long nowUs) {
         this.self = self;
@@ -439,7 +439,7 @@
         promised = newPromised;
         acceptedIn = newAcceptedIn;
         accepted = newAccepted;
-        keeper.write(new Kept(self.voter(), self.start(), view, promised, acceptedIn, accepted), then);
+        keeper.write(new DurableState(self.voter(), self.start(), view, promised, acceptedIn, accepted), then);
     }
 
     /** Goes on with what waited for a write of this member's own: its own vote may be the one that was missing. */
--- a/src/rig/java/hopdrum/rig/planted/Baseline.java
+++ b/src/rig/java/hopdrum/rig/planted/Baseline.java
@@ -29,7 +29,7 @@
         FleetFile file;
         try {
             file = FleetFile.read(fleetFile);
-        } catch (FleetFile.Faulty e) {
+        } catch (FleetFile.InvalidFileException e) {
             throw new IOException(e);
         }
         return Server.serve(System.getenv("LB_CONFIG"), (config, loop) -> {
--- a/src/rig/java/hopdrum/rig/swarm/Measure.java
+++ b/src/rig/java/hopdrum/rig/swarm/Measure.java
@@ -1,6 +1,6 @@
 package hopdrum.rig.swarm;
 
-import hopdrum.fleet.Timing;
+import hopdrum.fleet.FleetTiming;
 import hopdrum.rig.swarm.Swarm.Node;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -10,7 +10,7 @@
 /** The table of docs/fleet.md: how soon all have one view after each kind of change, simulated. */
 public final class Measure {
     private static final long S = 1_000_000;
-    private static final Timing TIMING = new Timing(S, 10 * S, 3_600 * S);
+    private static final FleetTiming TIMING = new FleetTiming(S, 10 * S, 3_600 * S);
 
     private interface Change {
         /** Makes the change in a fleet that is settled; gives the periods until it is settled again, or a negative number. */
--- a/src/rig/java/hopdrum/rig/swarm/MeasureMap.java
+++ b/src/rig/java/hopdrum/rig/swarm/MeasureMap.java
@@ -1,6 +1,6 @@
 package hopdrum.rig.swarm;
 
-import hopdrum.fleet.Timing;
+import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.latency.LatencyMap.Way;
 import hopdrum.fleet.message.LatencyReading;
 import hopdrum.fleet.message.Message;
@@ -17,7 +17,7 @@
     private static final long S = 1_000_000;
     private static final int SITES = 5;
     private static final int EACH = 4;
-    private static final Timing TIMING = new Timing(S, 10 * S, 3_600 * S);
+    private static final FleetTiming TIMING = new FleetTiming(S, 10 * S, 3_600 * S);
 
     private final Swarm swarm;
     private final Map<String, Long> oneWayUs = new HashMap<>();
--- a/src/rig/java/hopdrum/rig/swarm/MeasureShards.java
+++ b/src/rig/java/hopdrum/rig/swarm/MeasureShards.java
@@ -1,6 +1,6 @@
 package hopdrum.rig.swarm;
 
-import hopdrum.fleet.Timing;
+import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.message.PartnerAgreement;
 import hopdrum.fleet.message.PartnerAgreement.Party;
 import hopdrum.fleet.message.ShardAssignment;
@@ -14,7 +14,7 @@
 /** The table of docs/fleet.md on shards: how long any has no owner, and until when shares are met, simulated. */
 public final class MeasureShards {
     private static final long S = 1_000_000;
-    private static final Timing TIMING = new Timing(S, 5 * S, 3_600 * S);
+    private static final FleetTiming TIMING = new FleetTiming(S, 5 * S, 3_600 * S);
     private static final int SHARDS = 64;
     private static final long ALONE_MS = 10_000;
     private static final long NO_END_MS = 4_000_000_000_000L;
--- a/src/rig/java/hopdrum/rig/swarm/Swarm.java
+++ b/src/rig/java/hopdrum/rig/swarm/Swarm.java
@@ -1,14 +1,14 @@
 package hopdrum.rig.swarm;
 
-import hopdrum.fleet.Timing;
+import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.message.Codec;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.message.View;
-import hopdrum.fleet.shards.Partners;
+import hopdrum.fleet.shards.ShardCoordinator;
 import hopdrum.fleet.shards.ShardTable;
 import hopdrum.fleet.shards.Terms;
-import hopdrum.fleet.store.Store.Kept;
+import hopdrum.fleet.store.Store.DurableState;
 import hopdrum.fleet.view.Membership;
 import hopdrum.fleet.view.ViewConsensus;
 import java.util.ArrayDeque;
@@ -37,7 +37,7 @@
     public final class Node {
         public final String name;
         public final int gateway;
-        Kept kept; // what its disk holds
+        DurableState kept; // what its disk holds
         Membership membership; // null while it is down
         Member self;
         long pausedUntilUs;
@@ -52,7 +52,7 @@
         public String operator = "one";
         public Terms terms = Terms.NONE;
         public long wallOffMs;
-        Partners partners;
+        ShardCoordinator partners;
         ShardTable table; // as at the last step at which it ran
 
         Node(String name, int gateway) {
@@ -74,7 +74,7 @@
     }
 
     /** A write on its way to a disk. */
-    private record Write(long atUs, Node node, Membership of, Kept kept, Runnable then) {}
+    private record Write(long atUs, Node node, Membership of, DurableState kept, Runnable then) {}
 
     private record Flight(
             long atUs, long order, String from, String to, byte[] bytes, Member sender, long senderStart) {}
@@ -96,7 +96,7 @@
 
     private static final long WALL_MS = 1_800_000_000_000L;
     private final SplittableRandom random;
-    private final Timing timing;
+    private final FleetTiming timing;
     private final List<String> founders;
     private final Map<String, Node> nodes = new LinkedHashMap<>();
     private final PriorityQueue<Flight> flights =
@@ -123,7 +123,7 @@
     private final Map<Integer, Long> ownerlessSinceUs = new HashMap<>();
     public long longestOwnerlessUs; // of any shard, since the first was owned
 
-    public Swarm(int members, int founding, Timing timing, long seed) {
+    public Swarm(int members, int founding, FleetTiming timing, long seed) {
         this.random = new SplittableRandom(seed);
         this.timing = timing;
         List<String> names = new ArrayList<>();
@@ -169,15 +169,15 @@
                 node.gateway,
                 address(node),
                 shards == 0 ? null : address(node));
-        Kept kept = node.kept;
+        DurableState kept = node.kept;
         Member self = node.self;
         node.lastNumber = 0;
         node.lastEra = 0;
         ViewConsensus.DurableStateWriter keeper = (k, then) ->
                 writes.add(new Write(nowUs + diskUs.applyAsLong(node.name), node, node.membership, k, then));
         node.kept = kept == null
-                ? new Kept(voter, start, View.NONE, null, null, null)
-                : new Kept(voter, start, kept.view(), kept.promised(), kept.acceptedIn(), kept.accepted());
+                ? new DurableState(voter, start, View.NONE, null, null, null)
+                : new DurableState(voter, start, kept.view(), kept.promised(), kept.acceptedIn(), kept.accepted());
         List<String> seeds =
                 founders.stream().limit(3).map(n -> address(nodes.get(n))).toList();
         node.membership = new Membership(
@@ -195,10 +195,10 @@
         node.nextTickUs = nowUs + random.nextLong(timing.periodUs() / 10);
     }
 
-    private Partners partners(Node node, Member self) {
+    private ShardCoordinator partners(Node node, Member self) {
         node.partners = shards == 0
                 ? null
-                : new Partners(
+                : new ShardCoordinator(
                         self,
                         shards,
                         mostAloneMs,
--- a/src/test/java/hopdrum/fleet/BadInputTest.java
+++ b/src/test/java/hopdrum/fleet/BadInputTest.java
@@ -60,7 +60,7 @@
                 fleetFile("fleet: demo\noperator: no rth\nsite: ams\nname: n0\nlisten: here\nseeds: [\"127.0.0.1:0\"]\n"
                         + "founders: n0\nprobe_period_ms: 1000\nlease_ms: 900\ncolour: blue\n");
         assertThatThrownBy(() -> FleetFile.read(file))
-                .isInstanceOf(FleetFile.Faulty.class)
+                .isInstanceOf(FleetFile.InvalidFileException.class)
                 .hasMessageContaining("fleet.yaml:2: operator: 'no rth', expected a name")
                 .hasMessageContaining(":5: listen: 'here', expected a numeric address")
                 .hasMessageContaining(":6: seeds: '127.0.0.1:0', expected")
@@ -79,7 +79,7 @@
                 "agreement: pact\nrevision: 1\nparties: [\"north brings many\"]\n"
                         + "until: tomorrow\nalone_ms: 999999\ncolour: blue\n");
         assertThatThrownBy(() -> TermsFile.read(file))
-                .isInstanceOf(FleetFile.Faulty.class)
+                .isInstanceOf(FleetFile.InvalidFileException.class)
                 .hasMessageContaining("terms.yaml:3: parties: 'north brings many', expected a party")
                 .hasMessageContaining(":4: until: 'tomorrow', expected a moment")
                 .hasMessageContaining(":5: alone_ms: '999999', expected")
@@ -139,7 +139,7 @@
     void aStoreCutOffInMidWriteIsSetAsideAndNamedAndAFolderServesOneProcess() throws IOException {
         Path store = folder.resolve("store");
         try (Store first = new Store(store)) {
-            first.write(new Store.Kept(7, 5, new View(9, 3, List.of(ONE)), new Ballot(2, "n1"), null, null));
+            first.write(new Store.DurableState(7, 5, new View(9, 3, List.of(ONE)), new Ballot(2, "n1"), null, null));
             assertThat(first.read().view().members()).containsExactly(ONE);
             assertThatThrownBy(() -> new Store(store)).isInstanceOf(IOException.class);
         }
--- a/src/test/java/hopdrum/fleet/SettledViewsTest.java
+++ b/src/test/java/hopdrum/fleet/SettledViewsTest.java
@@ -14,7 +14,7 @@
 /** Stories of fleets in virtual time, a failure each. The swarm checks its rules at each step. */
 class SettledViewsTest {
     private static final long S = 1_000_000;
-    private static final Timing TIMING = new Timing(S, 5 * S, 3_600 * S);
+    private static final FleetTiming TIMING = new FleetTiming(S, 5 * S, 3_600 * S);
 
     private static Swarm settled(int members, long seed) {
         Swarm swarm = new Swarm(members, Math.min(5, members), TIMING, seed);
--- a/src/test/java/hopdrum/fleet/PartnersTest.java
+++ b/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
@@ -7,7 +7,7 @@
 import hopdrum.fleet.message.PartnerAgreement.Party;
 import hopdrum.fleet.message.ShardAssignment;
 import hopdrum.fleet.message.View;
-import hopdrum.fleet.shards.Rule;
+import hopdrum.fleet.shards.ShardAssignmentRule;
 import hopdrum.fleet.shards.Terms;
 import hopdrum.rig.swarm.Swarm;
 import hopdrum.rig.swarm.Swarm.Node;
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Stories of partners in virtual time, a failure each. The swarm checks at each step that no shard has two owners. */
-class PartnersTest {
+class ShardCoordinatorTest {
     private static final long S = 1_000_000;
-    private static final Timing TIMING = new Timing(S, 5 * S, 3_600 * S);
+    private static final FleetTiming TIMING = new FleetTiming(S, 5 * S, 3_600 * S);
     private static final int SHARDS = 32;
     private static final long ALONE_MS = 10_000;
 
@@ -304,7 +304,7 @@
     @Property(tries = 300)
     void sharesAreMetWithinAShardAndAsFewMoveAsCan(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Rule rule = new Rule(SHARDS, ALONE_MS);
+        ShardAssignmentRule rule = new ShardAssignmentRule(SHARDS, ALONE_MS);
         int operators = random.nextInt(2, 6);
         int[] owed = random.ints(operators, 1, 100).toArray();
         Set<String> present = new HashSet<>();
@@ -366,7 +366,7 @@
                         "until: has passed",
                         "alone: 60000 ms",
                         "moves: none");
-        Rule rule = new Rule(SHARDS, ALONE_MS);
+        ShardAssignmentRule rule = new ShardAssignmentRule(SHARDS, ALONE_MS);
         PartnerAgreement good = terms(1, 0, 100_000, false, 50, 50);
         ShardAssignment d = rule.next(view(null, 0), Set.of("op0", "op1"), good, good.operators(), 10);
         assertThat(rule.mayFollow(view(d, 1), good, good.operators(), 20)).isFalse(); // said once more
--- a/src/test/java/hopdrum/fleet/message/MessageWireFormatTest.java
+++ b/src/test/java/hopdrum/fleet/message/MessageWireFormatTest.java
@@ -120,11 +120,14 @@
             @TempDir Path full, @TempDir Path empty) throws IOException {
         Map<String, String> expected = expectedHex();
         assertStoredAs(
-                full, new Store.Kept(77, 5, viewWithDivision(), BALLOT, BALLOT, nextView()), expected.get("store"));
-        assertStoredAs(empty, new Store.Kept(77, 5, View.NONE, Ballot.NONE, null, null), expected.get("store_empty"));
+                full,
+                new Store.DurableState(77, 5, viewWithDivision(), BALLOT, BALLOT, nextView()),
+                expected.get("store"));
+        assertStoredAs(
+                empty, new Store.DurableState(77, 5, View.NONE, Ballot.NONE, null, null), expected.get("store_empty"));
     }
 
-    private static void assertStoredAs(Path folder, Store.Kept kept, String hex) throws IOException {
+    private static void assertStoredAs(Path folder, Store.DurableState kept, String hex) throws IOException {
         try (Store store = new Store(folder)) {
             store.write(kept);
             assertThat(HexFormat.of().formatHex(Files.readAllBytes(folder.resolve("member.cbor"))))
