--- a/src/main/java/hopdrum/FleetServer.java
+++ b/src/main/java/hopdrum/FleetServer.java
@@ -32,7 +32,7 @@
             return new Server.Beside() {
                 @Override
                 public void serves(FrontDoor door) {
-                    door.knows(fleet, fleet::distances);
+                    door.knows(fleet, fleet::zoneLatencies);
                     if (fleet.sharesCustomers()) {
                         door.shares(fleet::shards);
                         fleet.setDoorListener((tier, there) -> loop.ask(() -> door.partners(tier, there)));
--- a/src/main/java/hopdrum/benchlink/Instance.java
+++ b/src/main/java/hopdrum/benchlink/Instance.java
@@ -1,7 +1,7 @@
 package hopdrum.benchlink;
 
+import hopdrum.host.Endpoint;
 import hopdrum.host.Host;
-import hopdrum.host.Listed;
 import hopdrum.host.Outcome;
 import hopdrum.host.SettingsReader;
 import hopdrum.policy.Policy;
@@ -76,7 +76,7 @@
         int gateways = (int) in.getFloat();
         long leftUs = unsigned(in);
         if (policy != null) {
-            Policy.Rpc rpc = policy.take(id, method, customer, plan, units, first, gateways, leftUs);
+            Policy.Rpc rpc = policy.requestReceived(id, method, customer, plan, units, first, gateways, leftUs);
             keep(id, rpc);
         }
     }
@@ -84,7 +84,7 @@
     private void due(ByteBuffer in) {
         in.getInt();
         if (policy != null) {
-            policy.wake();
+            policy.wakeUp();
         }
     }
 
@@ -94,7 +94,7 @@
         double total = in.getFloat();
         long tookUs = unsigned(in);
         if (policy != null) {
-            policy.counted(name, outcome, total, tookUs);
+            policy.counterAnswered(name, outcome, total, tookUs);
         }
     }
 
@@ -139,7 +139,7 @@
         in.getLong();
         int form = in.get();
         long count = in.getInt() & 0xffffffffL;
-        List<Listed> entries = new ArrayList<>();
+        List<Endpoint> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             long backend = unsigned(in);
             int zone = in.getShort() & 0xffff;
@@ -148,29 +148,29 @@
             int state = in.get();
             double weight = in.getFloat();
             long startedAtUs = in.getLong();
-            entries.add(new Listed(
+            entries.add(new Endpoint(
                     backend,
                     zone,
                     kind,
                     cell,
                     switch (state) {
-                        case 0 -> Listed.State.DRAINING;
-                        case 1 -> Listed.State.GONE;
-                        case 2 -> Listed.State.READY;
+                        case 0 -> Endpoint.State.DRAINING;
+                        case 1 -> Endpoint.State.GONE;
+                        case 2 -> Endpoint.State.READY;
                         default -> throw new MalformedRecord("unknown state " + state + " of a backend");
                     },
                     weight,
                     startedAtUs));
         }
-        Listed.Form meaning = switch (form) {
-            case 0 -> Listed.Form.NONE;
-            case 1 -> Listed.Form.CHANGES;
-            case 2 -> Listed.Form.CACHED;
-            case 4 -> Listed.Form.WHOLE;
+        Endpoint.UpdateKind meaning = switch (form) {
+            case 0 -> Endpoint.UpdateKind.NONE;
+            case 1 -> Endpoint.UpdateKind.INCREMENTAL;
+            case 2 -> Endpoint.UpdateKind.CACHED;
+            case 4 -> Endpoint.UpdateKind.COMPLETE;
             default -> throw new MalformedRecord("unknown form " + form + " of a list");
         };
         if (policy != null) {
-            policy.listed(0, meaning, entries);
+            policy.endpointsUpdated(0, meaning, entries);
         }
     }
 
@@ -185,7 +185,7 @@
         in.getShort();
         byte[] message = bytes(in, in.getShort() & 0xffff);
         if (policy != null) {
-            policy.heard(message);
+            policy.gossipReceived(message);
         }
     }
 
@@ -234,12 +234,12 @@
         return switch (status) {
             case 10 -> Outcome.OK;
             case 20 -> Outcome.ERROR;
-            case 30 -> Outcome.FULL;
+            case 30 -> Outcome.AT_CAPACITY;
             case 40 -> Outcome.TIMED_OUT;
             case 50 -> Outcome.CONNECT_FAILED;
             case 60 -> Outcome.RESET;
             case 70 -> Outcome.CANCELLED;
-            case 80 -> Outcome.MOOT;
+            case 80 -> Outcome.INVALID_REQUEST;
             default -> throw new MalformedRecord("unknown outcome " + status);
         };
     }
@@ -267,7 +267,7 @@
     }
 
     @Override
-    public void refuse(long rpc, long retryAfterUs) {
+    public void reject(long rpc, long retryAfterUs) {
         reply.record(81, number, 13).putInt((int) rpc).putInt((int) retryAfterUs);
         answered(rpc);
     }
@@ -279,12 +279,12 @@
     }
 
     @Override
-    public void addToCount(long name, double units, long timeToLiveUs) {
+    public void addToCounter(long name, double units, long timeToLiveUs) {
         reply.record(92, number, 21).putLong(name).putFloat((float) units).putInt((int) timeToLiveUs);
     }
 
     @Override
-    public void tell(int gateway, byte[] message) {
+    public void sendToPeer(int gateway, byte[] message) {
         reply.record(87, number, 9 + message.length)
                 .putShort((short) gateway)
                 .putShort((short) message.length)
@@ -292,12 +292,12 @@
     }
 
     @Override
-    public void wakeIn(long delayUs) {
+    public void scheduleWakeUp(long delayUs) {
         reply.record(84, number, 13).putInt((int) delayUs).putInt(0);
     }
 
     @Override
-    public void followList() {
+    public void pollEndpointList() {
         reply.record(90, number, 6).put((byte) 1);
     }
 }
--- a/src/main/java/hopdrum/fleet/Fleet.java
+++ b/src/main/java/hopdrum/fleet/Fleet.java
@@ -8,9 +8,9 @@
 import hopdrum.fleet.shards.Terms;
 import hopdrum.fleet.store.Store;
 import hopdrum.fleet.view.Membership;
-import hopdrum.host.Distances;
-import hopdrum.host.Shards;
-import hopdrum.host.Sharers;
+import hopdrum.host.QuotaLease;
+import hopdrum.host.ShardOwnership;
+import hopdrum.host.ZoneLatencies;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -26,7 +26,7 @@
  * keeps time, and hands out what was settled as one immutable snapshot. Nothing here waits on the front door's loop, nor
  * that on anything here. Public methods may be called from any thread.
  */
-public final class Fleet implements AutoCloseable, Supplier<Sharers> {
+public final class Fleet implements AutoCloseable, Supplier<QuotaLease> {
     private static final int TICKS_A_PERIOD = 10;
 
     private final FleetFile file;
@@ -40,12 +40,12 @@
     private final long loopOffsetUs;
     private final Thread tickThread;
     private final VoteWriter voteWriter;
-    private final ZoneDistances zoneDistances;
+    private final ZoneLatencyPublisher zoneDistances;
     private final FleetStatusLog statusLog;
-    private final ClaimPublisher claims;
-    private volatile Shards shards; // null: nothing is divided yet
-    private Map<String, List<Shards.Door>> doors = Map.of();
-    private BiConsumer<Integer, List<Shards.Door>> doorListener = (tier, there) -> {};
+    private final QuotaLeasePublisher claims;
+    private volatile ShardOwnership shards; // null: nothing is divided yet
+    private Map<String, List<ShardOwnership.PartnerEndpoint>> doors = Map.of();
+    private BiConsumer<Integer, List<ShardOwnership.PartnerEndpoint>> doorListener = (tier, there) -> {};
     private boolean leaving;
     private long termsMs; // when the terms that are followed were written
     private long termsCheckedUs;
@@ -116,9 +116,9 @@
                     nowUs());
             tickThread = new Thread(null, this::runTicks, "fleet-view", 256 << 10);
             tickThread.setDaemon(true);
-            zoneDistances = new ZoneDistances(self.site());
+            zoneDistances = new ZoneLatencyPublisher(self.site());
             statusLog = new FleetStatusLog(self, log, file.timing().periodUs());
-            claims = new ClaimPublisher(self.operator(), log, loopOffsetUs);
+            claims = new QuotaLeasePublisher(self.operator(), log, loopOffsetUs);
         } catch (IOException | RuntimeException e) {
             store.close();
             throw e;
@@ -215,7 +215,7 @@
 
     /** What Policy may know of who shares its customers' quotas; never waits. */
     @Override
-    public Sharers get() {
+    public QuotaLease get() {
         return claims.current();
     }
 
@@ -233,7 +233,7 @@
      *
      * @return null where the map does not know all zones, or not surely: then nothing is gone by
      */
-    public Distances distances() {
+    public ZoneLatencies zoneLatencies() {
         return zoneDistances.current();
     }
 
@@ -251,7 +251,7 @@
      *
      * @return null until something is divided
      */
-    public Shards shards() {
+    public ShardOwnership shards() {
         return shards;
     }
 
@@ -261,15 +261,16 @@
      *
      * @param listener called with the tier (1 for the first operator) and its front doors
      */
-    public synchronized void setDoorListener(BiConsumer<Integer, List<Shards.Door>> listener) {
+    public synchronized void setDoorListener(BiConsumer<Integer, List<ShardOwnership.PartnerEndpoint>> listener) {
         doorListener = listener;
         notifyChangedDoors(Map.of());
     }
 
     /** The tiers whose front doors are others than they were. */
-    private void notifyChangedDoors(Map<String, List<Shards.Door>> before) {
+    private void notifyChangedDoors(Map<String, List<ShardOwnership.PartnerEndpoint>> before) {
         for (int i = 0; i < file.operators().size(); i++) {
-            List<Shards.Door> of = doors.getOrDefault(file.operators().get(i), List.of());
+            List<ShardOwnership.PartnerEndpoint> of =
+                    doors.getOrDefault(file.operators().get(i), List.of());
             if (!of.equals(before.getOrDefault(file.operators().get(i), List.of()))) {
                 doorListener.accept(i + 1, of);
             }
@@ -337,7 +338,7 @@
                 leaving || membership.isOut(now),
                 loopOffsetUs,
                 now);
-        Map<String, List<Shards.Door>> before = doors;
+        Map<String, List<ShardOwnership.PartnerEndpoint>> before = doors;
         doors = shardCoordinator.doors();
         notifyChangedDoors(before);
     }
--- a/src/main/java/hopdrum/fleet/ClaimPublisher.java
+++ b/src/main/java/hopdrum/fleet/QuotaLeasePublisher.java
@@ -4,7 +4,7 @@
 import hopdrum.fleet.message.View;
 import hopdrum.fleet.view.Leases;
 import hopdrum.fleet.view.Membership;
-import hopdrum.host.Sharers;
+import hopdrum.host.QuotaLease;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
@@ -13,22 +13,22 @@
  * The snapshot that Policy reads of who shares this operator's quotas: replaced, never changed, when what this gateway
  * may claim changes. Published under the fleet's lock; {@link #current()} may be read from any thread.
  */
-final class ClaimPublisher {
+final class QuotaLeasePublisher {
     private final String operator;
     private final FleetLog log;
     private final long loopOffsetUs;
-    private volatile Sharers sharers = new Sharers(Long.MIN_VALUE / 2, List.of());
+    private volatile QuotaLease sharers = new QuotaLease(Long.MIN_VALUE / 2, List.of());
     private String lastClaim = "";
 
     /** @param loopOffsetUs what the front door's clock is ahead of this machine's monotonic one, microseconds */
-    ClaimPublisher(String operator, FleetLog log, long loopOffsetUs) {
+    QuotaLeasePublisher(String operator, FleetLog log, long loopOffsetUs) {
         this.operator = operator;
         this.log = log;
         this.loopOffsetUs = loopOffsetUs;
     }
 
     /** The last snapshot; never waits. */
-    Sharers current() {
+    QuotaLease current() {
         return sharers;
     }
 
@@ -53,7 +53,7 @@
         if (!claim.equals(lastClaim)) {
             lastClaim = claim;
             log.event("claim", "until_us", Math.max(0, until), "of", most, "operator", operator);
-            sharers = new Sharers(until + loopOffsetUs, List.copyOf(views));
+            sharers = new QuotaLease(until + loopOffsetUs, List.copyOf(views));
         }
     }
 }
--- a/src/main/java/hopdrum/fleet/ZoneDistances.java
+++ b/src/main/java/hopdrum/fleet/ZoneLatencyPublisher.java
@@ -1,7 +1,7 @@
 package hopdrum.fleet;
 
 import hopdrum.fleet.latency.LatencyMap;
-import hopdrum.host.Distances;
+import hopdrum.host.ZoneLatencies;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
@@ -10,7 +10,7 @@
  * How far the zones that backends stand in are from this front door's site, from the latency map. Updated under the
  * fleet's lock; {@link #current()} may be read from any thread.
  */
-final class ZoneDistances {
+final class ZoneLatencyPublisher {
     private static final double LEAST_SURE = 0.3; // below, a way is old, contradicted, or one member's word
     private static final double SHORTER =
             0.02; // of the difference, a tick: nobody turns to a site at once that has come near
@@ -18,9 +18,9 @@
     private final String homeSite;
     private List<String> zones = List.of();
     private double[] shown = {}; // by zone, as last handed out
-    private volatile Distances distances; // null: not to be gone by
+    private volatile ZoneLatencies distances; // null: not to be gone by
 
-    ZoneDistances(String homeSite) {
+    ZoneLatencyPublisher(String homeSite) {
         this.homeSite = homeSite;
     }
 
@@ -30,7 +30,7 @@
     }
 
     /** Null where the map does not know all zones, or not surely: then nothing is gone by. */
-    Distances current() {
+    ZoneLatencies current() {
         return distances;
     }
 
@@ -55,6 +55,7 @@
             next[i] = next[i] < shown[i] ? shown[i] + SHORTER * (next[i] - shown[i]) : next[i];
         }
         shown = next;
-        distances = new Distances(Arrays.stream(next).mapToLong(d -> (long) d).toArray());
+        distances =
+                new ZoneLatencies(Arrays.stream(next).mapToLong(d -> (long) d).toArray());
     }
 }
--- a/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
@@ -13,7 +13,7 @@
 import hopdrum.fleet.view.Leases;
 import hopdrum.fleet.view.MessageSender;
 import hopdrum.fleet.view.ShardAssigner;
-import hopdrum.host.Shards;
+import hopdrum.host.ShardOwnership;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -226,13 +226,13 @@
     // ---- What is asked ----
 
     /** The front doors that RPCs may be passed on to, by operator: in the view, believed to be there, not this one. */
-    public Map<String, List<Shards.Door>> doors() {
-        Map<String, List<Shards.Door>> doors = new TreeMap<>();
+    public Map<String, List<ShardOwnership.PartnerEndpoint>> doors() {
+        Map<String, List<ShardOwnership.PartnerEndpoint>> doors = new TreeMap<>();
         for (Member m : view.members()) {
             State state = reach.state(m.name());
             if (!m.is(self) && m.serves() != null && (state == State.ALIVE || state == State.SUSPECT)) {
                 doors.computeIfAbsent(m.operator(), o -> new ArrayList<>())
-                        .add(new Shards.Door(m.name() + "/" + m.start(), m.site(), m.serves()));
+                        .add(new ShardOwnership.PartnerEndpoint(m.name() + "/" + m.start(), m.site(), m.serves()));
             }
         }
         return doors;
--- a/src/main/java/hopdrum/fleet/shards/ShardTable.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardTable.java
@@ -1,13 +1,13 @@
 package hopdrum.fleet.shards;
 
-import hopdrum.host.Shards;
+import hopdrum.host.ShardOwnership;
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.Set;
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /** What one front door knows of who owns which shard, for its own clock; never changed. */
-public final class ShardTable implements Shards {
+public final class ShardTable implements ShardOwnership {
     private static final long NOBODY = -1;
     private final boolean[] own; // by shard
     private final long[] tiers; // by shard: whom to ask where this one may not act; NOBODY
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public long ownedForUs(long customer, long nowUs) {
+    public long ownershipAgeUs(long customer, long nowUs) {
         return Math.max(0, nowUs - sinceUs[shard(customer, own.length)]);
     }
 
--- a/src/main/java/hopdrum/frontdoor/Clients.java
+++ b/src/main/java/hopdrum/frontdoor/ClientListener.java
@@ -1,11 +1,11 @@
 package hopdrum.frontdoor;
 
+import hopdrum.frontdoor.connection.ClientConnection;
+import hopdrum.frontdoor.connection.ResourceBudget;
+import hopdrum.frontdoor.lifecycle.EventLoop;
 import hopdrum.frontdoor.lifecycle.Log;
-import hopdrum.frontdoor.lifecycle.Loop;
-import hopdrum.frontdoor.memory.Budget;
-import hopdrum.frontdoor.memory.ClientConnection;
-import hopdrum.frontdoor.wire.BadMessage;
-import hopdrum.frontdoor.wire.RpcHead;
+import hopdrum.frontdoor.wire.MalformedMessageException;
+import hopdrum.frontdoor.wire.RequestHead;
 import java.io.IOException;
 import java.net.SocketAddress;
 import java.net.StandardSocketOptions;
@@ -17,7 +17,7 @@
 import java.util.Set;
 
 /** The listening socket and the connections that clients opened. */
-final class Clients implements Loop.Ready, ClientConnection.Owner {
+final class ClientListener implements EventLoop.Ready, ClientConnection.Owner {
     private static final Log LOG = new Log("clients");
     private static final int BACKLOG = 1024;
     private static final long PAUSE_US = 50_000;
@@ -27,15 +27,15 @@
 
     /** Who takes RPCs. */
     interface Owner {
-        void take(ClientConnection client) throws BadMessage;
+        void take(ClientConnection client) throws MalformedMessageException;
 
         void left(ClientConnection client);
 
         boolean isReady();
     }
 
-    private final Loop loop;
-    private final Budget budget;
+    private final EventLoop loop;
+    private final ResourceBudget budget;
     private final Owner owner;
     private final ServerSocketChannel listener;
     private SelectionKey key; // null until open()
@@ -46,7 +46,7 @@
     private boolean paused;
     private boolean stopping;
 
-    Clients(Loop loop, SocketAddress listen, Budget budget, Owner owner) throws IOException {
+    ClientListener(EventLoop loop, SocketAddress listen, ResourceBudget budget, Owner owner) throws IOException {
         this.loop = loop;
         this.budget = budget;
         this.owner = owner;
@@ -172,8 +172,8 @@
     }
 
     @Override
-    public void arrived(ClientConnection client) throws BadMessage {
-        if (RpcHead.asksReady(client.bytes())) {
+    public void arrived(ClientConnection client) throws MalformedMessageException {
+        if (RequestHead.asksReady(client.bytes())) {
             client.answer(owner.isReady() && !stopping ? 200 : 503, 0, false);
         } else {
             owner.take(client);
@@ -240,7 +240,7 @@
         } catch (IOException e) {
             LOG.warning("the listening socket did not close cleanly", e.getMessage());
         }
-        new ArrayList<>(open).forEach(Clients::finishIfIdle);
+        new ArrayList<>(open).forEach(ClientListener::finishIfIdle);
     }
 
     boolean isEmpty() {
--- a/src/main/java/hopdrum/frontdoor/Counter.java
+++ b/src/main/java/hopdrum/frontdoor/CounterClient.java
@@ -1,9 +1,9 @@
 package hopdrum.frontdoor;
 
+import hopdrum.frontdoor.connection.CounterConnection;
+import hopdrum.frontdoor.connection.ResourceBudget;
+import hopdrum.frontdoor.lifecycle.EventLoop;
 import hopdrum.frontdoor.lifecycle.Log;
-import hopdrum.frontdoor.lifecycle.Loop;
-import hopdrum.frontdoor.memory.Budget;
-import hopdrum.frontdoor.memory.CounterConnection;
 import hopdrum.host.Outcome;
 import java.io.IOException;
 import java.net.SocketAddress;
@@ -12,7 +12,7 @@
 import java.util.Objects;
 
 /** The few connections to the counter. A name keeps to one of them, so that its answers come in order. */
-final class Counter implements CounterConnection.Owner {
+final class CounterClient implements CounterConnection.Owner {
     private static final Log LOG = new Log("counter");
     private static final int CONNECTIONS = 2;
     private static final long STUCK_US = 250_000;
@@ -23,17 +23,17 @@
         void counted(long name, Outcome outcome, double total, long tookUs);
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private SocketAddress address; // null without a counter
     private final long timeOutUs;
-    private final Budget budget;
+    private final ResourceBudget budget;
     private final Owner owner;
     private long stuckUs = STUCK_US;
     private long answeredUs;
     private final CounterConnection[] connections = new CounterConnection[CONNECTIONS];
     private final List<CounterConnection> leaving = new ArrayList<>(); // to where it was; one goes as it is closed
 
-    Counter(Loop loop, SocketAddress address, long timeOutUs, Budget budget, Owner owner) {
+    CounterClient(EventLoop loop, SocketAddress address, long timeOutUs, ResourceBudget budget, Owner owner) {
         this.loop = loop;
         this.address = address;
         this.timeOutUs = timeOutUs;
--- a/src/main/java/hopdrum/frontdoor/Discovery.java
+++ b/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
@@ -1,18 +1,18 @@
 package hopdrum.frontdoor;
 
-import hopdrum.frontdoor.lifecycle.Link;
+import hopdrum.frontdoor.connection.ResourceBudget;
+import hopdrum.frontdoor.lifecycle.EventLoop;
 import hopdrum.frontdoor.lifecycle.Log;
-import hopdrum.frontdoor.lifecycle.Loop;
-import hopdrum.frontdoor.memory.Budget;
-import hopdrum.frontdoor.wire.BadMessage;
-import hopdrum.frontdoor.wire.DiscoveryReader;
-import hopdrum.frontdoor.wire.Json;
+import hopdrum.frontdoor.lifecycle.StreamConnection;
+import hopdrum.frontdoor.wire.EndpointListReader;
+import hopdrum.frontdoor.wire.JsonReader;
+import hopdrum.frontdoor.wire.MalformedMessageException;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Map;
 
 /** Follows the list of backends: one watch, kept up; a whole list after a line that could not be read. */
-final class Discovery {
+final class DiscoveryClient {
     private static final Log LOG = new Log("discovery");
     private static final int MOST_BYTES = 64 << 10;
     // What a silent watch misses counts as told 6 s later: the silence, and two new watches that say nothing, stay
@@ -35,9 +35,9 @@
         void lost();
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private InetSocketAddress address;
-    private final Budget budget;
+    private final ResourceBudget budget;
     private final Owner owner;
     private long version;
     private Connection watch;
@@ -48,7 +48,7 @@
     private boolean wholeNeeded;
     private boolean closed;
 
-    Discovery(Loop loop, InetSocketAddress address, long version, Budget budget, Owner owner) {
+    DiscoveryClient(EventLoop loop, InetSocketAddress address, long version, ResourceBudget budget, Owner owner) {
         this.loop = loop;
         this.address = address;
         this.version = version;
@@ -142,7 +142,7 @@
             return;
         }
         try {
-            if (!(Json.parse(line) instanceof Map<?, ?> message)
+            if (!(JsonReader.parse(line) instanceof Map<?, ?> message)
                     || !(message.get("seq") instanceof Double seq)
                     || !(message.get("whole") instanceof Boolean whole)) {
                 throw new IllegalArgumentException("no list");
@@ -169,17 +169,18 @@
         }
     }
 
-    private final class Connection extends Link {
+    private final class Connection extends StreamConnection {
         private final boolean isWatch;
-        private final DiscoveryReader reader;
+        private final EndpointListReader reader;
         private boolean hasSpoken;
-        private long readUs = Discovery.this.loop.nowUs();
+        private long readUs = DiscoveryClient.this.loop.nowUs();
 
         Connection(boolean isWatch) throws IOException {
-            super(Discovery.this.loop, address, MOST_BYTES, MOST_BYTES, budget);
+            super(DiscoveryClient.this.loop, address, MOST_BYTES, MOST_BYTES, budget);
             this.isWatch = isWatch;
-            this.reader = new DiscoveryReader(line -> line(line, this));
-            DiscoveryReader.ask(isWatch, version, address.getAddress().getHostAddress() + ":" + address.getPort(), out);
+            this.reader = new EndpointListReader(line -> line(line, this));
+            EndpointListReader.ask(
+                    isWatch, version, address.getAddress().getHostAddress() + ":" + address.getPort(), out);
             flush();
             if (!isWatch) {
                 loop.in(NO_LIST_US, this::close);
@@ -188,12 +189,12 @@
 
         @Override
         protected void received() {
-            readUs = Discovery.this.loop.nowUs();
+            readUs = DiscoveryClient.this.loop.nowUs();
             try {
                 if (reader.read(in)) {
                     close();
                 }
-            } catch (BadMessage e) {
+            } catch (MalformedMessageException e) {
                 LOG.warning("discovery's answer cannot be read", e.getMessage());
                 close();
             }
--- a/src/main/java/hopdrum/frontdoor/FrontDoor.java
+++ b/src/main/java/hopdrum/frontdoor/FrontDoor.java
@@ -1,26 +1,26 @@
 package hopdrum.frontdoor;
 
+import hopdrum.frontdoor.connection.Attempt;
+import hopdrum.frontdoor.connection.BackendConnection;
+import hopdrum.frontdoor.connection.BackendDirectory;
+import hopdrum.frontdoor.connection.ClientConnection;
+import hopdrum.frontdoor.connection.ConnectionPool;
+import hopdrum.frontdoor.connection.InFlightRequest;
+import hopdrum.frontdoor.connection.InFlightRequests;
+import hopdrum.frontdoor.connection.ResourceBudget;
 import hopdrum.frontdoor.lifecycle.Config;
+import hopdrum.frontdoor.lifecycle.EventLoop;
 import hopdrum.frontdoor.lifecycle.Log;
-import hopdrum.frontdoor.lifecycle.Loop;
-import hopdrum.frontdoor.memory.Attempt;
-import hopdrum.frontdoor.memory.BackendConnection;
-import hopdrum.frontdoor.memory.Budget;
-import hopdrum.frontdoor.memory.ClientConnection;
-import hopdrum.frontdoor.memory.Directory;
-import hopdrum.frontdoor.memory.OpenRpc;
-import hopdrum.frontdoor.memory.Pool;
-import hopdrum.frontdoor.memory.Rpcs;
-import hopdrum.frontdoor.wire.BadMessage;
 import hopdrum.frontdoor.wire.HttpReader;
-import hopdrum.frontdoor.wire.Ring;
-import hopdrum.frontdoor.wire.RpcHead;
-import hopdrum.host.Distances;
+import hopdrum.frontdoor.wire.MalformedMessageException;
+import hopdrum.frontdoor.wire.RequestHead;
+import hopdrum.frontdoor.wire.RingBuffer;
+import hopdrum.host.Endpoint;
 import hopdrum.host.Host;
-import hopdrum.host.Listed;
 import hopdrum.host.Outcome;
-import hopdrum.host.Shards;
-import hopdrum.host.Sharers;
+import hopdrum.host.QuotaLease;
+import hopdrum.host.ShardOwnership;
+import hopdrum.host.ZoneLatencies;
 import hopdrum.policy.Policy;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -32,9 +32,10 @@
 /**
  * One front door: Policy's Host on sockets. What comes in turns into calls on Policy, and Policy's calls into bytes;
  * nothing is decided here. Policy is never called from inside one of its own calls: what ends there is told by
- * Loop.soon().
+ * EventLoop.soon().
  */
-public final class FrontDoor implements Host, Clients.Owner, BackendConnection.Owner, Counter.Owner, Discovery.Owner {
+public final class FrontDoor
+        implements Host, ClientListener.Owner, BackendConnection.Owner, CounterClient.Owner, DiscoveryClient.Owner {
     private static final Log LOG = new Log("frontdoor");
     private static final float[] NO_REPORT = {};
     private static final long ACCEPT_ON_US = 500_000;
@@ -47,23 +48,23 @@
     private static final long NOT_SETTLED_US = 1_000_000;
 
     private final Config config;
-    private final Loop loop;
-    private final Budget budget;
-    private final Directory directory;
-    private final Rpcs rpcs = new Rpcs();
-    private final RpcHead head;
-    private final Clients clients;
-    private final Counter counter;
-    private final Discovery discovery;
-    private final Peers peers;
+    private final EventLoop loop;
+    private final ResourceBudget budget;
+    private final BackendDirectory directory;
+    private final InFlightRequests rpcs = new InFlightRequests();
+    private final RequestHead head;
+    private final ClientListener clients;
+    private final CounterClient counter;
+    private final DiscoveryClient discovery;
+    private final PeerMessenger peers;
     private final Policy policy;
     private final Tally tally = new Tally();
-    private Loop.Timer wake;
+    private EventLoop.Timer wake;
     private boolean listKnown;
     private Runnable lost = () -> {};
-    private Supplier<Sharers> sharers = () -> null;
-    private Supplier<Distances> distances = () -> null;
-    private Supplier<Shards> shards; // null where no partners share the customers
+    private Supplier<QuotaLease> sharers = () -> null;
+    private Supplier<ZoneLatencies> distances = () -> null;
+    private Supplier<ShardOwnership> shards; // null where no partners share the customers
 
     /** What happened since the last line that said so. */
     private static final class Tally {
@@ -78,26 +79,26 @@
         }
     }
 
-    public FrontDoor(Config config, Loop loop) throws IOException {
+    public FrontDoor(Config config, EventLoop loop) throws IOException {
         this.config = config;
         this.loop = loop;
-        budget = new Budget(config.sockets(), config.memoryMb() * (1L << 20) / 6, SLOW_US);
-        directory = new Directory(config.zones(), config.kinds());
-        head = new RpcHead(
+        budget = new ResourceBudget(config.sockets(), config.memoryMb() * (1L << 20) / 6, SLOW_US);
+        directory = new BackendDirectory(config.zones(), config.kinds());
+        head = new RequestHead(
                 config.methods(),
                 config.plans(),
                 config.settings().methods(),
                 config.settings().gateways(),
                 config.mostUnits());
         policy = new Policy(config.settings(), config.seed(), this);
-        counter = new Counter(loop, config.counter(), config.settings().countWaitUs(), budget, this);
-        peers = config.peerListen() == null || !config.settings().mayTell()
+        counter = new CounterClient(loop, config.counter(), config.settings().counterTimeoutUs(), budget, this);
+        peers = config.peerListen() == null || !config.settings().gossipAllowed()
                 ? null
-                : new Peers(loop, config.peerListen(), config.peers(), policy::heard);
+                : new PeerMessenger(loop, config.peerListen(), config.peers(), policy::gossipReceived);
         long version = known();
-        discovery = new Discovery(loop, config.discovery(), version, budget, this);
+        discovery = new DiscoveryClient(loop, config.discovery(), version, budget, this);
         discovery.start();
-        clients = new Clients(loop, config.listen(), budget, this);
+        clients = new ClientListener(loop, config.listen(), budget, this);
         loop.ask(() -> loop.in(NO_LIST_US, this::openClients)); // its clock stands still till then
         loop.in(CHECK_US, this::check);
         loop.in(TALLY_US, this::tell);
@@ -114,8 +115,8 @@
             return -1;
         }
         try {
-            List<Listed> listed = directory.take(known, true);
-            policy.listed(0, Listed.Form.CACHED, listed);
+            List<Endpoint> listed = directory.take(known, true);
+            policy.endpointsUpdated(0, Endpoint.UpdateKind.CACHED, listed);
             listKnown = !listed.isEmpty();
             return seq.longValue();
         } catch (IllegalArgumentException e) {
@@ -138,7 +139,7 @@
 
     private void check() {
         if (config.idleUs() > 0) {
-            for (Pool pool : directory.pools()) {
+            for (ConnectionPool pool : directory.pools()) {
                 pool.closeIdleSince(nowUs() - config.idleUs() * 3 / 4);
             }
         }
@@ -165,44 +166,44 @@
     }
 
     /** Where a fleet runs: what it has settled and how far zones are is looked at for each RPC that needs it. */
-    public void knows(Supplier<Sharers> settled, Supplier<Distances> far) {
+    public void knows(Supplier<QuotaLease> settled, Supplier<ZoneLatencies> far) {
         sharers = settled;
         distances = far;
     }
 
     /** Where partners share the customers: who owns which shard is looked at for each RPC. */
-    public void shares(Supplier<Shards> settled) {
+    public void shares(Supplier<ShardOwnership> settled) {
         shards = settled;
     }
 
     /** The front doors of another tier, all that are there; on the loop's thread. */
-    public void partners(int tier, List<Shards.Door> doors) {
-        policy.listed(tier, Listed.Form.WHOLE, directory.partners(tier, doors));
+    public void partners(int tier, List<ShardOwnership.PartnerEndpoint> doors) {
+        policy.endpointsUpdated(tier, Endpoint.UpdateKind.COMPLETE, directory.partners(tier, doors));
     }
 
     /** Before anything is settled nobody knows who owns what. */
     @Override
-    public long owner(long id, long customer) {
+    public long ownerTier(long id, long customer) {
         if (shards == null) {
             return 0;
         }
-        Shards settled = shards.get();
+        ShardOwnership settled = shards.get();
         return settled == null ? -NOT_SETTLED_US : settled.owner(customer, rpcs.get(id).passedOn, nowUs());
     }
 
     @Override
-    public long ownedForUs(long customer) {
-        Shards settled = shards == null ? null : shards.get();
-        return settled == null ? Host.super.ownedForUs(customer) : settled.ownedForUs(customer, nowUs());
+    public long ownershipAgeUs(long customer) {
+        ShardOwnership settled = shards == null ? null : shards.get();
+        return settled == null ? Host.super.ownershipAgeUs(customer) : settled.ownershipAgeUs(customer, nowUs());
     }
 
     @Override
-    public Distances distances() {
+    public ZoneLatencies zoneLatencies() {
         return distances.get();
     }
 
     @Override
-    public Sharers sharers() {
+    public QuotaLease quotaLease() {
         return sharers.get();
     }
 
@@ -242,7 +243,7 @@
         if (peers != null) {
             peers.close();
         }
-        for (Pool pool : directory.pools()) {
+        for (ConnectionPool pool : directory.pools()) {
             pool.closeAll();
         }
     }
@@ -255,29 +256,29 @@
     }
 
     @Override
-    public void take(ClientConnection client) throws BadMessage {
+    public void take(ClientConnection client) throws MalformedMessageException {
         head.read(client.bytes(), client.message());
-        OpenRpc rpc = rpcs.open(client, head.trace);
+        InFlightRequest rpc = rpcs.open(client, head.trace);
         if (rpc == null) {
-            throw new BadMessage(409, "the X-Trace-Id is another RPC's that is open");
+            throw new MalformedMessageException(409, "the X-Trace-Id is another RPC's that is open");
         }
         client.took(rpc);
         tally.taken++;
         long leftUs = Math.max(1, head.leftMs * 1000 - client.ageUs());
         rpc.expiresAtUs = nowUs() + leftUs;
         if (shards != null) { // any front door takes any customer: its gateways are all that its shard's owner has
-            rpc.passedOn = RpcHead.isPassedOn(client.bytes(), client.message());
+            rpc.passedOn = RequestHead.isPassedOn(client.bytes(), client.message());
             head.firstGateway = 0;
             head.gateways = config.settings().gateways();
         }
-        rpc.handle = policy.take(
+        rpc.handle = policy.requestReceived(
                 rpc.id, head.method, head.customer, head.plan, head.units, head.firstGateway, head.gateways, leftUs);
         rpcs.closeIfOver(rpc);
     }
 
     @Override
     public void left(ClientConnection client) {
-        OpenRpc rpc = client.rpc();
+        InFlightRequest rpc = client.rpc();
         rpc.client = null;
         tally.left++;
         if (rpc.handle == null) {
@@ -289,7 +290,7 @@
     }
 
     @Override
-    public void pass(Attempt attempt, Ring bytes, HttpReader answer) {
+    public void pass(Attempt attempt, RingBuffer bytes, HttpReader answer) {
         ClientConnection client = attempt.rpc.client;
         if (client != null) {
             attempt.rpc.client = null;
@@ -310,7 +311,7 @@
         }
         attempt.ended = true;
         attempt.timeOut.cancel();
-        OpenRpc rpc = attempt.rpc;
+        InFlightRequest rpc = attempt.rpc;
         rpc.handle.attemptEnded(
                 attempt.number, outcome, nowUs() - attempt.sentUs, outcome == Outcome.OK || attempt.passed, 0, report);
         rpcs.closeIfOver(rpc);
@@ -337,15 +338,15 @@
 
     @Override
     public void counted(long name, Outcome outcome, double total, long tookUs) {
-        policy.counted(name, outcome, total, tookUs);
+        policy.counterAnswered(name, outcome, total, tookUs);
     }
 
     @Override
     public void told(Map<?, ?> message, boolean whole) {
-        List<Listed> listed = directory.take(message, whole);
+        List<Endpoint> listed = directory.take(message, whole);
         listKnown |= !listed.isEmpty();
         if (whole || !listed.isEmpty()) {
-            policy.listed(0, whole ? Listed.Form.WHOLE : Listed.Form.CHANGES, listed);
+            policy.endpointsUpdated(0, whole ? Endpoint.UpdateKind.COMPLETE : Endpoint.UpdateKind.INCREMENTAL, listed);
         }
         openClients();
     }
@@ -364,13 +365,13 @@
 
     @Override
     public void startAttempt(long id, long backend, long timeOutUs, long beginWithinUs) {
-        OpenRpc rpc = rpcs.get(id);
+        InFlightRequest rpc = rpcs.get(id);
         Attempt attempt = new Attempt(rpc, nowUs(), timeOutUs, beginWithinUs);
         rpc.attempts.add(attempt);
         attempt.timeOut = loop.in(timeOutUs, () -> timedOut(attempt));
-        Pool pool = directory.get(backend);
+        ConnectionPool pool = directory.get(backend);
         if (rpc.client == null || pool == null) {
-            loop.soon(() -> ended(attempt, Outcome.MOOT, NO_REPORT));
+            loop.soon(() -> ended(attempt, Outcome.INVALID_REQUEST, NO_REPORT));
             return;
         }
         BackendConnection connection = pool.takeIdle(nowUs());
@@ -386,7 +387,7 @@
         }
     }
 
-    private BackendConnection connect(Pool pool) throws IOException {
+    private BackendConnection connect(ConnectionPool pool) throws IOException {
         if (!budget.backendFits()) {
             directory.closeLongestIdle();
         }
@@ -403,7 +404,7 @@
 
     @Override
     public void cancelAttempt(long id, int number) {
-        OpenRpc rpc = rpcs.get(id);
+        InFlightRequest rpc = rpcs.get(id);
         Attempt attempt = rpc == null || number >= rpc.attempts.size() ? null : rpc.attempts.get(number);
         if (attempt != null && !attempt.ended) {
             giveUp(attempt);
@@ -412,7 +413,7 @@
     }
 
     @Override
-    public void refuse(long id, long retryAfterUs) {
+    public void reject(long id, long retryAfterUs) {
         tally.refused++;
         answer(id, retryAfterUs > 0 ? 429 : 503, retryAfterUs);
     }
@@ -424,7 +425,7 @@
     }
 
     private void answer(long id, int status, long retryAfterUs) {
-        OpenRpc rpc = rpcs.get(id);
+        InFlightRequest rpc = rpcs.get(id);
         if (rpc != null && rpc.client != null) {
             ClientConnection client = rpc.client;
             rpc.client = null;
@@ -436,19 +437,19 @@
     }
 
     @Override
-    public void addToCount(long name, double units, long timeToLiveUs) {
+    public void addToCounter(long name, double units, long timeToLiveUs) {
         counter.add(name, units, timeToLiveUs / 1000);
     }
 
     @Override
-    public void tell(int gateway, byte[] message) {
+    public void sendToPeer(int gateway, byte[] message) {
         if (peers != null) {
             peers.tell(gateway, message);
         }
     }
 
     @Override
-    public void wakeIn(long delayUs) {
+    public void scheduleWakeUp(long delayUs) {
         if (wake != null) {
             wake.cancel();
         }
@@ -456,10 +457,10 @@
     }
 
     private Runnable policy() {
-        return () -> policy.wake();
+        return () -> policy.wakeUp();
     }
 
     /** The watch is kept up from the start, whether it has to be asked for or not. */
     @Override
-    public void followList() {}
+    public void pollEndpointList() {}
 }
--- a/src/main/java/hopdrum/frontdoor/Peers.java
+++ b/src/main/java/hopdrum/frontdoor/PeerMessenger.java
@@ -1,7 +1,7 @@
 package hopdrum.frontdoor;
 
+import hopdrum.frontdoor.lifecycle.EventLoop;
 import hopdrum.frontdoor.lifecycle.Log;
-import hopdrum.frontdoor.lifecycle.Loop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 
 /** Short messages to and from the other front doors, by UDP. Owns the one datagram socket. */
-final class Peers implements Loop.Ready {
+final class PeerMessenger implements EventLoop.Ready {
     private static final Log LOG = new Log("peers");
     private static final int MOST = 256;
     private final DatagramChannel channel;
@@ -20,7 +20,8 @@
     private final Consumer<byte[]> heard;
     private final ByteBuffer buffer = ByteBuffer.allocateDirect(MOST + 1);
 
-    Peers(Loop loop, SocketAddress listen, List<InetSocketAddress> peers, Consumer<byte[]> heard) throws IOException {
+    PeerMessenger(EventLoop loop, SocketAddress listen, List<InetSocketAddress> peers, Consumer<byte[]> heard)
+            throws IOException {
         this.peers = peers;
         this.heard = heard;
         channel = DatagramChannel.open();
--- a/src/main/java/hopdrum/frontdoor/memory/Attempt.java
+++ b/src/main/java/hopdrum/frontdoor/connection/Attempt.java
@@ -1,20 +1,20 @@
-package hopdrum.frontdoor.memory;
+package hopdrum.frontdoor.connection;
 
-import hopdrum.frontdoor.lifecycle.Loop;
+import hopdrum.frontdoor.lifecycle.EventLoop;
 
 /** One sending of an RPC to a backend. */
 public final class Attempt {
-    public final OpenRpc rpc;
+    public final InFlightRequest rpc;
     public final int number;
     public final long sentUs;
     public final long endsAtUs; // Policy stops waiting for its answer
     public final long beginByUs; // later its request may not be written any more
     public BackendConnection connection; // null before it has one, and once it has ended
-    public Loop.Timer timeOut;
+    public EventLoop.Timer timeOut;
     public boolean ended;
     public boolean passed; // its answer, whatever it is, is the client's
 
-    public Attempt(OpenRpc rpc, long sentUs, long timeOutUs, long beginWithinUs) {
+    public Attempt(InFlightRequest rpc, long sentUs, long timeOutUs, long beginWithinUs) {
         this.rpc = rpc;
         this.number = rpc.attempts.size();
         this.sentUs = sentUs;
--- a/src/main/java/hopdrum/frontdoor/memory/BackendConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
@@ -1,24 +1,24 @@
-package hopdrum.frontdoor.memory;
+package hopdrum.frontdoor.connection;
 
-import hopdrum.frontdoor.lifecycle.Link;
+import hopdrum.frontdoor.lifecycle.EventLoop;
 import hopdrum.frontdoor.lifecycle.Log;
-import hopdrum.frontdoor.lifecycle.Loop;
-import hopdrum.frontdoor.wire.BackendAnswer;
-import hopdrum.frontdoor.wire.BadMessage;
+import hopdrum.frontdoor.lifecycle.StreamConnection;
+import hopdrum.frontdoor.wire.BackendResponse;
 import hopdrum.frontdoor.wire.HttpReader;
 import hopdrum.frontdoor.wire.HttpWriter;
-import hopdrum.frontdoor.wire.Ring;
-import hopdrum.frontdoor.wire.RpcHead;
+import hopdrum.frontdoor.wire.MalformedMessageException;
+import hopdrum.frontdoor.wire.RequestHead;
+import hopdrum.frontdoor.wire.RingBuffer;
 import hopdrum.host.Outcome;
 import java.io.IOException;
 import java.util.List;
 
 /** A connection to a backend: one attempt at a time, kept for the next one where the backend keeps it. */
-public final class BackendConnection extends Link {
+public final class BackendConnection extends StreamConnection {
     /** Who is told how attempts end. */
     public interface Owner {
         /** A whole answer that was asked for: its client gets it. The connection's bytes stand until this returns. */
-        void pass(Attempt attempt, Ring bytes, HttpReader answer);
+        void pass(Attempt attempt, RingBuffer bytes, HttpReader answer);
 
         void ended(Attempt attempt, Outcome outcome, float[] report);
 
@@ -30,17 +30,22 @@
     private static final long HALF_US = 250_000; // of silence amid an answer
     private static final float[] NO_REPORT = {};
     private final Owner owner;
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final List<String> reportFields;
     private final HttpReader reader = new HttpReader(HttpReader.Kind.RESPONSE);
     private Attempt attempt;
     private boolean written; // the attempt's last byte
-    private Loop.Timer dial;
+    private EventLoop.Timer dial;
     private long idleSinceUs;
     private long heardUs; // the last bytes of an answer that is not whole; 0 before
 
     public BackendConnection(
-            Loop loop, Pool pool, long dialTimeOutUs, List<String> reportFields, Budget budget, Owner owner)
+            EventLoop loop,
+            ConnectionPool pool,
+            long dialTimeOutUs,
+            List<String> reportFields,
+            ResourceBudget budget,
+            Owner owner)
             throws IOException {
         super(loop, pool.address(), HttpReader.MOST_ANSWER_RING, MOST_BYTES, budget);
         this.pool = pool;
@@ -51,7 +56,7 @@
         }
     }
 
-    public Pool pool() {
+    public ConnectionPool pool() {
         return pool;
     }
 
@@ -83,7 +88,7 @@
         // soft deadline.
         long endsAtUs = pool.isDoor ? attempt.rpc.expiresAtUs : attempt.endsAtUs;
         long leftMs = Math.max(1, (endsAtUs - loop.nowUs()) / 1000);
-        if (!RpcHead.forward(client.bytes(), client.message(), leftMs, pool.isDoor, out)) {
+        if (!RequestHead.forward(client.bytes(), client.message(), leftMs, pool.isDoor, out)) {
             return false;
         }
         flush();
@@ -100,7 +105,7 @@
             return;
         }
         if (attempt.rpc.client == null) {
-            endUnsent(Outcome.MOOT); // its client has gone, or has its answer
+            endUnsent(Outcome.INVALID_REQUEST); // its client has gone, or has its answer
         } else if (loop.nowUs() >= attempt.beginByUs || !pool.mayBegin()) {
             endUnsent(Outcome.CONNECT_FAILED);
         } else if (!writeRequest()) {
@@ -148,7 +153,7 @@
             } else {
                 heardUs = loop.nowUs();
             }
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             unreadable(e.getMessage());
         }
     }
@@ -176,8 +181,8 @@
     /** The client first, then the connection's next use, then the news of it, upon which that use may come. */
     private void whole(boolean keeps) {
         Attempt over = detach();
-        Outcome outcome = pool.isDoor ? BackendAnswer.outcomeOfDoor(reader) : BackendAnswer.outcome(in, reader);
-        float[] report = BackendAnswer.report(in, reader, reportFields);
+        Outcome outcome = pool.isDoor ? BackendResponse.outcomeOfDoor(reader) : BackendResponse.outcome(in, reader);
+        float[] report = BackendResponse.report(in, reader, reportFields);
         if (outcome == Outcome.OK || pool.isDoor && HttpWriter.isAnswer(reader.status())) {
             owner.pass(over, in, reader);
         }
--- a/src/main/java/hopdrum/frontdoor/memory/Directory.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendDirectory.java
@@ -1,8 +1,8 @@
-package hopdrum.frontdoor.memory;
+package hopdrum.frontdoor.connection;
 
 import hopdrum.frontdoor.lifecycle.Config;
-import hopdrum.host.Listed;
-import hopdrum.host.Shards;
+import hopdrum.host.Endpoint;
+import hopdrum.host.ShardOwnership;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -16,30 +16,30 @@
  * The backends by name and by the number that Policy knows them by, with their addresses and connections. An entry
  * goes once discovery has withdrawn it and its last connection is closed.
  */
-public final class Directory {
-    private final Map<String, Pool> byName = new HashMap<>();
-    private final Map<Long, Pool> byNumber = new HashMap<>();
+public final class BackendDirectory {
+    private final Map<String, ConnectionPool> byName = new HashMap<>();
+    private final Map<Long, ConnectionPool> byNumber = new HashMap<>();
     private final List<String> zones;
     private final List<String> kinds;
     private long next = 1;
 
-    public Directory(List<String> zones, List<String> kinds) {
+    public BackendDirectory(List<String> zones, List<String> kinds) {
         this.zones = zones;
         this.kinds = kinds;
     }
 
-    public Pool get(long backend) {
+    public ConnectionPool get(long backend) {
         return byNumber.get(backend);
     }
 
-    public Iterable<Pool> pools() {
+    public Iterable<ConnectionPool> pools() {
         return byNumber.values();
     }
 
     /** Makes room for a connection that is needed: the one that has waited longest goes. */
     public void closeLongestIdle() {
         BackendConnection longest = null;
-        for (Pool pool : byNumber.values()) {
+        for (ConnectionPool pool : byNumber.values()) {
             BackendConnection idle = pool.longestIdle();
             if (idle != null && (longest == null || idle.idleSinceUs() < longest.idleSinceUs())) {
                 longest = idle;
@@ -51,7 +51,7 @@
     }
 
     /** Takes in one message of discovery's; throws IllegalArgumentException, and changes nothing, if it is malformed. */
-    public List<Listed> take(Map<?, ?> message, boolean whole) {
+    public List<Endpoint> take(Map<?, ?> message, boolean whole) {
         if (!(message.get("hosts") instanceof List<?> hosts)) {
             throw new IllegalArgumentException("no list of hosts");
         }
@@ -68,13 +68,14 @@
             entries.forEach(entry -> named.add(entry.name));
             byName.forEach((name, pool) -> pool.listed(named.contains(name) || pool.isDoor && pool.isListed()));
         }
-        List<Listed> listed = new ArrayList<>();
+        List<Endpoint> listed = new ArrayList<>();
         for (Entry entry : entries) {
-            Pool pool = byName.computeIfAbsent(entry.name, name -> new Pool(next++, entry.address, false));
+            ConnectionPool pool =
+                    byName.computeIfAbsent(entry.name, name -> new ConnectionPool(next++, entry.address, false));
             byNumber.put(pool.backend, pool);
             pool.moveTo(entry.address);
             pool.told(entry.state);
-            listed.add(new Listed(
+            listed.add(new Endpoint(
                     pool.backend,
                     Math.max(0, zones.indexOf(entry.zone)),
                     Math.max(0, kinds.indexOf(entry.kind)),
@@ -88,18 +89,19 @@
     }
 
     /** The front doors of another tier, all that are there, as backends of their own. */
-    public List<Listed> partners(int tier, List<Shards.Door> doors) {
+    public List<Endpoint> partners(int tier, List<ShardOwnership.PartnerEndpoint> doors) {
         String prefix = "tier " + tier + ": "; // no name that discovery gives
         Set<String> named = new HashSet<>();
-        List<Listed> listed = new ArrayList<>();
-        for (Shards.Door door : doors) {
-            Pool pool = byName.computeIfAbsent(
-                    prefix + door.name(), k -> new Pool(next++, Config.address("serves", door.address()), true));
+        List<Endpoint> listed = new ArrayList<>();
+        for (ShardOwnership.PartnerEndpoint door : doors) {
+            ConnectionPool pool = byName.computeIfAbsent(
+                    prefix + door.name(),
+                    k -> new ConnectionPool(next++, Config.address("serves", door.address()), true));
             byNumber.put(pool.backend, pool);
-            pool.told(Listed.State.READY);
+            pool.told(Endpoint.State.READY);
             named.add(prefix + door.name());
-            listed.add(
-                    new Listed(pool.backend, Math.max(0, zones.indexOf(door.site())), 0, 0, Listed.State.READY, 1, 0));
+            listed.add(new Endpoint(
+                    pool.backend, Math.max(0, zones.indexOf(door.site())), 0, 0, Endpoint.State.READY, 1, 0));
         }
         byName.forEach(
                 (name, pool) -> pool.listed(pool.isListed() && (!name.startsWith(prefix) || named.contains(name))));
@@ -108,8 +110,8 @@
     }
 
     public void sweep() {
-        for (Iterator<Map.Entry<String, Pool>> i = byName.entrySet().iterator(); i.hasNext(); ) {
-            Pool pool = i.next().getValue();
+        for (Iterator<Map.Entry<String, ConnectionPool>> i = byName.entrySet().iterator(); i.hasNext(); ) {
+            ConnectionPool pool = i.next().getValue();
             if (!pool.isListed() && pool.isEmpty()) {
                 i.remove();
                 byNumber.remove(pool.backend);
@@ -123,7 +125,7 @@
         final String zone;
         final String kind;
         final int cell;
-        final Listed.State state;
+        final Endpoint.State state;
         final double weight;
         final long bornMs;
 
@@ -136,9 +138,9 @@
             weight = number(fields, "share", 1);
             bornMs = (long) number(fields, "born_ms", 0);
             state = switch (text(fields, "health")) {
-                case "in_service" -> Listed.State.READY;
-                case "terminating" -> Listed.State.DRAINING;
-                case "terminated" -> Listed.State.GONE;
+                case "in_service" -> Endpoint.State.READY;
+                case "terminating" -> Endpoint.State.DRAINING;
+                case "terminated" -> Endpoint.State.GONE;
                 default -> throw new IllegalArgumentException("unknown health " + fields.get("health"));
             };
         }
--- a/src/main/java/hopdrum/frontdoor/memory/ClientConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
@@ -1,21 +1,21 @@
-package hopdrum.frontdoor.memory;
+package hopdrum.frontdoor.connection;
 
-import hopdrum.frontdoor.lifecycle.Link;
+import hopdrum.frontdoor.lifecycle.EventLoop;
 import hopdrum.frontdoor.lifecycle.Log;
-import hopdrum.frontdoor.lifecycle.Loop;
-import hopdrum.frontdoor.wire.BadMessage;
+import hopdrum.frontdoor.lifecycle.StreamConnection;
 import hopdrum.frontdoor.wire.HttpReader;
 import hopdrum.frontdoor.wire.HttpWriter;
-import hopdrum.frontdoor.wire.Ring;
+import hopdrum.frontdoor.wire.MalformedMessageException;
+import hopdrum.frontdoor.wire.RingBuffer;
 import java.io.IOException;
 import java.nio.channels.SocketChannel;
 
 /** A client's connection: one message after another; the next is looked at when the one before has its answer. */
-public final class ClientConnection extends Link {
+public final class ClientConnection extends StreamConnection {
     /** Who is told of its messages and its end. */
     public interface Owner {
         /** A whole message stands at the front; throws what the client is to be told of it. */
-        void arrived(ClientConnection client) throws BadMessage;
+        void arrived(ClientConnection client) throws MalformedMessageException;
 
         /** Nothing is under way on it. */
         void idle(ClientConnection client);
@@ -46,15 +46,16 @@
     private final Owner owner;
     private final long slowUs;
     private final HttpReader reader = new HttpReader(HttpReader.Kind.REQUEST);
-    private OpenRpc rpc;
+    private InFlightRequest rpc;
     private long arrivedUs; // before the first byte of the message at the front
     private long behindUs; // before the first byte of what came in behind it
-    private Loop.Timer slow;
+    private EventLoop.Timer slow;
     private long idleSinceUs;
     private int dropped; // bytes that came after the last answer
     private boolean closing; // the last answer is written or being written
 
-    public ClientConnection(Loop loop, SocketChannel channel, Budget budget, Owner owner) throws IOException {
+    public ClientConnection(EventLoop loop, SocketChannel channel, ResourceBudget budget, Owner owner)
+            throws IOException {
         super(loop, channel, MOST_BYTES, HttpReader.MOST_ANSWER_RING, budget);
         this.owner = owner;
         this.slowUs = budget.slowUs();
@@ -62,7 +63,7 @@
         idleSinceUs = loop.nowUs();
     }
 
-    public Ring bytes() {
+    public RingBuffer bytes() {
         return in;
     }
 
@@ -70,7 +71,7 @@
         return reader;
     }
 
-    public OpenRpc rpc() {
+    public InFlightRequest rpc() {
         return rpc;
     }
 
@@ -80,7 +81,7 @@
     }
 
     /** An RPC is made of the message at the front; it stays there until the answer. */
-    public void took(OpenRpc taken) {
+    public void took(InFlightRequest taken) {
         rpc = taken;
     }
 
@@ -118,14 +119,14 @@
                 stopClock();
                 owner.arrived(this);
             }
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             stopClock();
             LOG.info("a request was turned down with " + e.status, e.getMessage());
             answer(e.status, 0, true);
         }
     }
 
-    private void incomplete() throws BadMessage {
+    private void incomplete() throws MalformedMessageException {
         if (!reader.isStarted() && in.isEmpty()) {
             arrivedUs = 0;
             goesIdle();
@@ -134,7 +135,7 @@
                 flush();
             }
             if (in.isFull()) {
-                throw new BadMessage(413, "the message is longer than its ring");
+                throw new MalformedMessageException(413, "the message is longer than its ring");
             }
             if (slow == null) {
                 slow = loop.in(
@@ -180,7 +181,7 @@
     }
 
     /** A backend's whole answer, which is still in that backend's ring; false if it could not be held. */
-    public boolean answer(Ring from, HttpReader answer) {
+    public boolean answer(RingBuffer from, HttpReader answer) {
         boolean last = !reader.keepAlive() || owner.closesWithAnswer(in.size() > reader.end());
         if (!HttpWriter.answer(from, answer, last, out)) {
             return false;
--- a/src/main/java/hopdrum/frontdoor/memory/Pool.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ConnectionPool.java
@@ -1,6 +1,6 @@
-package hopdrum.frontdoor.memory;
+package hopdrum.frontdoor.connection;
 
-import hopdrum.host.Listed;
+import hopdrum.host.Endpoint;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /** The connections to one backend; those that wait are used again last used first. */
-public final class Pool {
+public final class ConnectionPool {
     private static final long REST_US = 2_000;
     public final long backend;
     final boolean isDoor; // a front door of another tier: what it answers is the client's
@@ -19,7 +19,7 @@
     private boolean listed = true;
     private boolean mayBegin = true;
 
-    Pool(long backend, InetSocketAddress address, boolean isDoor) {
+    ConnectionPool(long backend, InetSocketAddress address, boolean isDoor) {
         this.backend = backend;
         this.isDoor = isDoor;
         this.address = address;
@@ -38,9 +38,9 @@
     }
 
     /** What discovery says of it now. */
-    void told(Listed.State state) {
-        mayBegin = state == Listed.State.READY;
-        listed(state != Listed.State.GONE);
+    void told(Endpoint.State state) {
+        mayBegin = state == Endpoint.State.READY;
+        listed(state != Endpoint.State.GONE);
     }
 
     void listed(boolean isListed) {
--- a/src/main/java/hopdrum/frontdoor/memory/CounterConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
@@ -1,10 +1,10 @@
-package hopdrum.frontdoor.memory;
+package hopdrum.frontdoor.connection;
 
-import hopdrum.frontdoor.lifecycle.Link;
-import hopdrum.frontdoor.lifecycle.Loop;
-import hopdrum.frontdoor.wire.BadMessage;
+import hopdrum.frontdoor.lifecycle.EventLoop;
+import hopdrum.frontdoor.lifecycle.StreamConnection;
 import hopdrum.frontdoor.wire.CounterProtocol;
 import hopdrum.frontdoor.wire.HttpReader;
+import hopdrum.frontdoor.wire.MalformedMessageException;
 import hopdrum.host.Outcome;
 import java.io.IOException;
 import java.net.SocketAddress;
@@ -12,7 +12,7 @@
 import java.util.Deque;
 
 /** A connection to the counter: calls written one after another, answers in the same order. */
-public final class CounterConnection extends Link {
+public final class CounterConnection extends StreamConnection {
     /** Who is told how calls end. */
     public interface Owner {
         void counted(long name, Outcome outcome, double total, long tookUs);
@@ -51,7 +51,7 @@
     private boolean armed;
     private boolean leaves;
 
-    public CounterConnection(Loop loop, SocketAddress to, long timeOutUs, Budget budget, Owner owner)
+    public CounterConnection(EventLoop loop, SocketAddress to, long timeOutUs, ResourceBudget budget, Owner owner)
             throws IOException {
         super(loop, to, MOST_BYTES, MOST_BYTES, budget);
         this.owner = owner;
@@ -153,7 +153,7 @@
                 halfUs = lastHeardUs;
                 loop.in(HALF_US, this::lookForRest);
             }
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             unreadable();
         }
     }
--- a/src/main/java/hopdrum/frontdoor/memory/OpenRpc.java
+++ b/src/main/java/hopdrum/frontdoor/connection/InFlightRequest.java
@@ -1,11 +1,11 @@
-package hopdrum.frontdoor.memory;
+package hopdrum.frontdoor.connection;
 
 import hopdrum.policy.Policy;
 import java.util.ArrayList;
 import java.util.List;
 
 /** One RPC under way: its handle at Policy, the client that waits for it, its attempts. */
-public final class OpenRpc {
+public final class InFlightRequest {
     public final long id;
     final String trace;
     public final List<Attempt> attempts = new ArrayList<>(1);
@@ -14,7 +14,7 @@
     public long expiresAtUs; // the client waits no longer
     public boolean passedOn; // by another front door to here: it goes no further
 
-    OpenRpc(long id, String trace, ClientConnection client) {
+    InFlightRequest(long id, String trace, ClientConnection client) {
         this.id = id;
         this.trace = trace;
         this.client = client;
--- a/src/main/java/hopdrum/frontdoor/memory/Rpcs.java
+++ b/src/main/java/hopdrum/frontdoor/connection/InFlightRequests.java
@@ -1,4 +1,4 @@
-package hopdrum.frontdoor.memory;
+package hopdrum.frontdoor.connection;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -6,33 +6,33 @@
 import java.util.Set;
 
 /** The RPCs under way, by the numbers that Policy knows them by. An entry goes when Policy says that it is over. */
-public final class Rpcs {
-    private final Map<Long, OpenRpc> open = new HashMap<>();
+public final class InFlightRequests {
+    private final Map<Long, InFlightRequest> open = new HashMap<>();
     private final Set<String> traces = new HashSet<>(); // theirs
     private long next = 1;
 
     /** Null while another with that trace id is under way: guards against a client that takes over another's. */
-    public OpenRpc open(ClientConnection client, String trace) {
+    public InFlightRequest open(ClientConnection client, String trace) {
         if (!traces.add(trace)) {
             return null;
         }
-        OpenRpc rpc = new OpenRpc(next++, trace, client);
+        InFlightRequest rpc = new InFlightRequest(next++, trace, client);
         open.put(rpc.id, rpc);
         return rpc;
     }
 
-    public OpenRpc get(long id) {
+    public InFlightRequest get(long id) {
         return open.get(id);
     }
 
-    public void closeIfOver(OpenRpc rpc) {
+    public void closeIfOver(InFlightRequest rpc) {
         if (rpc.handle.over()) {
             drop(rpc);
         }
     }
 
     /** The number was given out and Policy never took the RPC. */
-    public void drop(OpenRpc rpc) {
+    public void drop(InFlightRequest rpc) {
         if (open.remove(rpc.id) != null) {
             traces.remove(rpc.trace);
         }
--- a/src/main/java/hopdrum/frontdoor/memory/Budget.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ResourceBudget.java
@@ -1,9 +1,9 @@
-package hopdrum.frontdoor.memory;
+package hopdrum.frontdoor.connection;
 
-import hopdrum.frontdoor.wire.Ring;
+import hopdrum.frontdoor.wire.RingBuffer;
 
 /** What the connections may hold of descriptors, memory and time, and what they hold now. */
-public final class Budget implements Ring.Account {
+public final class ResourceBudget implements RingBuffer.Account {
     private static final int KEPT = 32; // for files, discovery, the counter, UDP and the selector
     private final int mostClients;
     private final int mostBackends;
@@ -13,7 +13,7 @@
     private int backends;
     private long bytes;
 
-    public Budget(int sockets, long memoryBytes, long slowUs) {
+    public ResourceBudget(int sockets, long memoryBytes, long slowUs) {
         this.slowUs = slowUs;
         int shared = Math.max(8, sockets - KEPT);
         mostBackends = shared / 3; // an RPC in line holds a client alone
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Config.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Config.java
@@ -1,6 +1,6 @@
 package hopdrum.frontdoor.lifecycle;
 
-import hopdrum.frontdoor.wire.Json;
+import hopdrum.frontdoor.wire.JsonReader;
 import hopdrum.host.Settings;
 import hopdrum.host.SettingsReader;
 import java.io.IOException;
@@ -45,7 +45,7 @@
     }
 
     public static Config parse(String text) {
-        if (!(Json.parse(text) instanceof Map<?, ?> all)) {
+        if (!(JsonReader.parse(text) instanceof Map<?, ?> all)) {
             throw new IllegalArgumentException("the configuration is no object");
         }
         Map<String, String> pairs = new LinkedHashMap<>();
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Loop.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/EventLoop.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /** The one thread: waits for sockets and timers and calls their owners. Owns the selector and the clock. */
-public final class Loop {
+public final class EventLoop {
     /** What a socket's key carries. */
     public interface Ready {
         void ready(SelectionKey key) throws IOException;
@@ -59,7 +59,7 @@
             new ConcurrentLinkedQueue<>(); // by other threads; emptied after each selection
     private boolean stopped;
 
-    public Loop() throws IOException {
+    public EventLoop() throws IOException {
         selector = Selector.open();
     }
 
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Server.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Server.java
@@ -53,7 +53,7 @@
      * listens: guards against clients that connect and wait while classes are loaded.
      */
     public interface Besides {
-        Beside start(Config config, Loop loop) throws IOException;
+        Beside start(Config config, EventLoop loop) throws IOException;
     }
 
     /** Runs until SIGTERM. */
@@ -89,7 +89,7 @@
     private static final class Ending {
         private final Thread starter = Thread.currentThread();
         private final Thread hook = new Thread(this::told, "on-sigterm");
-        private Loop loop;
+        private EventLoop loop;
         private FrontDoor door;
         private Beside beside;
 
@@ -97,7 +97,7 @@
             Runtime.getRuntime().addShutdownHook(hook);
         }
 
-        synchronized void serves(Loop ofLoop, FrontDoor ofDoor) {
+        synchronized void serves(EventLoop ofLoop, FrontDoor ofDoor) {
             loop = ofLoop;
             door = ofDoor;
         }
@@ -140,12 +140,12 @@
      */
     public static final class Reload {
         private final Path file;
-        private final Loop loop;
+        private final EventLoop loop;
         private long writtenMs; // when the file that was read last had been written
         private FrontDoor door; // known before the loop runs
 
         /** The time is looked at before the file is read: one replaced meanwhile is read again, not missed. */
-        public Reload(Path file, Loop loop, long writtenMs) {
+        public Reload(Path file, EventLoop loop, long writtenMs) {
             this.file = file;
             this.loop = loop;
             this.writtenMs = writtenMs;
@@ -179,7 +179,7 @@
     }
 
     private interface WhenUp {
-        void up(Loop loop, Config config, FrontDoor door) throws IOException;
+        void up(EventLoop loop, Config config, FrontDoor door) throws IOException;
     }
 
     /** The exit code is the process's. */
@@ -190,7 +190,7 @@
             return 1;
         }
         try {
-            Loop loop = new Loop();
+            EventLoop loop = new EventLoop();
             Reload reload = new Reload(Path.of(configFile), loop, writtenMs);
             Warmup.run(config);
             Beside beside = besides.start(config, loop);
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Link.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/StreamConnection.java
@@ -1,6 +1,6 @@
 package hopdrum.frontdoor.lifecycle;
 
-import hopdrum.frontdoor.wire.Ring;
+import hopdrum.frontdoor.wire.RingBuffer;
 import java.io.IOException;
 import java.net.SocketAddress;
 import java.net.StandardSocketOptions;
@@ -12,10 +12,10 @@
  * One TCP connection: the thin driver that moves bytes between its socket and its two rings. What the bytes mean is
  * its subclass's. close() is the one place where the socket, its key and the rings' memory are given back.
  */
-public abstract class Link implements Loop.Ready {
-    protected final Loop loop;
-    protected final Ring in;
-    protected final Ring out;
+public abstract class StreamConnection implements EventLoop.Ready {
+    protected final EventLoop loop;
+    protected final RingBuffer in;
+    protected final RingBuffer out;
     private static final int TURN = 16 << 10; // bytes read at a time: guards all others against one at full speed
     private final SocketChannel channel;
     private final SelectionKey key;
@@ -25,16 +25,25 @@
     private boolean ended;
 
     /** An accepted connection. */
-    protected Link(Loop loop, SocketChannel channel, int mostIn, int mostOut, Ring.Account account) throws IOException {
+    protected StreamConnection(
+            EventLoop loop, SocketChannel channel, int mostIn, int mostOut, RingBuffer.Account account)
+            throws IOException {
         this(loop, channel, mostIn, mostOut, account, true);
     }
 
     /** A connection to be opened. */
-    protected Link(Loop loop, SocketAddress to, int mostIn, int mostOut, Ring.Account account) throws IOException {
+    protected StreamConnection(EventLoop loop, SocketAddress to, int mostIn, int mostOut, RingBuffer.Account account)
+            throws IOException {
         this(loop, opened(to), mostIn, mostOut, account, false);
     }
 
-    private Link(Loop loop, SocketChannel channel, int mostIn, int mostOut, Ring.Account account, boolean accepted)
+    private StreamConnection(
+            EventLoop loop,
+            SocketChannel channel,
+            int mostIn,
+            int mostOut,
+            RingBuffer.Account account,
+            boolean accepted)
             throws IOException {
         this.loop = loop;
         this.channel = channel;
@@ -47,8 +56,8 @@
             channel.close();
             throw e;
         }
-        in = new Ring(mostIn, account);
-        out = new Ring(mostOut, account);
+        in = new RingBuffer(mostIn, account);
+        out = new RingBuffer(mostOut, account);
     }
 
     private static SocketChannel opened(SocketAddress to) throws IOException {
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Warmup.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Warmup.java
@@ -2,15 +2,15 @@
 
 import static hopdrum.frontdoor.wire.HttpReader.ascii;
 
-import hopdrum.frontdoor.wire.BackendAnswer;
-import hopdrum.frontdoor.wire.BadMessage;
+import hopdrum.frontdoor.wire.BackendResponse;
 import hopdrum.frontdoor.wire.CounterProtocol;
 import hopdrum.frontdoor.wire.HttpReader;
 import hopdrum.frontdoor.wire.HttpWriter;
-import hopdrum.frontdoor.wire.Ring;
-import hopdrum.frontdoor.wire.RpcHead;
+import hopdrum.frontdoor.wire.MalformedMessageException;
+import hopdrum.frontdoor.wire.RequestHead;
+import hopdrum.frontdoor.wire.RingBuffer;
+import hopdrum.host.Endpoint;
 import hopdrum.host.Host;
-import hopdrum.host.Listed;
 import hopdrum.host.Method;
 import hopdrum.host.Outcome;
 import hopdrum.policy.Policy;
@@ -30,7 +30,7 @@
 public final class Warmup implements Host {
     private static final int MOST_RPCS = 500;
     private static final long MOST_NANOS = 400_000_000L;
-    private static final Ring.Account NOBODY = byBytes -> {};
+    private static final RingBuffer.Account NOBODY = byBytes -> {};
 
     private static final int CUSTOMERS = 10;
     private static final byte[] ANSWER =
@@ -39,11 +39,11 @@
 
     private final Config config;
     private final List<byte[]> rpcsAsSent = new ArrayList<>();
-    private final RpcHead head;
-    private final Ring client = new Ring(1 << 17, NOBODY);
-    private final Ring toClient = new Ring(1 << 17, NOBODY);
-    private final Ring backend = new Ring(1 << 17, NOBODY);
-    private final Ring counter = new Ring(1 << 16, NOBODY);
+    private final RequestHead head;
+    private final RingBuffer client = new RingBuffer(1 << 17, NOBODY);
+    private final RingBuffer toClient = new RingBuffer(1 << 17, NOBODY);
+    private final RingBuffer backend = new RingBuffer(1 << 17, NOBODY);
+    private final RingBuffer counter = new RingBuffer(1 << 16, NOBODY);
     private final HttpReader request = new HttpReader(HttpReader.Kind.REQUEST);
     private final HttpReader answer = new HttpReader(HttpReader.Kind.RESPONSE);
     private final Deque<Runnable> later = new ArrayDeque<>();
@@ -54,7 +54,7 @@
 
     private Warmup(Config config) {
         this.config = config;
-        head = new RpcHead(
+        head = new RequestHead(
                 config.methods(),
                 config.plans(),
                 config.settings().methods(),
@@ -62,11 +62,11 @@
                 config.mostUnits());
         compose();
         policy = new Policy(config.settings(), 1, this);
-        policy.listed(0, Listed.Form.CACHED, List.of(listed(1), listed(2), listed(3)));
+        policy.endpointsUpdated(0, Endpoint.UpdateKind.CACHED, List.of(listed(1), listed(2), listed(3)));
     }
 
-    private static Listed listed(long backend) {
-        return new Listed(backend, 0, 0, 0, Listed.State.READY, 1, 0);
+    private static Endpoint listed(long backend) {
+        return new Endpoint(backend, 0, 0, 0, Endpoint.State.READY, 1, 0);
     }
 
     public static void run(Config config) {
@@ -77,18 +77,18 @@
             while (rpcs < MOST_RPCS && System.nanoTime() - start < MOST_NANOS) {
                 warmup.rpc(rpcs++);
             }
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException("a message of this program's own cannot be read", e);
         }
         new Log("warmup").info("warmed up", rpcs + " RPCs in " + (System.nanoTime() - start) / 1_000_000 + " ms");
     }
 
-    private void rpc(int number) throws BadMessage {
+    private void rpc(int number) throws MalformedMessageException {
         put(client, rpcsAsSent.get(number % rpcsAsSent.size()));
         request.read(client);
         head.read(client, request);
         long id = number;
-        Policy.Rpc rpc = policy.take(
+        Policy.Rpc rpc = policy.requestReceived(
                 id,
                 head.method,
                 head.customer,
@@ -105,7 +105,7 @@
             }
             if (nowUs >= wakeAtUs) {
                 wakeAtUs = Long.MAX_VALUE;
-                policy.wake();
+                policy.wakeUp();
             }
         }
         open.values().removeIf(Policy.Rpc::over);
@@ -121,8 +121,8 @@
                     boolean gets = config.settings()
                                     .methods()
                                     .get(config.methods().indexOf(method))
-                                    .repeat()
-                            == Method.Repeat.IDEMPOTENT;
+                                    .retrySafety()
+                            == Method.RetrySafety.IDEMPOTENT;
                     rpcsAsSent.add(ascii((gets ? "GET" : "POST")
                             + " /api HTTP/1.1\r\nHost: backend\r\nX-Trace-Id: 9b1f03aa5c7e2d41\r\nX-Qos: "
                             + method + "\r\nPlan: " + config.plans().get(plan) + "\r\nCookie: key=00000000000000"
@@ -144,7 +144,7 @@
         return both;
     }
 
-    private static void put(Ring ring, byte[] bytes) {
+    private static void put(RingBuffer ring, byte[] bytes) {
         ring.reserve(bytes.length);
         ring.put(bytes);
     }
@@ -156,7 +156,7 @@
 
     @Override
     public void startAttempt(long id, long to, long timeOutUs, long beginWithinUs) {
-        RpcHead.forward(client, request, timeOutUs / 1000, false, backend);
+        RequestHead.forward(client, request, timeOutUs / 1000, false, backend);
         backend.skip(backend.size());
         later.add(() -> {
             Policy.Rpc rpc = open.get(id);
@@ -164,13 +164,13 @@
                 put(backend, ANSWER);
                 try {
                     answer.read(backend);
-                } catch (BadMessage e) {
+                } catch (MalformedMessageException e) {
                     throw new IllegalStateException(e);
                 }
-                Outcome outcome = BackendAnswer.outcome(backend, answer);
+                Outcome outcome = BackendResponse.outcome(backend, answer);
                 HttpWriter.answer(backend, answer, false, toClient);
-                float[] report =
-                        BackendAnswer.report(backend, answer, config.settings().reportFields());
+                float[] report = BackendResponse.report(
+                        backend, answer, config.settings().reportFields());
                 answer.done(backend);
                 rpc.attemptEnded(0, outcome, 500, true, 0, report);
             }
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void refuse(long id, long retryAfterUs) {
+    public void reject(long id, long retryAfterUs) {
         HttpWriter.plain(429, retryAfterUs, false, toClient);
     }
 
@@ -193,7 +193,7 @@
     }
 
     @Override
-    public void addToCount(long name, double units, long timeToLiveUs) {
+    public void addToCounter(long name, double units, long timeToLiveUs) {
         CounterProtocol.call(name, units, timeToLiveUs / 1000, counter);
         counter.skip(counter.size());
         later.add(() -> {
@@ -202,25 +202,25 @@
                 answer.read(counter);
                 double total = CounterProtocol.total(counter, answer);
                 answer.done(counter);
-                policy.counted(name, Outcome.OK, total, 500);
-            } catch (BadMessage e) {
+                policy.counterAnswered(name, Outcome.OK, total, 500);
+            } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
         });
     }
 
     @Override
-    public void tell(int gateway, byte[] message) {
+    public void sendToPeer(int gateway, byte[] message) {
         // nobody listens
     }
 
     @Override
-    public void wakeIn(long delayUs) {
+    public void scheduleWakeUp(long delayUs) {
         wakeAtUs = nowUs + delayUs;
     }
 
     @Override
-    public void followList() {
+    public void pollEndpointList() {
         // the list is made up
     }
 }
--- a/src/main/java/hopdrum/frontdoor/wire/BackendAnswer.java
+++ b/src/main/java/hopdrum/frontdoor/wire/BackendResponse.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** What a backend's whole answer means. */
-public final class BackendAnswer {
+public final class BackendResponse {
     private static final byte[] NEVER_RAN = ascii("x-never-ran");
     private static final byte[] ONE = ascii("1");
     private static final byte[] LOAD = ascii("endpoint-load-metrics");
@@ -28,31 +28,33 @@
             "eps",
             "err_ps");
 
-    private BackendAnswer() {}
+    private BackendResponse() {}
 
-    public static Outcome outcome(Ring ring, HttpReader in) {
+    public static Outcome outcome(RingBuffer ring, HttpReader in) {
         if (in.status() == 200) {
             return Outcome.OK;
         }
         if (in.status() == 503 || in.status() == 504) {
             int field = in.field(ring, NEVER_RAN);
             if (field >= 0 && ring.matches(in.valueFrom(field), in.valueTo(field), ONE)) {
-                return Outcome.FULL;
+                return Outcome.AT_CAPACITY;
             }
         }
         // Turned away for what it is: nothing ran, and neither this backend is to blame nor would another take it.
-        return in.status() >= 400 && in.status() < 500 ? Outcome.MOOT : Outcome.ERROR;
+        return in.status() >= 400 && in.status() < 500 ? Outcome.INVALID_REQUEST : Outcome.ERROR;
     }
 
     /** Of a front door of another tier, whose answer is final: a refusal says that nothing ran, and is nobody's fault. */
     public static Outcome outcomeOfDoor(HttpReader in) {
         return in.status() == 200
                 ? Outcome.OK
-                : in.status() == 503 || in.status() >= 400 && in.status() < 500 ? Outcome.MOOT : Outcome.ERROR;
+                : in.status() == 503 || in.status() >= 400 && in.status() < 500
+                        ? Outcome.INVALID_REQUEST
+                        : Outcome.ERROR;
     }
 
     /** The load report, in the order of the settings' fields; empty if there is none or it lacks one of them. */
-    public static float[] report(Ring ring, HttpReader in, List<String> wanted) {
+    public static float[] report(RingBuffer ring, HttpReader in, List<String> wanted) {
         int field = in.field(ring, LOAD);
         if (field < 0 || wanted.isEmpty()) {
             return NO_REPORT;
--- a/src/main/java/hopdrum/frontdoor/wire/Chunks.java
+++ b/src/main/java/hopdrum/frontdoor/wire/ChunkedDecoder.java
@@ -1,7 +1,7 @@
 package hopdrum.frontdoor.wire;
 
 /** The framing of a chunked body, fed one byte at a time. */
-final class Chunks {
+final class ChunkedDecoder {
     private enum State {
         SIZE,
         EXTENSION,
@@ -25,7 +25,7 @@
     }
 
     /** Takes the next byte; true if it belongs to the body. */
-    boolean data(byte b) throws BadMessage {
+    boolean data(byte b) throws MalformedMessageException {
         switch (state) {
             case SIZE -> {
                 int digit = Character.digit(b, 16);
@@ -37,7 +37,7 @@
                 } else if (digits > 0 && (b == ';' || b == ' ' || b == '\t')) {
                     state = State.EXTENSION;
                 } else {
-                    throw new BadMessage(400, "a chunk's size is malformed");
+                    throw new MalformedMessageException(400, "a chunk's size is malformed");
                 }
             }
             case EXTENSION -> {
@@ -58,7 +58,7 @@
             }
             case DATA_CR -> {
                 if (b != '\r') {
-                    throw new BadMessage(400, "a chunk is longer than its size");
+                    throw new MalformedMessageException(400, "a chunk is longer than its size");
                 }
                 state = State.DATA_LF;
             }
@@ -82,15 +82,15 @@
         return false;
     }
 
-    private void tooLong() throws BadMessage {
+    private void tooLong() throws MalformedMessageException {
         if (++lineLength > MOST_LINE) {
-            throw new BadMessage(400, "a line among the chunks is too long");
+            throw new MalformedMessageException(400, "a line among the chunks is too long");
         }
     }
 
-    private static void lineFeed(byte b) throws BadMessage {
+    private static void lineFeed(byte b) throws MalformedMessageException {
         if (b != '\n') {
-            throw new BadMessage(400, "a carriage return stands alone");
+            throw new MalformedMessageException(400, "a carriage return stands alone");
         }
     }
 }
--- a/src/main/java/hopdrum/frontdoor/wire/CounterProtocol.java
+++ b/src/main/java/hopdrum/frontdoor/wire/CounterProtocol.java
@@ -15,7 +15,7 @@
     private CounterProtocol() {}
 
     /** Writes one call; false without room. */
-    public static boolean call(long name, double amount, long lifeMs, Ring to) {
+    public static boolean call(long name, double amount, long lifeMs, RingBuffer to) {
         if (!to.reserve(192)) {
             return false;
         }
@@ -37,16 +37,16 @@
         return part == 0 ? whole : whole + "." + Long.toString(1_000_000 + part).substring(1);
     }
 
-    public static Outcome outcome(HttpReader in) throws BadMessage {
+    public static Outcome outcome(HttpReader in) throws MalformedMessageException {
         return switch (in.status()) {
             case 200 -> Outcome.OK;
-            case 400, 404, 503 -> Outcome.FULL;
-            default -> throw new BadMessage(400, "the counter answers " + in.status());
+            case 400, 404, 503 -> Outcome.AT_CAPACITY;
+            default -> throw new MalformedMessageException(400, "the counter answers " + in.status());
         };
     }
 
     /** The total of an answer of 200. */
-    public static double total(Ring ring, HttpReader in) throws BadMessage {
+    public static double total(RingBuffer ring, HttpReader in) throws MalformedMessageException {
         try {
             double total =
                     Double.parseDouble(ring.text(in.bodyFrom(), in.bodyTo()).strip());
@@ -56,6 +56,6 @@
         } catch (NumberFormatException e) {
             // named below, together with what is no finite number
         }
-        throw new BadMessage(400, "the counter's total is no number");
+        throw new MalformedMessageException(400, "the counter's total is no number");
     }
 }
--- a/src/main/java/hopdrum/frontdoor/wire/DiscoveryReader.java
+++ b/src/main/java/hopdrum/frontdoor/wire/EndpointListReader.java
@@ -7,11 +7,11 @@
 import java.util.function.Consumer;
 
 /** Discovery's answer, a watch or a whole list: bytes to messages, a line of JSON each or one indented over lines. */
-public final class DiscoveryReader {
+public final class EndpointListReader {
     private static final int MOST_LINE = 8 << 20;
     private final HttpReader head = new HttpReader(HttpReader.Kind.RESPONSE);
     private final Consumer<String> lines;
-    private Chunks chunks;
+    private ChunkedDecoder chunks;
     private boolean inBody;
     private long left; // of a body with a length; below 0: until the connection ends
     private byte[] line = new byte[1024];
@@ -23,27 +23,27 @@
     private boolean ended;
 
     /** A message is handed on whole; an empty line says that nothing has changed. */
-    public DiscoveryReader(Consumer<String> lines) {
+    public EndpointListReader(Consumer<String> lines) {
         this.lines = lines;
     }
 
-    public static void ask(boolean watch, long after, String host, Ring to) {
+    public static void ask(boolean watch, long after, String host, RingBuffer to) {
         to.reserve(256);
         to.put(ascii("GET /registry/instances" + (watch ? "?watch=1" + (after >= 0 ? "&after=" + after : "") : "")
                 + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n"));
     }
 
     /** Takes all bytes off the ring; true once the answer is whole. */
-    public boolean read(Ring ring) throws BadMessage {
+    public boolean read(RingBuffer ring) throws MalformedMessageException {
         if (!inBody) {
             if (!head.headOnly(ring)) {
                 return false;
             }
             if (head.status() != 200) {
-                throw new BadMessage(400, "discovery answers " + head.status());
+                throw new MalformedMessageException(400, "discovery answers " + head.status());
             }
             inBody = true;
-            chunks = head.isChunked() ? new Chunks() : null;
+            chunks = head.isChunked() ? new ChunkedDecoder() : null;
             left = head.lengthOrNone();
             ring.skip(head.bodyFrom());
         }
@@ -62,7 +62,7 @@
         return ended;
     }
 
-    private void data(byte b) throws BadMessage {
+    private void data(byte b) throws MalformedMessageException {
         if (b == '\n') {
             lineEnds();
             return;
@@ -81,9 +81,9 @@
         }
     }
 
-    private void put(byte b) throws BadMessage {
+    private void put(byte b) throws MalformedMessageException {
         if (length == MOST_LINE) {
-            throw new BadMessage(413, "a line from discovery is too long");
+            throw new MalformedMessageException(413, "a line from discovery is too long");
         }
         if (length == line.length) {
             line = Arrays.copyOf(line, 2 * length);
@@ -95,7 +95,7 @@
      * A message whose braces are still open goes on with the next line. Guards against one that was cut short taking
      * along those that follow: an empty line, or one that begins a message of its own, ends it as it stands.
      */
-    private void lineEnds() throws BadMessage {
+    private void lineEnds() throws MalformedMessageException {
         String present = new String(line, lineFrom, length - lineFrom, StandardCharsets.UTF_8).strip();
         if (lineFrom > 0 && (present.isEmpty() || present.startsWith("{") && present.contains("\"seq\""))) {
             messageEnds(lineFrom);
--- a/src/main/java/hopdrum/frontdoor/wire/HttpReader.java
+++ b/src/main/java/hopdrum/frontdoor/wire/HttpReader.java
@@ -53,7 +53,7 @@
     private boolean started; // the first line has been read
     private int fields;
     private int[] at = new int[4 * 16]; // of each field: where name and value begin and end
-    private Chunks chunks;
+    private ChunkedDecoder chunks;
     private int chunkedTo;
     private long length;
     private boolean keepAlive;
@@ -71,7 +71,7 @@
     }
 
     /** Reads on; true once the message is whole. */
-    public boolean read(Ring ring) throws BadMessage {
+    public boolean read(RingBuffer ring) throws MalformedMessageException {
         if (state == State.HEAD && !head(ring)) {
             return false;
         }
@@ -105,7 +105,7 @@
     }
 
     /** Takes the message off the ring and starts anew. */
-    public void done(Ring ring) {
+    public void done(RingBuffer ring) {
         ring.skip(end);
         state = State.HEAD;
         scanned = 0;
@@ -126,22 +126,22 @@
         state = State.WHOLE;
     }
 
-    private int bounded(int bodyEnd) throws BadMessage {
+    private int bounded(int bodyEnd) throws MalformedMessageException {
         int most = kind == Kind.REQUEST ? MOST_BODY : MOST_ANSWER;
         if (bodyEnd - headTo > most) {
-            throw new BadMessage(413, "the body is longer than " + most + " bytes");
+            throw new MalformedMessageException(413, "the body is longer than " + most + " bytes");
         }
         return bodyEnd;
     }
 
-    private boolean head(Ring ring) throws BadMessage {
+    private boolean head(RingBuffer ring) throws MalformedMessageException {
         while (headEnds(ring)) {
             if (kind == Kind.REQUEST || status >= 200) {
                 frame(ring);
                 return true;
             }
             if (status == 101 || ++interim > MOST_INTERIM) {
-                throw new BadMessage(400, "a switch of protocols, or interim answers without end");
+                throw new MalformedMessageException(400, "a switch of protocols, or interim answers without end");
             }
             end = headTo;
             done(ring);
@@ -149,7 +149,7 @@
         return false;
     }
 
-    private boolean headEnds(Ring ring) throws BadMessage {
+    private boolean headEnds(RingBuffer ring) throws MalformedMessageException {
         while (scanned == 0 && !ring.isEmpty() && (ring.at(0) == '\r' || ring.at(0) == '\n')) {
             ring.skip(1); // empty lines before a message are allowed
         }
@@ -157,12 +157,12 @@
         while (scanned < size) {
             byte b = ring.at(scanned++);
             if (kind == Kind.RESPONSE && scanned <= HTTP_1.length && b != HTTP_1[scanned - 1]) {
-                throw new BadMessage(400, "no answer of HTTP/1"); // noise may never hold a line's end
+                throw new MalformedMessageException(400, "no answer of HTTP/1"); // noise may never hold a line's end
             }
             if (b == '\n') {
                 int to = scanned - 2;
                 if (to < lineFrom || ring.at(to) != '\r') {
-                    throw new BadMessage(400, "a line does not end with CR LF");
+                    throw new MalformedMessageException(400, "a line does not end with CR LF");
                 }
                 if (to == lineFrom) {
                     headTo = scanned;
@@ -171,18 +171,18 @@
                 line(ring, lineFrom, to);
                 lineFrom = scanned;
             } else if (b < ' ' && b != '\t' && b != '\r' && b >= 0 || b == 127) {
-                throw new BadMessage(400, "a control character in the head");
+                throw new MalformedMessageException(400, "a control character in the head");
             } else if (scanned > 1 && ring.at(scanned - 2) == '\r') {
-                throw new BadMessage(400, "a carriage return stands alone");
+                throw new MalformedMessageException(400, "a carriage return stands alone");
             }
             if (scanned > MOST_HEAD) {
-                throw new BadMessage(431, "the head is longer than " + MOST_HEAD + " bytes");
+                throw new MalformedMessageException(431, "the head is longer than " + MOST_HEAD + " bytes");
             }
         }
         return false;
     }
 
-    private void line(Ring ring, int from, int to) throws BadMessage {
+    private void line(RingBuffer ring, int from, int to) throws MalformedMessageException {
         if (!started) {
             started = true;
             if (kind == Kind.REQUEST) {
@@ -197,7 +197,7 @@
             colon++;
         }
         if (colon == from || colon == to || ring.at(colon) != ':') {
-            throw new BadMessage(400, "a field has no name");
+            throw new MalformedMessageException(400, "a field has no name");
         }
         int valueFrom = colon + 1;
         while (valueFrom < to && isBlank(ring.at(valueFrom))) {
@@ -208,7 +208,7 @@
             valueTo--;
         }
         if (fields == MOST_FIELDS) {
-            throw new BadMessage(431, "more than " + MOST_FIELDS + " fields");
+            throw new MalformedMessageException(431, "more than " + MOST_FIELDS + " fields");
         }
         if (4 * fields == at.length) {
             at = Arrays.copyOf(at, 2 * at.length);
@@ -220,7 +220,7 @@
         fields++;
     }
 
-    private void requestLine(Ring ring, int from, int to) throws BadMessage {
+    private void requestLine(RingBuffer ring, int from, int to) throws MalformedMessageException {
         verbTo = from;
         while (verbTo < to && isToken(ring.at(verbTo))) {
             verbTo++;
@@ -238,7 +238,7 @@
         version(ring, targetTo + 1, to, sound);
     }
 
-    private void statusLine(Ring ring, int from, int to) throws BadMessage {
+    private void statusLine(RingBuffer ring, int from, int to) throws MalformedMessageException {
         boolean sound = to - from >= 12 && ring.at(from + 8) == ' ' && (to - from == 12 || ring.at(from + 12) == ' ');
         status = 0;
         for (int i = from + 9; sound && i < from + 12; i++) {
@@ -249,17 +249,17 @@
         version(ring, from, from + 8, sound && status >= 100);
     }
 
-    private void version(Ring ring, int from, int to, boolean sound) throws BadMessage {
+    private void version(RingBuffer ring, int from, int to, boolean sound) throws MalformedMessageException {
         if (!sound) {
-            throw new BadMessage(400, "the first line is malformed");
+            throw new MalformedMessageException(400, "the first line is malformed");
         }
         keepAlive = ring.matches(from, to, HTTP_11);
         if (!keepAlive && !ring.matches(from, to, HTTP_10)) {
-            throw new BadMessage(400, "neither HTTP/1.1 nor HTTP/1.0");
+            throw new MalformedMessageException(400, "neither HTTP/1.1 nor HTTP/1.0");
         }
     }
 
-    private void frame(Ring ring) throws BadMessage {
+    private void frame(RingBuffer ring) throws MalformedMessageException {
         boolean lengthGiven = false;
         boolean chunked = false;
         expects = false;
@@ -268,13 +268,13 @@
             if (isNamed(ring, i, CONTENT_LENGTH)) {
                 long value = number(ring, valueFrom(i), valueTo(i));
                 if (value < 0 || lengthGiven && value != length) {
-                    throw new BadMessage(400, "the content length is malformed");
+                    throw new MalformedMessageException(400, "the content length is malformed");
                 }
                 lengthGiven = true;
                 length = value;
             } else if (isNamed(ring, i, TRANSFER_ENCODING)) {
                 if (chunked || !ring.matchesIgnoringCase(valueFrom(i), valueTo(i), CHUNKED)) {
-                    throw new BadMessage(400, "a transfer encoding other than chunked");
+                    throw new MalformedMessageException(400, "a transfer encoding other than chunked");
                 }
                 chunked = true;
             } else if (isNamed(ring, i, CONNECTION)) {
@@ -284,15 +284,15 @@
             }
         }
         if (chunked && lengthGiven) {
-            throw new BadMessage(400, "both a length and chunks");
+            throw new MalformedMessageException(400, "both a length and chunks");
         }
         if (kind == Kind.REQUEST && length > MOST_BODY) {
-            throw new BadMessage(413, "the body is longer than " + MOST_BODY + " bytes");
+            throw new MalformedMessageException(413, "the body is longer than " + MOST_BODY + " bytes");
         }
         if (kind == Kind.RESPONSE && (status == 204 || status == 304)) {
             whole(headTo, headTo);
         } else if (chunked) {
-            chunks = new Chunks();
+            chunks = new ChunkedDecoder();
             chunkedTo = headTo;
             bodyTo = headTo;
             state = State.CHUNKS;
@@ -305,7 +305,7 @@
         }
     }
 
-    private void chunks(Ring ring) throws BadMessage {
+    private void chunks(RingBuffer ring) throws MalformedMessageException {
         while (chunkedTo < ring.size()) {
             if (chunks.data(ring.at(chunkedTo))) {
                 bounded(bodyTo + 1);
@@ -320,7 +320,7 @@
     }
 
     /** Of a response whose body goes on for as long as it likes: true once the head is read. */
-    boolean headOnly(Ring ring) throws BadMessage {
+    boolean headOnly(RingBuffer ring) throws MalformedMessageException {
         return state != State.HEAD || head(ring);
     }
 
@@ -394,12 +394,12 @@
         return field + 1 < fields ? at[4 * field + 4] : headTo - 2;
     }
 
-    public boolean isNamed(Ring ring, int field, byte[] lowerCase) {
+    public boolean isNamed(RingBuffer ring, int field, byte[] lowerCase) {
         return ring.matchesIgnoringCase(at[4 * field], at[4 * field + 1], lowerCase);
     }
 
     /** The first field of that name, or -1. */
-    public int field(Ring ring, byte[] lowerCase) {
+    public int field(RingBuffer ring, byte[] lowerCase) {
         for (int i = 0; i < fields; i++) {
             if (isNamed(ring, i, lowerCase)) {
                 return i;
@@ -408,7 +408,7 @@
         return -1;
     }
 
-    private boolean hasWord(Ring ring, int field, byte[] lowerCase) {
+    private boolean hasWord(RingBuffer ring, int field, byte[] lowerCase) {
         int from = valueFrom(field);
         int to = valueTo(field);
         while (from < to) {
@@ -432,7 +432,7 @@
     }
 
     /** A whole decimal number, or -1. */
-    public static long number(Ring ring, int from, int to) {
+    public static long number(RingBuffer ring, int from, int to) {
         if (from == to || to - from > 15) {
             return -1;
         }
--- a/src/main/java/hopdrum/frontdoor/wire/HttpWriter.java
+++ b/src/main/java/hopdrum/frontdoor/wire/HttpWriter.java
@@ -52,7 +52,7 @@
     }
 
     /** The backend's whole answer, its body unchanged; false without room. */
-    public static boolean answer(Ring from, HttpReader in, boolean close, Ring to) {
+    public static boolean answer(RingBuffer from, HttpReader in, boolean close, RingBuffer to) {
         if (!to.reserve(in.bodyTo() + 128)) {
             return false;
         }
@@ -61,7 +61,7 @@
         } else {
             statusLine(in.status(), to);
         }
-        RpcHead.passFields(from, in, NOT_PASSED, to);
+        RequestHead.passFields(from, in, NOT_PASSED, to);
         if (close) {
             to.put(CLOSE);
         }
@@ -74,7 +74,7 @@
     }
 
     /** An answer without a body; a wait of 0 names no time to come back. */
-    public static boolean plain(int status, long retryAfterUs, boolean close, Ring to) {
+    public static boolean plain(int status, long retryAfterUs, boolean close, RingBuffer to) {
         if (!to.reserve(256)) {
             return false;
         }
@@ -95,11 +95,11 @@
         return true;
     }
 
-    private static void statusLine(int status, Ring to) {
+    private static void statusLine(int status, RingBuffer to) {
         to.put(ascii("HTTP/1.1 " + status + " " + REASONS.getOrDefault(status, "Error") + "\r\n"));
     }
 
-    public static boolean leaveToSend(Ring to) {
+    public static boolean leaveToSend(RingBuffer to) {
         if (!to.reserve(CONTINUE.length)) {
             return false;
         }
@@ -107,7 +107,7 @@
         return true;
     }
 
-    static void number(Ring to, long value) {
+    static void number(RingBuffer to, long value) {
         to.put(ascii(Long.toString(value)));
     }
 }
--- a/src/main/java/hopdrum/frontdoor/wire/Json.java
+++ b/src/main/java/hopdrum/frontdoor/wire/JsonReader.java
@@ -6,18 +6,18 @@
 import java.util.Map;
 
 /** JSON text to maps, lists, strings, doubles, booleans and null. */
-public final class Json {
+public final class JsonReader {
     private static final int MOST_DEPTH = 64;
     private final String text;
     private int at;
 
-    private Json(String text) {
+    private JsonReader(String text) {
         this.text = text;
     }
 
     /** Throws IllegalArgumentException, with the place, where the text is no JSON. */
     public static Object parse(String text) {
-        Json json = new Json(text);
+        JsonReader json = new JsonReader(text);
         Object value = json.value(0);
         json.blank();
         if (json.at < text.length()) {
--- a/src/main/java/hopdrum/frontdoor/wire/RpcHead.java
+++ b/src/main/java/hopdrum/frontdoor/wire/RequestHead.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** What a client's head says of its RPC: read from the fields of a whole HTTP request, and written for a backend. */
-public final class RpcHead {
+public final class RequestHead {
     private static final byte[] TRACE = ascii("x-trace-id");
     private static final byte[] QOS = ascii("x-qos");
     private static final byte[] PLAN = ascii("plan");
@@ -55,7 +55,8 @@
     public long leftMs;
 
     /** A most of 0 units is none. */
-    public RpcHead(List<String> methods, List<String> plans, List<Method> rows, int mostGateways, double mostUnits) {
+    public RequestHead(
+            List<String> methods, List<String> plans, List<Method> rows, int mostGateways, double mostUnits) {
         this.rows = rows;
         this.mostGateways = mostGateways;
         this.mostUnits = mostUnits > 0 ? mostUnits : MOST_UNITS;
@@ -63,23 +64,23 @@
         this.plans = plans.stream().map(HttpReader::ascii).toArray(byte[][]::new);
     }
 
-    public static boolean asksReady(Ring ring) {
+    public static boolean asksReady(RingBuffer ring) {
         return ring.size() > READY.length && ring.matches(0, READY.length, READY);
     }
 
-    /** Reads the fields of an RPC; a BadMessage's status is the answer to what cannot be taken. */
-    public void read(Ring ring, HttpReader in) throws BadMessage {
+    /** Reads the fields of an RPC; a MalformedMessageException's status is the answer to what cannot be taken. */
+    public void read(RingBuffer ring, HttpReader in) throws MalformedMessageException {
         int pathFrom = in.verbTo() + 1;
         int pathTo = pathFrom;
         while (pathTo < in.targetTo() && ring.at(pathTo) != '?') {
             pathTo++;
         }
         if (!ring.matches(pathFrom, pathTo, RPC_PATH)) {
-            throw new BadMessage(404, "unknown path");
+            throw new MalformedMessageException(404, "unknown path");
         }
         int id = needed(ring, in, TRACE, "X-Trace-Id");
         if (in.valueFrom(id) == in.valueTo(id) || in.valueTo(id) - in.valueFrom(id) > MOST_TRACE) {
-            throw new BadMessage(400, "X-Trace-Id is empty or too long");
+            throw new MalformedMessageException(400, "X-Trace-Id is empty or too long");
         }
         trace = ring.text(in.valueFrom(id), in.valueTo(id));
         method = choice(ring, in, needed(ring, in, QOS, "X-Qos"), methods, "X-Qos");
@@ -88,53 +89,56 @@
         int expires = needed(ring, in, EXPIRES, "X-Expires-In-Ms");
         leftMs = HttpReader.number(ring, in.valueFrom(expires), in.valueTo(expires));
         if (leftMs < 0 || leftMs > Integer.MAX_VALUE) {
-            throw new BadMessage(400, "X-Expires-In-Ms is malformed");
+            throw new MalformedMessageException(400, "X-Expires-In-Ms is malformed");
         }
         quota(ring, in, needed(ring, in, QUOTA, "Quota-Info"));
         verb(ring, in);
     }
 
     /** What may be repeated is got, without a body; the rest is posted, and what is deduplicated needs its key. */
-    private void verb(Ring ring, HttpReader in) throws BadMessage {
-        Method.Repeat repeat = rows.get(method).repeat();
-        boolean gets = repeat == Method.Repeat.IDEMPOTENT;
+    private void verb(RingBuffer ring, HttpReader in) throws MalformedMessageException {
+        Method.RetrySafety repeat = rows.get(method).retrySafety();
+        boolean gets = repeat == Method.RetrySafety.IDEMPOTENT;
         if (!ring.matches(0, in.verbTo(), gets ? GET : POST)) {
-            throw new BadMessage(405, "the verb does not fit the method");
+            throw new MalformedMessageException(405, "the verb does not fit the method");
         }
         if (gets && in.bodyTo() > in.bodyFrom()) {
-            throw new BadMessage(400, "a body where there is none");
+            throw new MalformedMessageException(400, "a body where there is none");
         }
-        if (repeat == Method.Repeat.DEDUPLICATED) {
+        if (repeat == Method.RetrySafety.DEDUPLICATED) {
             int key = needed(ring, in, KEY, "Idempotency-Key");
             if (in.valueFrom(key) == in.valueTo(key)) {
-                throw new BadMessage(400, "Idempotency-Key is empty");
+                throw new MalformedMessageException(400, "Idempotency-Key is empty");
             }
         }
     }
 
-    private static int needed(Ring ring, HttpReader in, byte[] name, String shown) throws BadMessage {
+    private static int needed(RingBuffer ring, HttpReader in, byte[] name, String shown)
+            throws MalformedMessageException {
         int field = in.field(ring, name);
         if (field < 0) {
-            throw new BadMessage(400, "no " + shown);
+            throw new MalformedMessageException(400, "no " + shown);
         }
         for (int i = field + 1; i < in.fields(); i++) {
             if (in.isNamed(ring, i, name)) {
-                throw new BadMessage(400, "more than one " + shown); // two readers could each take another
+                throw new MalformedMessageException(
+                        400, "more than one " + shown); // two readers could each take another
             }
         }
         return field;
     }
 
-    private static int choice(Ring ring, HttpReader in, int field, byte[][] names, String shown) throws BadMessage {
+    private static int choice(RingBuffer ring, HttpReader in, int field, byte[][] names, String shown)
+            throws MalformedMessageException {
         for (int i = 0; i < names.length; i++) {
             if (ring.matches(in.valueFrom(field), in.valueTo(field), names[i])) {
                 return i;
             }
         }
-        throw new BadMessage(400, "unknown " + shown);
+        throw new MalformedMessageException(400, "unknown " + shown);
     }
 
-    private static long customer(Ring ring, HttpReader in) throws BadMessage {
+    private static long customer(RingBuffer ring, HttpReader in) throws MalformedMessageException {
         int cookie = needed(ring, in, COOKIE, "Cookie");
         long customer = -1;
         int from = in.valueFrom(cookie);
@@ -149,7 +153,7 @@
                     && ring.at(from + 2) == 'y'
                     && ring.at(from + 3) == '=') {
                 if (customer >= 0 || to - from != 20) {
-                    throw new BadMessage(400, "the cookie's key is malformed, or there are two");
+                    throw new MalformedMessageException(400, "the cookie's key is malformed, or there are two");
                 }
                 customer = hex(ring, from + 4, to);
             }
@@ -159,17 +163,17 @@
             }
         }
         if (customer < 0) {
-            throw new BadMessage(400, "no key in the cookie");
+            throw new MalformedMessageException(400, "no key in the cookie");
         }
         return customer;
     }
 
-    private static long hex(Ring ring, int from, int to) throws BadMessage {
+    private static long hex(RingBuffer ring, int from, int to) throws MalformedMessageException {
         long value = 0;
         for (int i = from; i < to; i++) {
             int digit = Character.digit(ring.at(i), 16);
             if (digit < 0 || value >= MOST_CUSTOMER >> 4 && value * 16 + digit >= MOST_CUSTOMER) {
-                throw new BadMessage(400, "the cookie's key is malformed");
+                throw new MalformedMessageException(400, "the cookie's key is malformed");
             }
             value = value * 16 + digit;
         }
@@ -177,7 +181,7 @@
     }
 
     /** units=2,spread=3,first=1 in any order, further names skipped; each is held against the settings. */
-    private void quota(Ring ring, HttpReader in, int field) throws BadMessage {
+    private void quota(RingBuffer ring, HttpReader in, int field) throws MalformedMessageException {
         units = -1;
         gateways = -1;
         firstGateway = -1;
@@ -192,7 +196,7 @@
             } else if (name.equals("first") && firstGateway < 0) {
                 firstGateway = (int) whole(value);
             } else if (List.of("units", "spread", "first").contains(name)) {
-                throw new BadMessage(400, "Quota-Info says one thing twice");
+                throw new MalformedMessageException(400, "Quota-Info says one thing twice");
             }
         }
         if (!(units > 0 && units <= mostUnits)
@@ -200,19 +204,19 @@
                 || gateways > mostGateways
                 || firstGateway < 0
                 || firstGateway >= mostGateways) {
-            throw new BadMessage(400, "Quota-Info is malformed or out of range");
+            throw new MalformedMessageException(400, "Quota-Info is malformed or out of range");
         }
     }
 
-    private static long whole(String value) throws BadMessage {
+    private static long whole(String value) throws MalformedMessageException {
         if (value.isEmpty() || value.length() > 9 || !value.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new BadMessage(400, "Quota-Info holds no number");
+            throw new MalformedMessageException(400, "Quota-Info holds no number");
         }
         return Long.parseLong(value);
     }
 
     /** Digits with a point among them at most: no sign, exponent, hexadecimal figure or suffix. */
-    private static double decimal(String value) throws BadMessage {
+    private static double decimal(String value) throws MalformedMessageException {
         int point = value.indexOf('.');
         return point < 0
                 ? whole(value)
@@ -221,7 +225,7 @@
     }
 
     /** The mark of an RPC that a front door of another tier has passed on to here. */
-    public static boolean isPassedOn(Ring ring, HttpReader in) {
+    public static boolean isPassedOn(RingBuffer ring, HttpReader in) {
         return in.field(ring, PASSED_ON) >= 0;
     }
 
@@ -229,7 +233,7 @@
      * Writes the RPC for a backend: all that the client sent but what is between neighbours; false without room. For a front
      * door of another tier it is marked, so that it goes no further.
      */
-    public static boolean forward(Ring from, HttpReader in, long waitMs, boolean toDoor, Ring to) {
+    public static boolean forward(RingBuffer from, HttpReader in, long waitMs, boolean toDoor, RingBuffer to) {
         if (!to.reserve(in.bodyTo() + 128)) {
             return false;
         }
@@ -252,7 +256,7 @@
     }
 
     /** Copies the lines of the fields that pass on; neighbours in one piece. */
-    static void passFields(Ring from, HttpReader in, List<byte[]> notPassed, Ring to) {
+    static void passFields(RingBuffer from, HttpReader in, List<byte[]> notPassed, RingBuffer to) {
         int start = -1;
         for (int i = 0; i < in.fields(); i++) {
             boolean passes = true;
--- a/src/main/java/hopdrum/frontdoor/wire/Ring.java
+++ b/src/main/java/hopdrum/frontdoor/wire/RingBuffer.java
@@ -6,7 +6,7 @@
  * The bytes of one connection in one direction. Starts small, doubles up to its most, and goes back to small when
  * empty. Positions are counted from the front, so they stay as they are while bytes come in behind.
  */
-public final class Ring {
+public final class RingBuffer {
     private static final int FIRST = 1 << 10;
     private final int most;
     private final Account account;
@@ -19,7 +19,7 @@
         void changed(int byBytes);
     }
 
-    public Ring(int most, Account account) {
+    public RingBuffer(int most, Account account) {
         this.most = most;
         this.account = account;
         this.bytes = new byte[FIRST];
@@ -114,7 +114,7 @@
         size += count;
     }
 
-    public void put(Ring from, int position, int count) {
+    public void put(RingBuffer from, int position, int count) {
         int start = from.front + position & from.bytes.length - 1;
         int first = Math.min(count, from.bytes.length - start);
         put(from.bytes, start, first);
--- a/src/main/java/hopdrum/host/Listed.java
+++ b/src/main/java/hopdrum/host/Endpoint.java
@@ -1,7 +1,7 @@
 package hopdrum.host;
 
 /** One backend as discovery lists it; started at 0 means long ago. */
-public record Listed(long backend, int zone, int kind, int cell, State state, double weight, long startedAtUs) {
+public record Endpoint(long backend, int zone, int kind, int cell, State state, double weight, long startedAtUs) {
     public enum State {
         READY,
         DRAINING,
@@ -9,9 +9,9 @@
     }
 
     /** What a list event holds: changes, the whole list, the whole list as last held, or no news. */
-    public enum Form {
-        CHANGES,
-        WHOLE,
+    public enum UpdateKind {
+        INCREMENTAL,
+        COMPLETE,
         CACHED,
         NONE
     }
--- a/src/main/java/hopdrum/host/Commonest.java
+++ b/src/main/java/hopdrum/host/FrequentValueTracker.java
@@ -1,19 +1,19 @@
 package hopdrum.host;
 
 /** Finds the most common of values that come by, in constant memory: the count of Misra and Gries (1982). */
-public final class Commonest {
+public final class FrequentValueTracker {
     private static final int KEPT = 8;
     private final long apart;
     private final long[] seen = new long[KEPT];
     private final int[] count = new int[KEPT];
 
     /** Values that differ by less are the same. */
-    public Commonest(long apart) {
+    public FrequentValueTracker(long apart) {
         this.apart = apart;
     }
 
     /** Counts a value; true if none has been more common so far. */
-    public boolean isCommonest(long value) {
+    public boolean recordIsMostFrequent(long value) {
         int common = 0;
         int mine = -1;
         int free = -1;
--- a/src/main/java/hopdrum/host/Host.java
+++ b/src/main/java/hopdrum/host/Host.java
@@ -15,25 +15,25 @@
     void cancelAttempt(long rpc, int attempt);
 
     /** Final answer: trying again is harmless. A wait of 0 names no time to come back. */
-    void refuse(long rpc, long retryAfterUs);
+    void reject(long rpc, long retryAfterUs);
 
     /** Final answer that promises nothing. */
     void abort(long rpc);
 
-    void addToCount(long name, double units, long timeToLiveUs);
+    void addToCounter(long name, double units, long timeToLiveUs);
 
     /** Sends a short message to another gateway; it may come late or never. */
-    void tell(int gateway, byte[] message);
+    void sendToPeer(int gateway, byte[] message);
 
-    void wakeIn(long delayUs);
+    void scheduleWakeUp(long delayUs);
 
     /** Who shares the quotas of this tier's customers, as a fleet has settled; null where there is no fleet. */
-    default Sharers sharers() {
+    default QuotaLease quotaLease() {
         return null;
     }
 
     /** How far zones are, as a fleet knows; null where there is no fleet, or its map is not to be trusted. */
-    default Distances distances() {
+    default ZoneLatencies zoneLatencies() {
         return null;
     }
 
@@ -41,15 +41,15 @@
      * Who may act for the customer of this RPC, as partners have settled. 0: this gateway, always so where there are none; above
      * 0: the tier of that number is to be asked; below: nobody that is known here, for about so many microseconds.
      */
-    default long owner(long id, long customer) {
+    default long ownerTier(long id, long customer) {
         return 0;
     }
 
     /** How long this tier has been this customer's owner without a break, as far as is known; longer than any quota without partners. */
-    default long ownedForUs(long customer) {
+    default long ownershipAgeUs(long customer) {
         return Long.MAX_VALUE / 2;
     }
 
     /** Follows the list of backends, where it has to be asked for. */
-    void followList();
+    void pollEndpointList();
 }
--- a/src/main/java/hopdrum/host/Method.java
+++ b/src/main/java/hopdrum/host/Method.java
@@ -4,19 +4,19 @@
 public record Method(
         long softDeadlineUs,
         long deadlineUs,
-        Repeat repeat,
-        Group group,
-        long windowUs,
+        RetrySafety retrySafety,
+        DeduplicationScope deduplicationScope,
+        long deduplicationWindowUs,
         double lateUtility,
-        boolean stream) {
-    public enum Repeat {
+        boolean streaming) {
+    public enum RetrySafety {
         IDEMPOTENT,
         DEDUPLICATED,
         NON_IDEMPOTENT
     }
 
     /** The backends that drop each other's repeats of a deduplicated RPC. */
-    public enum Group {
+    public enum DeduplicationScope {
         ALL,
         ZONE,
         CELL
--- a/src/main/java/hopdrum/host/Outcome.java
+++ b/src/main/java/hopdrum/host/Outcome.java
@@ -7,11 +7,11 @@
 public enum Outcome {
     OK,
     ERROR,
-    FULL,
+    AT_CAPACITY,
     TIMED_OUT,
     CONNECT_FAILED,
     RESET,
     CANCELLED,
-    MOOT,
+    INVALID_REQUEST,
     UNREADABLE
 }
--- a/src/main/java/hopdrum/host/Sharers.java
+++ b/src/main/java/hopdrum/host/QuotaLease.java
@@ -9,9 +9,9 @@
  * @param untilUs the end of what this gateway may act on, in Host.nowUs(); in the past where it may act on nothing
  * @param views the settled view and those before it of which others may still act: gateways by number
  */
-public record Sharers(long untilUs, List<BitSet> views) {
+public record QuotaLease(long untilUs, List<BitSet> views) {
     /** The most gateways of so many in a row from first, counted round, that any of the views has. */
-    public int most(int first, int gateways, int all) {
+    public int maxGatewaysSharing(int first, int gateways, int all) {
         int most = 1;
         for (BitSet view : views) {
             int count = 0;
--- a/src/main/java/hopdrum/host/SettingsReader.java
+++ b/src/main/java/hopdrum/host/SettingsReader.java
@@ -20,16 +20,16 @@
         List<Method> methods = new ArrayList<>();
         for (int i = 0; i < number("Lanes.count"); i++) {
             String at = "Lanes." + i + ".";
-            Method.Repeat repeat = choice(
+            Method.RetrySafety repeat = choice(
                     at + "Effect",
                     Map.of(
                             "retryable",
-                            Method.Repeat.IDEMPOTENT,
+                            Method.RetrySafety.IDEMPOTENT,
                             "dedup",
-                            Method.Repeat.DEDUPLICATED,
+                            Method.RetrySafety.DEDUPLICATED,
                             "fragile",
-                            Method.Repeat.NON_IDEMPOTENT));
-            boolean dedup = repeat == Method.Repeat.DEDUPLICATED;
+                            Method.RetrySafety.NON_IDEMPOTENT));
+            boolean dedup = repeat == Method.RetrySafety.DEDUPLICATED;
             methods.add(new Method(
                     whole(at + "AimUs"),
                     whole(at + "GiveUpUs"),
@@ -39,12 +39,12 @@
                                     at + "Group",
                                     Map.of(
                                             "all",
-                                            Method.Group.ALL,
+                                            Method.DeduplicationScope.ALL,
                                             "zone",
-                                            Method.Group.ZONE,
+                                            Method.DeduplicationScope.ZONE,
                                             "cell",
-                                            Method.Group.CELL))
-                            : Method.Group.ALL,
+                                            Method.DeduplicationScope.CELL))
+                            : Method.DeduplicationScope.ALL,
                     dedup ? whole(at + "WindowUs") : 0,
                     number(at + "LateWorth", 0),
                     flag(at + "Stream", false)));
--- a/src/main/java/hopdrum/host/Shards.java
+++ b/src/main/java/hopdrum/host/ShardOwnership.java
@@ -1,7 +1,7 @@
 package hopdrum.host;
 
 /** Who owns the shards that customers fall into, as partners have settled; handed out whole and never changed. */
-public interface Shards {
+public interface ShardOwnership {
     /**
      * 0: this gateway may act for the customer; above 0: the tier of that number is to be asked; below: nobody that is known
      * here may, for about so many microseconds.
@@ -12,7 +12,7 @@
     long owner(long customer, boolean passedOn, long nowUs);
 
     /** How long this gateway's operator has owned the customer's shard without a break, as far as this gateway knows. */
-    long ownedForUs(long customer, long nowUs);
+    long ownershipAgeUs(long customer, long nowUs);
 
     /**
      * A front door of a tier that is to be asked.
@@ -21,5 +21,5 @@
      * @param site where it stands
      * @param address a numeric address and a port, where it takes RPCs
      */
-    record Door(String name, String site, String address) {}
+    record PartnerEndpoint(String name, String site, String address) {}
 }
--- a/src/main/java/hopdrum/host/Timers.java
+++ b/src/main/java/hopdrum/host/Timers.java
@@ -23,7 +23,7 @@
     }
 
     /** Runs what is due; false where an earlier wake-up has done this one's work. */
-    public boolean woke() {
+    public boolean runDue() {
         if (host.nowUs() < wakeAtUs) {
             return false;
         }
@@ -38,7 +38,7 @@
     public void arm() {
         if (!timers.isEmpty() && timers.peek().atUs < wakeAtUs) {
             wakeAtUs = timers.peek().atUs;
-            host.wakeIn(Math.max(1, wakeAtUs - host.nowUs()));
+            host.scheduleWakeUp(Math.max(1, wakeAtUs - host.nowUs()));
         }
     }
 }
--- a/src/main/java/hopdrum/host/Distances.java
+++ b/src/main/java/hopdrum/host/ZoneLatencies.java
@@ -5,8 +5,8 @@
  *
  * @param roundTripUs by zone, in the settings' order: what a way there and back takes beyond the nearest, microseconds
  */
-public record Distances(long[] roundTripUs) {
-    public long rttUs(int zone) {
+public record ZoneLatencies(long[] roundTripUs) {
+    public long roundTripUs(int zone) {
         return zone >= 0 && zone < roundTripUs.length ? roundTripUs[zone] : 0;
     }
 }
--- a/src/main/java/hopdrum/policy/Backends.java
+++ b/src/main/java/hopdrum/policy/Backends.java
@@ -1,7 +1,7 @@
 package hopdrum.policy;
 
-import hopdrum.host.Commonest;
-import hopdrum.host.Listed;
+import hopdrum.host.Endpoint;
+import hopdrum.host.FrequentValueTracker;
 import hopdrum.host.Method;
 import hopdrum.host.Plan;
 import hopdrum.policy.Policy.Rpc;
@@ -42,16 +42,16 @@
         this.queueField = settings.reportFields().indexOf("depth");
     }
 
-    void listed(Listed.Form form, List<Listed> entries) {
+    void listed(Endpoint.UpdateKind form, List<Endpoint> entries) {
         int before = backends.size();
-        if (form != Listed.Form.CHANGES) backends.values().forEach(b -> b.ready = false);
-        for (Listed entry : entries) {
+        if (form != Endpoint.UpdateKind.INCREMENTAL) backends.values().forEach(b -> b.ready = false);
+        for (Endpoint entry : entries) {
             Backend backend = backends.computeIfAbsent(entry.backend(), id -> new Backend(entry));
             if (backend.listed.startedAtUs() != entry.startedAtUs()) {
                 backend = new Backend(entry);
                 backends.put(entry.backend(), backend);
             }
-            backend.ready = entry.state() == Listed.State.READY;
+            backend.ready = entry.state() == Endpoint.State.READY;
         }
         backends.values().removeIf(b -> !b.ready);
         double perBackend = before == 0 ? FIRST_PLACES / settings.gateways() : places / before;
@@ -104,7 +104,7 @@
     }
 
     final class Backend {
-        final Listed listed;
+        final Endpoint listed;
         final long knownAtUs = now(); // later than its start, where the list is late or this gateway has just started
         boolean ready;
         double taken; // work answered here of late, in cores
@@ -125,7 +125,7 @@
         long queueAtUs = NEVER;
         final Deque<long[]> sentWhileCold = new ArrayDeque<>(); // emptied as its window passes
 
-        Backend(Listed entry) {
+        Backend(Endpoint entry) {
             listed = entry;
         }
 
@@ -136,7 +136,7 @@
 
         /** What the way to it and back takes; 0 without a map. Its answers' time is judged without it. */
         long farUs() {
-            return host.distances() == null ? 0 : host.distances().rttUs(listed.zone());
+            return host.zoneLatencies() == null ? 0 : host.zoneLatencies().roundTripUs(listed.zone());
         }
 
         boolean usable() {
@@ -164,10 +164,11 @@
                 sentWhileCold.clear();
                 return true;
             }
-            double part = settings.coldFrom() + (1 - settings.coldFrom()) * Math.max(0, ageUs) / settings.warmAfterUs();
-            double windowUs = settings.coldWindowUs();
+            double part = settings.slowStartInitialFraction()
+                    + (1 - settings.slowStartInitialFraction()) * Math.max(0, ageUs) / settings.slowStartDurationUs();
+            double windowUs = settings.overloadWindowUs();
             double budgetUs =
-                    COLD_MARGIN * settings.coldFactor() * part * windowUs * warmPeersTake() / settings.gateways();
+                    COLD_MARGIN * settings.overloadFactor() * part * windowUs * warmPeersTake() / settings.gateways();
             double cycleUs = windowUs * Math.max(1, row.leastUs / budgetUs);
             while (!sentWhileCold.isEmpty() && sentWhileCold.peek()[0] < now() - cycleUs) sentWhileCold.poll();
             if (!sentWhileCold.isEmpty()) {
@@ -187,10 +188,10 @@
             for (Backend b : backends.values()) {
                 if (b.usable() && !b.isCold()) {
                     taken += b.takenNow();
-                    size += settings.weightIsSize() ? b.listed.weight() : 1;
+                    size += settings.weightIsCapacity() ? b.listed.weight() : 1;
                 }
             }
-            double mySize = settings.weightIsSize() ? listed.weight() : 1;
+            double mySize = settings.weightIsCapacity() ? listed.weight() : 1;
             return size <= 0 ? 1 : Math.max(1, taken / size * mySize * settings.gateways());
         }
 
@@ -199,7 +200,7 @@
         }
 
         boolean isCold() {
-            return listed.startedAtUs() != 0 && now() - listed.startedAtUs() < settings.warmAfterUs();
+            return listed.startedAtUs() != 0 && now() - listed.startedAtUs() < settings.slowStartDurationUs();
         }
 
         /** Never ejects all: at least half of the ready ones stay. */
@@ -284,7 +285,8 @@
         double devUs;
         int seen;
         double leastUs; // the least mean of late: what an answer takes where nothing waits
-        final Commonest leftAtFirst = new Commonest(AGE_NOISE_US); // how long clients will still wait
+        final FrequentValueTracker leftAtFirst =
+                new FrequentValueTracker(AGE_NOISE_US); // how long clients will still wait
 
         Row(Method method) {
             this.method = method;
@@ -298,7 +300,7 @@
          * try with another has what remains of its client's whole time.
          */
         long ageUs(long leftUs) {
-            return leftAtFirst.isCommonest(leftUs) ? 0 : Math.max(0, method.deadlineUs() - leftUs);
+            return leftAtFirst.recordIsMostFrequent(leftUs) ? 0 : Math.max(0, method.deadlineUs() - leftUs);
         }
 
         void learn(long tookUs) {
--- a/src/main/java/hopdrum/policy/Policy.java
+++ b/src/main/java/hopdrum/policy/Policy.java
@@ -1,7 +1,7 @@
 package hopdrum.policy;
 
+import hopdrum.host.Endpoint;
 import hopdrum.host.Host;
-import hopdrum.host.Listed;
 import hopdrum.host.Method;
 import hopdrum.host.Outcome;
 import hopdrum.host.Plan;
@@ -34,7 +34,7 @@
         super(settings, seed, host);
         this.quota = new Quota(this);
         this.rows = settings.methods().stream().map(Row::new).toArray(Row[]::new);
-        if (settings.mustAskForList()) host.followList();
+        if (settings.pollsEndpointList()) host.pollEndpointList();
         at(now() + SWEEP_US, this::sweep);
         timers.arm();
     }
@@ -42,7 +42,8 @@
     // ---- What the front door tells ----
 
     /** A client's RPC has come in; exactly one final answer is owed from here on. */
-    public Rpc take(long id, int method, long customer, int plan, double units, int first, int gateways, long leftUs) {
+    public Rpc requestReceived(
+            long id, int method, long customer, int plan, double units, int first, int gateways, long leftUs) {
         Rpc rpc = new Rpc(id, rows[method], quota.customer(customer, plan, first, gateways), units, leftUs);
         at(rpc.giveUpAtUs, () -> outOfTime(rpc));
         advance(rpc);
@@ -50,27 +51,27 @@
         return rpc;
     }
 
-    public void wake() {
-        if (!timers.woke()) return;
+    public void wakeUp() {
+        if (!timers.runDue()) return;
         pump();
         timers.arm();
     }
 
-    public void counted(long name, Outcome outcome, double total, long tookUs) {
+    public void counterAnswered(long name, Outcome outcome, double total, long tookUs) {
         if (!quota.counted(name, outcome, total, tookUs)) return;
         pump();
         timers.arm();
     }
 
     /** Another gateway has read a customer's count and found no room for one more RPC. */
-    public void heard(byte[] message) {
+    public void gossipReceived(byte[] message) {
         quota.heard(message);
     }
 
     /** Tier 0 is the list of backends; others are partners, whose front doors count what they are passed. */
-    public void listed(int tier, Listed.Form form, List<Listed> entries) {
-        if (form == Listed.Form.NONE) {
-            at(now() + 1_000_000, host::followList);
+    public void endpointsUpdated(int tier, Endpoint.UpdateKind form, List<Endpoint> entries) {
+        if (form == Endpoint.UpdateKind.NONE) {
+            at(now() + 1_000_000, host::pollEndpointList);
         } else {
             tier(tier).listed(form, entries);
             pump();
@@ -96,7 +97,7 @@
         if (rpc.stage == Stage.NEW) {
             // 1. Beyond quota for certain: more than its share open, or a reading not yet refilled says so.
             customer.lastUsedUs = now();
-            long owner = host.owner(rpc.id, customer.key);
+            long owner = host.ownerTier(rpc.id, customer.key);
             long waitUs = owner > 0 ? 0 : Math.max(-owner, customer.beyondForUs(rpc.units));
             boolean late = rpc.isTooLate(); // a client's repeat whose soft deadline has passed takes no units
             if (late || customer.openIsFull() || waitUs > 0) {
@@ -190,9 +191,9 @@
         if (mute && ++backend.suspicions >= 2) backend.eject();
         // Only away from an ejected backend: elsewhere a long RPC is long too.
         if (backend.usable() || rpc.isDone() || rpc.out != 1) return;
-        if (settings.secondCopies()) {
+        if (settings.hedgingAllowed()) {
             sendFurther(rpc, true);
-        } else if (settings.mayCancel() && rpc.mayRepeat() && repeats >= 1) {
+        } else if (settings.cancellationAllowed() && rpc.mayRepeat() && repeats >= 1) {
             host.cancelAttempt(rpc.id, attempt.number);
         }
     }
@@ -220,7 +221,7 @@
         boolean harmless = rpc.isHarmless();
         rpc.close();
         if (harmless) {
-            host.refuse(rpc.id, settings.retryAfter() ? Math.min(waitUs, settings.mostRetryAfterUs()) : 0);
+            host.reject(rpc.id, settings.retryAfterAllowed() ? Math.min(waitUs, settings.maxRetryAfterUs()) : 0);
         } else {
             host.abort(rpc.id);
         }
@@ -282,7 +283,9 @@
             long tookUs = Math.max(1, wholeUs - backend.farUs());
             attempt.out = false;
             out--;
-            attempt.neverRan = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED || outcome == Outcome.MOOT;
+            attempt.neverRan = outcome == Outcome.AT_CAPACITY
+                    || outcome == Outcome.CONNECT_FAILED
+                    || outcome == Outcome.INVALID_REQUEST;
             backend.out--;
             if (report.length > 0) backend.reported(report);
             switch (outcome) {
@@ -290,13 +293,13 @@
                     row.learn(tookUs);
                     backend.answered(row, tookUs);
                 }
-                case FULL -> backend.full(row, customer.plan, tookUs);
+                case AT_CAPACITY -> backend.full(row, customer.plan, tookUs);
                 case ERROR -> backend.failing(true);
                 case CONNECT_FAILED, RESET -> backend.failing(false);
                 case TIMED_OUT -> backend.tookTooLong(row, tookUs);
                 default -> {}
             }
-            if (settled > 0 && settings.settles() && admitted && settled != units) {
+            if (settled > 0 && settings.settlesUnits() && admitted && settled != units) {
                 customer.owed += settled - units;
             }
             if (!isDone() && over) {
@@ -304,7 +307,7 @@
             } else if (!isDone()
                     && out == 0
                     && !tier.line.contains(this)
-                    && (outcome == Outcome.MOOT
+                    && (outcome == Outcome.INVALID_REQUEST
                             || outcome == Outcome.TIMED_OUT
                             || streaming
                             || !sendFurther(this, !attempt.neverRan))) {
@@ -351,7 +354,7 @@
             }
             stage = Stage.DONE;
             for (Attempt c : attempts) {
-                if (c.out && settings.mayCancel()) host.cancelAttempt(id, c.number);
+                if (c.out && settings.cancellationAllowed()) host.cancelAttempt(id, c.number);
             }
         }
 
@@ -371,29 +374,32 @@
         private boolean isHarmless() {
             Method m = row.method;
             return firstThatMayHaveRun() == null
-                    || m.repeat() == Method.Repeat.IDEMPOTENT
-                    || m.repeat() == Method.Repeat.DEDUPLICATED && m.group() == Method.Group.ALL;
+                    || m.retrySafety() == Method.RetrySafety.IDEMPOTENT
+                    || m.retrySafety() == Method.RetrySafety.DEDUPLICATED
+                            && m.deduplicationScope() == Method.DeduplicationScope.ALL;
         }
 
         private boolean mayRepeat() {
-            return attempts.size() < settings.mostAttempts()
+            return attempts.size() < settings.maxAttempts()
                     && (firstThatMayHaveRun() == null // a partner repeats by itself, and counts each
-                            || tier == tiers.get(0) && row.method.repeat() != Method.Repeat.NON_IDEMPOTENT);
+                            || tier == tiers.get(0) && row.method.retrySafety() != Method.RetrySafety.NON_IDEMPOTENT);
         }
 
         /** Backends may run it anew after this: a further attempt has to begin before, however late its connection is. */
         private long repeatByUs() {
             Attempt first = firstThatMayHaveRun();
-            boolean windowed = first != null && row.method.repeat() == Method.Repeat.DEDUPLICATED;
-            return windowed ? first.sentUs + row.method.windowUs() - 2 * settings.tickUs() : Long.MAX_VALUE;
+            boolean windowed = first != null && row.method.retrySafety() == Method.RetrySafety.DEDUPLICATED;
+            return windowed
+                    ? first.sentUs + row.method.deduplicationWindowUs() - 2 * settings.tickUs()
+                    : Long.MAX_VALUE;
         }
 
         boolean mayGoTo(Backend b) {
             Attempt first = firstThatMayHaveRun();
-            if (first == null || row.method.repeat() == Method.Repeat.IDEMPOTENT) return true;
-            return row.method.repeat() == Method.Repeat.DEDUPLICATED
+            if (first == null || row.method.retrySafety() == Method.RetrySafety.IDEMPOTENT) return true;
+            return row.method.retrySafety() == Method.RetrySafety.DEDUPLICATED
                     && now() < repeatByUs()
-                    && switch (row.method.group()) {
+                    && switch (row.method.deduplicationScope()) {
                         case ALL -> true;
                         case ZONE -> b.listed.zone() == first.backend.listed.zone();
                         case CELL -> b.listed.cell() == first.backend.listed.cell();
--- a/src/main/java/hopdrum/policy/Quota.java
+++ b/src/main/java/hopdrum/policy/Quota.java
@@ -1,9 +1,9 @@
 package hopdrum.policy;
 
-import hopdrum.host.Credit;
+import hopdrum.host.CreditGossip;
 import hopdrum.host.Outcome;
 import hopdrum.host.Plan;
-import hopdrum.host.Sharers;
+import hopdrum.host.QuotaLease;
 import hopdrum.policy.Policy.Rpc;
 import hopdrum.policy.Policy.Stage;
 import java.util.ArrayDeque;
@@ -93,10 +93,10 @@
     }
 
     void heard(byte[] message) {
-        Credit said = Credit.read(message);
-        if (said == null || said.units() >= 1) return; // nothing that a gateway tells
+        CreditGossip said = CreditGossip.decode(message);
+        if (said == null || said.remainingUnits() >= 1) return; // nothing that a gateway tells
         Customer customer = customers.get(said.customer());
-        Told reading = new Told(said.units(), now());
+        Told reading = new Told(said.remainingUnits(), now());
         if (customer == null) {
             told.put(said.customer(), reading);
         } else {
@@ -109,7 +109,7 @@
     }
 
     private long timeOutUs() {
-        long most = Math.max(LEAST_TIME_OUT_US, settings.countWaitUs() * 3 / 4);
+        long most = Math.max(LEAST_TIME_OUT_US, settings.counterTimeoutUs() * 3 / 4);
         return Math.min(most, Math.max(LEAST_TIME_OUT_US, (long) (answerUs + 4 * answerDevUs)));
     }
 
@@ -127,7 +127,7 @@
     }
 
     boolean counterMayBeAsked() {
-        if (!settings.mayCount()) return false;
+        if (!settings.counterAvailable()) return false;
         if (!isPaced()) return true;
         allowance = Math.min(Math.max(1, pace / 10), allowance + pace * (now() - allowanceAtUs) / 1e6);
         allowanceAtUs = now();
@@ -145,7 +145,7 @@
         double sinceLossS = (now() - lastLossUs) / 1e6;
         if (pace < knownGoodPace) {
             pace = Math.min(knownGoodPace, pace * 2);
-        } else if (tookUs - leastAnswerUs < settings.countWaitUs() / 6.0 && allowance < 2) {
+        } else if (tookUs - leastAnswerUs < settings.counterTimeoutUs() / 6.0 && allowance < 2) {
             pace *= 1 + PACE_GAIN * (1 + sinceLossS);
         }
         if (sinceLossS > 5 && pace > 1.5 * callRate()) {
@@ -209,7 +209,7 @@
         }
 
         boolean openIsFull() {
-            return plan.openLimit() > 0 && open >= Math.ceil((double) plan.openLimit() / gateways);
+            return plan.concurrencyLimit() > 0 && open >= Math.ceil((double) plan.concurrencyLimit() / gateways);
         }
 
         double creditNow() {
@@ -245,9 +245,9 @@
         long returnIn(long waitUs, double units) {
             long soonestUs = Math.max(now() + waitUs, nextReturnUs);
             nextReturnUs = plan.rate() > 0 ? soonestUs + (long) (units / plan.rate() * 1e6) : soonestUs;
-            if (soonestUs > now() + settings.mostRetryAfterUs()) { // cannot be named: spread over what can
+            if (soonestUs > now() + settings.maxRetryAfterUs()) { // cannot be named: spread over what can
                 nextReturnUs = soonestUs;
-                return (long) (settings.mostRetryAfterUs() * (0.5 + 0.5 * random.nextDouble()));
+                return (long) (settings.maxRetryAfterUs() * (0.5 + 0.5 * random.nextDouble()));
             }
             return soonestUs - now();
         }
@@ -275,7 +275,7 @@
             callRate = callRate * Math.exp((lastCallUs - now()) / 1e6) + 1;
             lastCallUs = now();
             allowance -= 1;
-            host.addToCount(name, amount, EPOCH_US);
+            host.addToCounter(name, amount, EPOCH_US);
             return count;
         }
 
@@ -338,7 +338,7 @@
             if (!unmade) {
                 makerUntilUs = NEVER;
             } else if (makerUntilUs == NEVER) { // a call and an add: the counter's limit each; then in turn
-                makerUntilUs = now() + (long) (settings.countWaitUs() * (2 + 4 * random.nextDouble()));
+                makerUntilUs = now() + (long) (settings.counterTimeoutUs() * (2 + 4 * random.nextDouble()));
             }
             return unmade && now() < makerUntilUs;
         }
@@ -353,10 +353,10 @@
          * that leaves no room for an RPC serves all of the customer's gateways.
          */
         void tellOthers() {
-            if (!isPaced() || !settings.mayTell() || credit >= 1) return;
+            if (!isPaced() || !settings.gossipAllowed() || credit >= 1) return;
             for (int i = 0; i < gateways; i++) {
                 int gateway = (first + i) % settings.gateways();
-                if (gateway != settings.ordinal()) host.tell(gateway, new Credit(key, credit).bytes());
+                if (gateway != settings.ordinal()) host.sendToPeer(gateway, new CreditGossip(key, credit).encode());
             }
         }
 
@@ -369,7 +369,7 @@
 
         /** What its store can hold: under a ceiling, what has refilled since its shard came to this tier. */
         double fullStore() {
-            double refilled = plan.rate() * host.ownedForUs(key) / 1e6;
+            double refilled = plan.rate() * host.ownershipAgeUs(key) / 1e6;
             return plan.ceilingRate() > 0 ? Math.min(plan.burst(), refilled) : plan.burst();
         }
 
@@ -380,9 +380,9 @@
 
         /** Its part of what is split: in a fleet as settled, and nothing where that may not be acted on. */
         double part() {
-            Sharers fleet = host.sharers();
+            QuotaLease fleet = host.quotaLease();
             if (fleet == null) return 1.0 / gateways;
-            return now() < fleet.untilUs() ? 1.0 / fleet.most(first, gateways, settings.gateways()) : 0;
+            return now() < fleet.untilUs() ? 1.0 / fleet.maxGatewaysSharing(first, gateways, settings.gateways()) : 0;
         }
 
         double depth(double units) {
@@ -391,7 +391,7 @@
 
         /** Its share of the rate, and of what the more gateways with less of the traffic leave unused. */
         double sliceRate() {
-            double unused = host.sharers() != null ? 0 : MOST_UNUSED; // halves of a split keep the rate
+            double unused = host.quotaLease() != null ? 0 : MOST_UNUSED; // halves of a split keep the rate
             double gain = 1 + unused * Math.max(0, 1 - 4.0 / gateways);
             double most = plan.ceilingRate() > 0 ? plan.ceilingRate() / plan.rate() - 1 : gain;
             return Math.min(gain, most) * plan.rate() * part();
@@ -401,13 +401,13 @@
             double depth = depth(units); // one RPC at least: a smaller slice would let in none
             if (bucket < 0) { // full as the credit known, or in part of the cases; fewer where nobody reads
                 double grown = plan.rate() * (now() - startedUs) / 1e6 / plan.burst();
-                boolean read = settings.mayTell() && now() - lastAnswerUs < OUTAGE_US; // beyond would be told
+                boolean read = settings.gossipAllowed() && now() - lastAnswerUs < OUTAGE_US; // beyond would be told
                 double share = read ? 1 : Math.min(1, AT_ONCE * plan.burst() / gateways);
                 double full = Math.max(AT_START, grown) * share;
                 bucket = depth
                         * (creditAtUs != NEVER
                                 ? Math.max(0, Math.min(1, creditNow() / plan.burst()))
-                                : host.sharers() != null
+                                : host.quotaLease() != null
                                         ? Math.min(fullStore() / plan.burst(), grown)
                                         : random.nextDouble() < full ? 1 : 0);
                 bucketAtUs = now();
--- a/src/rig/java/hopdrum/rig/planted/Baseline.java
+++ b/src/rig/java/hopdrum/rig/planted/Baseline.java
@@ -7,7 +7,7 @@
 import hopdrum.fleet.shards.Terms;
 import hopdrum.frontdoor.FrontDoor;
 import hopdrum.frontdoor.lifecycle.Server;
-import hopdrum.host.Distances;
+import hopdrum.host.ZoneLatencies;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -21,7 +21,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long FAR_US = 3_600_000_000L;
     private static final int LOOK_MS = 20;
-    private static volatile Distances distances; // null until it is known
+    private static volatile ZoneLatencies distances; // null until it is known
 
     private Baseline() {}
 
@@ -73,7 +73,7 @@
                                                     .path(site + "-" + zone)
                                                     .asDouble());
                 }
-                distances = new Distances(us);
+                distances = new ZoneLatencies(us);
                 Thread.sleep(LOOK_MS);
             } catch (IOException e) {
                 System.err.println("baseline: " + e); // the rig is about to write it
--- a/src/test/java/hopdrum/frontdoor/FrontDoorFixture.java
+++ b/src/test/java/hopdrum/frontdoor/FrontDoorFixture.java
@@ -1,7 +1,7 @@
 package hopdrum.frontdoor;
 
 import hopdrum.frontdoor.lifecycle.Config;
-import hopdrum.frontdoor.lifecycle.Loop;
+import hopdrum.frontdoor.lifecycle.EventLoop;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -43,7 +43,7 @@
 
     String settings = SETTINGS;
     int sockets = 1024;
-    Loop loop;
+    EventLoop loop;
     FrontDoor door;
     CompletableFuture<Void> running;
     Runnable warmUp = () -> {};
@@ -211,7 +211,7 @@
     }
 
     void start(String hosts) throws IOException {
-        loop = new Loop();
+        loop = new EventLoop();
         warmUp.run();
         door = new FrontDoor(Config.parse(config(hosts)), loop);
         running = new CompletableFuture<>();
--- a/src/test/java/hopdrum/frontdoor/FrontDoorStoryTest.java
+++ b/src/test/java/hopdrum/frontdoor/FrontDoorStoryTest.java
@@ -3,13 +3,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import hopdrum.frontdoor.connection.ClientConnection;
+import hopdrum.frontdoor.connection.ResourceBudget;
 import hopdrum.frontdoor.lifecycle.Config;
-import hopdrum.frontdoor.lifecycle.Loop;
+import hopdrum.frontdoor.lifecycle.EventLoop;
 import hopdrum.frontdoor.lifecycle.Server;
 import hopdrum.frontdoor.lifecycle.Warmup;
-import hopdrum.frontdoor.memory.Budget;
-import hopdrum.frontdoor.memory.ClientConnection;
-import hopdrum.host.Shards;
+import hopdrum.host.ShardOwnership;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.DatagramPacket;
@@ -99,12 +99,12 @@
 
     @Test
     void messagesCountOnlyFromTheAddressesOfPeers() throws Exception {
-        loop = new Loop();
+        loop = new EventLoop();
         BlockingQueue<String> heard = new LinkedBlockingQueue<>();
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             List<InetSocketAddress> addresses = List.of((InetSocketAddress) peer.getLocalSocketAddress());
-            Peers peers = new Peers(
+            PeerMessenger peers = new PeerMessenger(
                     loop,
                     new InetSocketAddress("127.0.0.1", 0),
                     addresses,
@@ -160,9 +160,12 @@
 
     @Test
     void aSlowSenderIsCutOff() throws Exception {
-        loop = new Loop();
-        Clients clients = new Clients(
-                loop, new InetSocketAddress("127.0.0.1", 0), new Budget(1024, 1 << 20, 50_000), new Clients.Owner() {
+        loop = new EventLoop();
+        ClientListener clients = new ClientListener(
+                loop,
+                new InetSocketAddress("127.0.0.1", 0),
+                new ResourceBudget(1024, 1 << 20, 50_000),
+                new ClientListener.Owner() {
                     @Override
                     public void take(ClientConnection client) {
                         throw new AssertionError("nothing came whole");
@@ -258,13 +261,13 @@
 
     @Test
     void aSpoiltAnswerOfTheCounterEndsItsCallAndThoseBehindIt() throws Exception {
-        loop = new Loop();
+        loop = new EventLoop();
         BlockingQueue<String> ends = new LinkedBlockingQueue<>();
-        Counter calls = new Counter(
+        CounterClient calls = new CounterClient(
                 loop,
                 new InetSocketAddress("127.0.0.1", counter.listener.getLocalPort()),
                 5_000_000,
-                new Budget(1024, 1 << 20, 50_000),
+                new ResourceBudget(1024, 1 << 20, 50_000),
                 (name, outcome, total, tookUs) -> ends.add(outcome + " " + total));
         thread(loop::run);
         for (String spoilt :
@@ -292,13 +295,13 @@
 
     @Test
     void aConnectionToTheCounterThatFallsSilentAloneIsReplacedWithItsFirstTimeOut() throws Exception {
-        loop = new Loop();
+        loop = new EventLoop();
         BlockingQueue<String> ends = new LinkedBlockingQueue<>();
-        Counter calls = new Counter(
+        CounterClient calls = new CounterClient(
                 loop,
                 new InetSocketAddress("127.0.0.1", counter.listener.getLocalPort()),
                 50_000,
-                new Budget(1024, 1 << 20, 50_000),
+                new ResourceBudget(1024, 1 << 20, 50_000),
                 (name, outcome, total, tookUs) -> ends.add(name + " " + outcome));
         thread(loop::run);
         counter.answer = request -> request.contains("/1?") ? HANGS : ok("1");
@@ -609,20 +612,20 @@
     private void shares(StandIn... doors) throws Exception {
         CompletableFuture<Void> told = new CompletableFuture<>();
         loop.ask(() -> {
-            door.shares(() -> new Shards() {
+            door.shares(() -> new ShardOwnership() {
                 @Override
                 public long owner(long customer, boolean passedOn, long nowUs) {
                     return passedOn ? -200_000 : 1;
                 }
 
                 @Override
-                public long ownedForUs(long customer, long nowUs) {
+                public long ownershipAgeUs(long customer, long nowUs) {
                     return 0;
                 }
             });
-            List<Shards.Door> there = new ArrayList<>();
+            List<ShardOwnership.PartnerEndpoint> there = new ArrayList<>();
             for (StandIn d : doors) {
-                there.add(new Shards.Door("door/" + d.address(), "z", d.address()));
+                there.add(new ShardOwnership.PartnerEndpoint("door/" + d.address(), "z", d.address()));
             }
             door.partners(1, there);
             told.complete(null);
--- a/src/test/java/hopdrum/frontdoor/wire/WireStoryTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/WireStoryTest.java
@@ -20,32 +20,32 @@
             "POST /api?area=7 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: 9b1f\r\nX-Qos: checkout\r\n"
                     + "Plan: team\r\nCookie: a=b; key=00000000b4d65521\r\nX-Expires-In-Ms: 480\r\nIdempotency-Key: 5c0f\r\n"
                     + "Content-Length: 5\r\nQuota-Info: units=2,spread=3,first=1\r\n\r\nhello";
-    private final Ring ring = ring();
+    private final RingBuffer ring = ring();
 
-    private static Ring ring() {
-        return new Ring(128 << 10, by -> {});
+    private static RingBuffer ring() {
+        return new RingBuffer(128 << 10, by -> {});
     }
 
-    private static void put(Ring ring, String text) {
+    private static void put(RingBuffer ring, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         assertThat(ring.reserve(bytes.length)).isTrue();
         ring.put(bytes);
     }
 
-    private static RpcHead head() {
+    private static RequestHead head() {
         List<Method> rows = new ArrayList<>();
-        for (Method.Repeat repeat :
-                List.of(Method.Repeat.DEDUPLICATED, Method.Repeat.IDEMPOTENT, Method.Repeat.NON_IDEMPOTENT)) {
-            rows.add(new Method(2, 4, repeat, Method.Group.ALL, 0, 0, false));
+        for (Method.RetrySafety repeat : List.of(
+                Method.RetrySafety.DEDUPLICATED, Method.RetrySafety.IDEMPOTENT, Method.RetrySafety.NON_IDEMPOTENT)) {
+            rows.add(new Method(2, 4, repeat, Method.DeduplicationScope.ALL, 0, 0, false));
         }
-        return new RpcHead(List.of("checkout", "browse", "order"), List.of("solo", "team"), rows, 4, 6);
+        return new RequestHead(List.of("checkout", "browse", "order"), List.of("solo", "team"), rows, 4, 6);
     }
 
-    private static String all(Ring ring) {
+    private static String all(RingBuffer ring) {
         return ring.text(0, ring.size());
     }
 
-    private HttpReader whole(HttpReader.Kind kind, String text) throws BadMessage {
+    private HttpReader whole(HttpReader.Kind kind, String text) throws MalformedMessageException {
         HttpReader reader = new HttpReader(kind);
         put(ring, text);
         assertThat(reader.read(ring)).isTrue();
@@ -53,15 +53,15 @@
     }
 
     @Test
-    void anRpcCutAnywhereReadsTheSame() throws BadMessage {
+    void anRpcCutAnywhereReadsTheSame() throws MalformedMessageException {
         for (int cut = 0; cut < RPC.length(); cut++) {
-            Ring cutRing = ring();
+            RingBuffer cutRing = ring();
             HttpReader reader = new HttpReader(HttpReader.Kind.REQUEST);
             put(cutRing, RPC.substring(0, cut));
             assertThat(reader.read(cutRing)).isFalse();
             put(cutRing, RPC.substring(cut));
             assertThat(reader.read(cutRing)).isTrue();
-            RpcHead head = head();
+            RequestHead head = head();
             head.read(cutRing, reader);
             assertThat(List.of(
                             head.method,
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void twoRequestsAtOnceAreReadOneAfterAnother() throws BadMessage {
+    void twoRequestsAtOnceAreReadOneAfterAnother() throws MalformedMessageException {
         HttpReader reader =
                 whole(HttpReader.Kind.REQUEST, RPC + "\r\nGET /api HTTP/1.1\r\nConnection: x, close\r\n\r\n");
         assertThat(reader.keepAlive()).isTrue();
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aChunkedAnswerFedByteByByteComesOutInOnePiece() throws BadMessage {
+    void aChunkedAnswerFedByteByByteComesOutInOnePiece() throws MalformedMessageException {
         HttpReader reader = new HttpReader(HttpReader.Kind.RESPONSE);
         String answer = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 + "3;x=y\r\nabc\r\n0A\r\n0123456789\r\n0\r\nTrailer: t\r\n\r\n";
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void anAnswerWithoutALengthIsNeverWhole() throws BadMessage {
+    void anAnswerWithoutALengthIsNeverWhole() throws MalformedMessageException {
         HttpReader reader = new HttpReader(HttpReader.Kind.RESPONSE);
         put(ring, "HTTP/1.1 200 OK\r\n\r\nall of it, or not");
         assertThat(reader.read(ring)).isFalse();
@@ -126,14 +126,14 @@
     void anAnswerThatIsSpoiltIsKnownAtOnce(String text) {
         put(ring, text);
         assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.RESPONSE).read(ring))
-                .isInstanceOf(BadMessage.class);
+                .isInstanceOf(MalformedMessageException.class);
     }
 
     @Test
     void interimAnswersWithoutEndAreNotReadForEver() {
         put(ring, "HTTP/1.1 102 Wait\r\n\r\n".repeat(5000));
         assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.RESPONSE).read(ring))
-                .isInstanceOf(BadMessage.class);
+                .isInstanceOf(MalformedMessageException.class);
     }
 
     @ParameterizedTest
@@ -146,12 +146,12 @@
                 "unheard=1",
                 "\u00ff"
             })
-    void loadFiguresThatCannotBeReadAreNoReport(String figures) throws BadMessage {
+    void loadFiguresThatCannotBeReadAreNoReport(String figures) throws MalformedMessageException {
         HttpReader reader = whole(
                 HttpReader.Kind.RESPONSE,
                 "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT " + figures + "\r\nContent-Length: 0\r\n\r\n");
-        assertThat(BackendAnswer.outcome(ring, reader)).isEqualTo(Outcome.OK);
-        assertThat(BackendAnswer.report(ring, reader, List.of("depth", "load_share")))
+        assertThat(BackendResponse.outcome(ring, reader)).isEqualTo(Outcome.OK);
+        assertThat(BackendResponse.report(ring, reader, List.of("depth", "load_share")))
                 .isEmpty();
     }
 
@@ -177,7 +177,7 @@
     void whatIsMalformedIsABadRequest(String text) {
         put(ring, text);
         assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(ring))
-                .isInstanceOf(BadMessage.class)
+                .isInstanceOf(MalformedMessageException.class)
                 .hasFieldOrPropertyWithValue("status", 400);
     }
 
@@ -186,7 +186,7 @@
         put(ring, "GET /api HTTP/1.1\r\nLong: " + "x".repeat(HttpReader.MOST_HEAD));
         assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(ring))
                 .hasFieldOrPropertyWithValue("status", 431);
-        Ring other = ring();
+        RingBuffer other = ring();
         put(other, "POST /api HTTP/1.1\r\nContent-Length: 65537\r\n\r\n");
         assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(other))
                 .hasFieldOrPropertyWithValue("status", 413);
@@ -224,7 +224,7 @@
         "checkout, browse, 405",
         "POST_checkout, GET_browse, 400"
     })
-    void aHeadThatNamesNoRpcIsTurnedDown(String what, String by, int status) throws BadMessage {
+    void aHeadThatNamesNoRpcIsTurnedDown(String what, String by, int status) throws MalformedMessageException {
         String text = RPC;
         for (int i = 0;
                 i < (what.contains("_") ? 2 : 1);
@@ -235,15 +235,15 @@
         }
         HttpReader reader = whole(HttpReader.Kind.REQUEST, text);
         assertThatThrownBy(() -> head().read(ring, reader))
-                .isInstanceOf(BadMessage.class)
+                .isInstanceOf(MalformedMessageException.class)
                 .hasFieldOrPropertyWithValue("status", status);
     }
 
     @Test
-    void anRpcPassesOnButForWhatIsBetweenNeighbours() throws BadMessage {
+    void anRpcPassesOnButForWhatIsBetweenNeighbours() throws MalformedMessageException {
         HttpReader reader = whole(HttpReader.Kind.REQUEST, RPC.replace("Host:", "Connection: keep-alive\r\nHost:"));
-        Ring out = ring();
-        assertThat(RpcHead.forward(ring, reader, 321, false, out)).isTrue();
+        RingBuffer out = ring();
+        assertThat(RequestHead.forward(ring, reader, 321, false, out)).isTrue();
         assertThat(all(out))
                 .isEqualTo(
                         "POST /api?area=7 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: 9b1f\r\n"
@@ -255,29 +255,30 @@
     @CsvSource({
         "200 OK, X-A: 1, OK",
         "500 Broken, X-A: 1, ERROR",
-        "503 Full, X-Never-Ran: 1, FULL",
-        "504 Over, x-never-ran: 1, FULL",
+        "503 Full, X-Never-Ran: 1, AT_CAPACITY",
+        "504 Over, x-never-ran: 1, AT_CAPACITY",
         "503 Full, X-A: 1, ERROR",
-        "404 None, X-Never-Ran: 1, MOOT",
-        "400 Unfit, X-A: 1, MOOT"
+        "404 None, X-Never-Ran: 1, INVALID_REQUEST",
+        "400 Unfit, X-A: 1, INVALID_REQUEST"
     })
-    void aBackendsAnswerMeansWhatThePageSays(String status, String field, Outcome outcome) throws BadMessage {
+    void aBackendsAnswerMeansWhatThePageSays(String status, String field, Outcome outcome)
+            throws MalformedMessageException {
         HttpReader reader = whole(
                 HttpReader.Kind.RESPONSE,
                 "HTTP/1.1 " + status + "\r\n" + field
                         + "\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61\r\nContent-Length: 0\r\n\r\n");
-        assertThat(BackendAnswer.outcome(ring, reader)).isEqualTo(outcome);
-        assertThat(BackendAnswer.report(ring, reader, List.of("depth", "load_share")))
+        assertThat(BackendResponse.outcome(ring, reader)).isEqualTo(outcome);
+        assertThat(BackendResponse.report(ring, reader, List.of("depth", "load_share")))
                 .containsExactly(2f, 0.61f);
-        assertThat(BackendAnswer.report(ring, reader, List.of("tps"))).isEmpty();
+        assertThat(BackendResponse.report(ring, reader, List.of("tps"))).isEmpty();
     }
 
     @Test
-    void anAnswerKeepsItsBodyAndARefusalNamesItsTime() throws BadMessage {
+    void anAnswerKeepsItsBodyAndARefusalNamesItsTime() throws MalformedMessageException {
         HttpReader reader = whole(
                 HttpReader.Kind.RESPONSE,
                 "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc");
-        Ring out = ring();
+        RingBuffer out = ring();
         assertThat(HttpWriter.answer(ring, reader, true, out)).isTrue();
         assertThat(all(out))
                 .isEqualTo(
@@ -289,8 +290,8 @@
     }
 
     @Test
-    void aCallOnTheCounterHasNoExponentAndItsTotalIsANumber() throws BadMessage {
-        Ring out = ring();
+    void aCallOnTheCounterHasNoExponentAndItsTotalIsANumber() throws MalformedMessageException {
+        RingBuffer out = ring();
         assertThat(CounterProtocol.call(0x1fL, -2.5, 4000, out)).isTrue();
         assertThat(all(out)).startsWith("POST /v2/numbers/1f?delta=-2.500000&life_ms=4000 HTTP/1.1\r\n");
         assertThat(CounterProtocol.decimal(1e-5)).isEqualTo("0.000010");
@@ -300,17 +301,17 @@
         assertThat(CounterProtocol.total(ring, reader)).isEqualTo(12.5);
         reader.done(ring);
         HttpReader none = whole(HttpReader.Kind.RESPONSE, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nNaN");
-        assertThatThrownBy(() -> CounterProtocol.total(ring, none)).isInstanceOf(BadMessage.class);
+        assertThatThrownBy(() -> CounterProtocol.total(ring, none)).isInstanceOf(MalformedMessageException.class);
     }
 
     @Test
-    void aWatchCutAnywhereGivesItsLines() throws BadMessage {
+    void aWatchCutAnywhereGivesItsLines() throws MalformedMessageException {
         String watch =
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{\"se\r\n5\r\nq\":1}\r\n2\r\n\n\n\r\n8\r\n{\"q\":2}\n\r\n";
         for (int cut = 0; cut <= watch.length(); cut++) {
             List<String> lines = new ArrayList<>();
-            DiscoveryReader reader = new DiscoveryReader(lines::add);
-            Ring bytes = ring();
+            EndpointListReader reader = new EndpointListReader(lines::add);
+            RingBuffer bytes = ring();
             put(bytes, watch.substring(0, cut));
             reader.read(bytes);
             put(bytes, watch.substring(cut));
@@ -319,31 +320,32 @@
         }
         List<String> lines = new ArrayList<>();
         put(ring, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n[12]");
-        assertThat(new DiscoveryReader(lines::add).read(ring)).isTrue();
+        assertThat(new EndpointListReader(lines::add).read(ring)).isTrue();
         assertThat(lines).containsExactly("[12]");
     }
 
     @Test
-    void anIndentedListIsOneMessageAndOneCutShortTakesNoOtherAlong() throws BadMessage {
+    void anIndentedListIsOneMessageAndOneCutShortTakesNoOtherAlong() throws MalformedMessageException {
         List<String> lines = new ArrayList<>();
         put(
                 ring,
                 "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\n  \"seq\": 1,\n  \"hosts\": [\n    {\"host\": \"}\\\"{\"}\n  ]\n}\n\n"
                         + "{\"seq\":2,\"hosts\":[\n\n{\"seq\":3,\"ho\n{\"seq\":4}\n");
-        new DiscoveryReader(lines::add).read(ring);
+        new EndpointListReader(lines::add).read(ring);
         assertThat(lines).hasSize(6);
-        assertThat(Json.parse(lines.get(0))).isEqualTo(Map.of("seq", 1.0, "hosts", List.of(Map.of("host", "}\"{"))));
+        assertThat(JsonReader.parse(lines.get(0)))
+                .isEqualTo(Map.of("seq", 1.0, "hosts", List.of(Map.of("host", "}\"{"))));
         assertThat(lines.subList(1, 6))
                 .containsExactly("", "{\"seq\":2,\"hosts\":[", "", "{\"seq\":3,\"ho", "{\"seq\":4}");
     }
 
     @Test
     void jsonIsReadOrItsPlaceNamed() {
-        assertThat(Json.parse(" {\"a\":[1,-2.5e1,true,null,\"x\\u0041\\n\"],\"b\":{}} "))
+        assertThat(JsonReader.parse(" {\"a\":[1,-2.5e1,true,null,\"x\\u0041\\n\"],\"b\":{}} "))
                 .isEqualTo(Map.of("a", java.util.Arrays.asList(1.0, -25.0, true, null, "xA\n"), "b", Map.of()));
         for (String bad :
                 new String[] {"", "{", "[1,]", "{\"a\" 1}", "\"\\x\"", "tru", "1 2", "[".repeat(100), "\"\u0001\""}) {
-            assertThatThrownBy(() -> Json.parse(bad))
+            assertThatThrownBy(() -> JsonReader.parse(bad))
                     .isInstanceOf(IllegalArgumentException.class)
                     .hasMessageContaining("character");
         }
@@ -352,7 +354,7 @@
     @Test
     void aRingWrapsGrowsAndShrinksWithoutLosingAByte() {
         long[] held = {0};
-        Ring small = new Ring(4096, by -> held[0] += by);
+        RingBuffer small = new RingBuffer(4096, by -> held[0] += by);
         StringBuilder in = new StringBuilder();
         StringBuilder out = new StringBuilder();
         for (int i = 0; i < 200; i++) {
--- a/src/test/java/hopdrum/policy/FailureStoryTest.java
+++ b/src/test/java/hopdrum/policy/FailureStoryTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import hopdrum.host.Listed;
+import hopdrum.host.Endpoint;
 import hopdrum.host.Method;
 import hopdrum.host.Outcome;
 import hopdrum.host.Plan;
@@ -93,7 +93,7 @@
         for (int i = 0; i < 5; i++) {
             door.pass(1_000_000);
             door.take();
-            door.policy.counted(door.lastName(), Outcome.UNREADABLE, 0, 1_000);
+            door.policy.counterAnswered(door.lastName(), Outcome.UNREADABLE, 0, 1_000);
         }
         assertThat(door.heard("attempt"))
                 .as("let in by the slice of what is known")
@@ -139,7 +139,8 @@
 
     @Test
     void whoCanOnlyBeLateGoesBackWhileOthersWaitAndIsServedLateWhereNobodyDoes() {
-        door.method = new Method(2_000_000, 7_500_000, Method.Repeat.IDEMPOTENT, Method.Group.ALL, 0, 0.2, false);
+        door.method = new Method(
+                2_000_000, 7_500_000, Method.RetrySafety.IDEMPOTENT, Method.DeduplicationScope.ALL, 0, 0.2, false);
         door.start(1);
         List<Policy.Rpc> taken = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
@@ -162,7 +163,7 @@
             served(50_000);
         }
         door.asked.clear();
-        door.policy.take(99, 0, 11, 0, 1, 0, 2, 5_000_000); // 2.5 s of its client's 7.5 s are gone
+        door.policy.requestReceived(99, 0, 11, 0, 1, 0, 2, 5_000_000); // 2.5 s of its client's 7.5 s are gone
         assertThat(door.asked).containsExactly("refuse 99 for 0");
     }
 
@@ -199,10 +200,10 @@
         int calls = 0;
         for (int i = 0; i < 500; i++) {
             int before = door.heard("add").size();
-            Policy.Rpc rpc = door.policy.take(1000 + i, 0, 100 + i, 0, 1, 0, 2, 7_500_000);
+            Policy.Rpc rpc = door.policy.requestReceived(1000 + i, 0, 100 + i, 0, 1, 0, 2, 7_500_000);
             if (door.heard("add").size() > before) {
                 calls++;
-                door.policy.counted(door.lastName(), Outcome.FULL, 0, 300);
+                door.policy.counterAnswered(door.lastName(), Outcome.AT_CAPACITY, 0, 300);
             }
             door.pass(4_000);
         }
@@ -215,19 +216,19 @@
     void callsLostTogetherAreOneLossAndPacingEndsOnceTheCounterAnswersAll() {
         door.start(2);
         for (int i = 0; i < 20; i++) {
-            door.policy.take(100 + i, 0, 100 + i, 0, 1, 0, 2, 7_500_000);
+            door.policy.requestReceived(100 + i, 0, 100 + i, 0, 1, 0, 2, 7_500_000);
         }
         for (long name : List.copyOf(door.names)) {
-            door.policy.counted(name, Outcome.TIMED_OUT, 0, 50_000);
+            door.policy.counterAnswered(name, Outcome.TIMED_OUT, 0, 50_000);
         }
         for (int second = 0; second < 8; second++) {
             door.asked.clear();
             for (int i = 0; i < 100; i++) {
                 door.pass(10_000);
                 int asked = door.names.size();
-                door.policy.take(1000 + 100 * second + i, 0, 1000 + 100 * second + i, 0, 1, 0, 2, 7_500_000);
+                door.policy.requestReceived(1000 + 100 * second + i, 0, 1000 + 100 * second + i, 0, 1, 0, 2, 7_500_000);
                 if (door.names.size() > asked) {
-                    door.policy.counted(door.lastName(), Outcome.OK, door.totalFor(2), 1_000);
+                    door.policy.counterAnswered(door.lastName(), Outcome.OK, door.totalFor(2), 1_000);
                 }
             }
             assertThat(door.heard("add").size()).as("asked in second " + second).isGreaterThan(90);
@@ -239,13 +240,13 @@
         door.start(2);
         for (int i = 0; i < 20; i++) {
             door.takeCounted(2);
-            door.policy.take(100 + i, 0, 100 + i, 0, 1, 0, 2, 7_500_000);
-            door.policy.counted(door.lastName(), Outcome.CONNECT_FAILED, 0, 1_000);
+            door.policy.requestReceived(100 + i, 0, 100 + i, 0, 1, 0, 2, 7_500_000);
+            door.policy.counterAnswered(door.lastName(), Outcome.CONNECT_FAILED, 0, 1_000);
             door.pass(10_000);
         }
         door.asked.clear();
         for (int i = 0; i < 20; i++) {
-            door.policy.take(200 + i, 0, 200 + i, 0, 1, 0, 2, 7_500_000);
+            door.policy.requestReceived(200 + i, 0, 200 + i, 0, 1, 0, 2, 7_500_000);
         }
         assertThat(door.heard("add")).hasSize(20);
     }
@@ -257,8 +258,8 @@
         door.start(2);
         door.takeCounted(20);
         for (int i = 0; i < 40; i++) { // another customer's calls are turned away but for the last: calls become few
-            door.policy.take(100 + i, 0, 12, 0, 1, 0, 3, 7_500_000);
-            door.policy.counted(door.lastName(), i < 39 ? Outcome.FULL : Outcome.OK, 10, 1_000);
+            door.policy.requestReceived(100 + i, 0, 12, 0, 1, 0, 3, 7_500_000);
+            door.policy.counterAnswered(door.lastName(), i < 39 ? Outcome.AT_CAPACITY : Outcome.OK, 10, 1_000);
             door.pass(60_000);
         }
         door.asked.clear();
@@ -294,11 +295,12 @@
     void theExcessOfANewNameIsLeftToItsMakerUnlessItStands() {
         door.start(3);
         door.take();
-        door.policy.counted(door.lastName(), Outcome.OK, 2, 1_000); // another gateway's unit is in it: that one made it
+        door.policy.counterAnswered(
+                door.lastName(), Outcome.OK, 2, 1_000); // another gateway's unit is in it: that one made it
         assertThat(door.heard("add")).containsExactly("add 1.0");
         door.pass(301_000);
         door.take();
-        door.policy.counted(door.lastName(), Outcome.OK, 3, 1_000);
+        door.policy.counterAnswered(door.lastName(), Outcome.OK, 3, 1_000);
         assertThat(door.heard("add"))
                 .as("its maker is gone, or its add was lost")
                 .hasSize(3);
@@ -314,17 +316,18 @@
         door.gateways = 8;
         door.start(3);
         for (int i = 0; i < 20; i++) {
-            door.policy.take(i, 0, 500 + i, 0, 1, 0, 8, 7_500_000);
-            door.policy.counted(door.lastName(), Outcome.FULL, 0, 20_000); // paced, to the least pace
+            door.policy.requestReceived(i, 0, 500 + i, 0, 1, 0, 8, 7_500_000);
+            door.policy.counterAnswered(door.lastName(), Outcome.AT_CAPACITY, 0, 20_000); // paced, to the least pace
             door.pass(60_000);
         }
         for (int second = 0; second < 10; second++) {
             door.asked.clear();
             for (int i = 0; i < 100; i++) {
                 int calls = door.names.size();
-                door.policy.take(100 * second + i, 0, 1_000 + 100 * second + i, 0, 1, 0, 8, 7_500_000);
+                door.policy.requestReceived(100 * second + i, 0, 1_000 + 100 * second + i, 0, 1, 0, 8, 7_500_000);
                 if (door.names.size() > calls) {
-                    door.policy.counted(door.lastName(), Outcome.OK, door.totalFor(3), 20_000); // as long as each takes
+                    door.policy.counterAnswered(
+                            door.lastName(), Outcome.OK, door.totalFor(3), 20_000); // as long as each takes
                 }
                 door.pass(10_000);
             }
@@ -336,12 +339,18 @@
 
     @Test
     void aRepeatThatNobodyListedMayTakeIsAnsweredAtOnce() {
-        door.method =
-                new Method(2_000_000, 7_500_000, Method.Repeat.DEDUPLICATED, Method.Group.CELL, 6_000_000, 0, false);
+        door.method = new Method(
+                2_000_000,
+                7_500_000,
+                Method.RetrySafety.DEDUPLICATED,
+                Method.DeduplicationScope.CELL,
+                6_000_000,
+                0,
+                false);
         door.start(2);
         Policy.Rpc rpc = door.takeInQuota();
         long first = door.heard("attempt").get(0).endsWith("to 1") ? 1 : 2;
-        door.list(first, Listed.State.GONE, 0);
+        door.list(first, Endpoint.State.GONE, 0);
         door.end(rpc, 0, Outcome.RESET, 1_000);
         assertThat(door.heard("abort")).hasSize(1);
     }
@@ -367,7 +376,7 @@
         door.takeCounted(1);
         door.asked.clear();
         door.take();
-        door.policy.counted(door.lastName(), Outcome.OK, 1, 1_000); // emptied: the total is this call's own
+        door.policy.counterAnswered(door.lastName(), Outcome.OK, 1, 1_000); // emptied: the total is this call's own
         assertThat(door.heard("attempt")).hasSize(1);
         double restored = Double.parseDouble(door.heard("add").get(1).substring(4));
         assertThat(door.totalFor(0) - 1 - restored)
@@ -388,7 +397,8 @@
     void anExcessThatWasTurnedAwayIsNotOwedLater() {
         door.start(3);
         door.takeCounted(20);
-        door.policy.counted(door.lastName(), Outcome.FULL, 0, 300); // another gateway will see it and add it
+        door.policy.counterAnswered(
+                door.lastName(), Outcome.AT_CAPACITY, 0, 300); // another gateway will see it and add it
         door.asked.clear();
         for (int i = 0; i < 3; i++) {
             door.take();
@@ -403,7 +413,7 @@
         door.pass(10_000_000);
         door.takeCounted(2);
         door.take();
-        door.policy.counted(door.lastName(), Outcome.FULL, 0, 300); // a call lost: paced from here on
+        door.policy.counterAnswered(door.lastName(), Outcome.AT_CAPACITY, 0, 300); // a call lost: paced from here on
         while (door.heard("tell").isEmpty() && door.clockUs < 200_000_000) {
             int calls = door.heard("add").size();
             door.take();
@@ -426,7 +436,7 @@
     @Test
     void aCustomerToldToHaveNoRoomIsRefusedWithoutCallsUntilItsRefillMakesRoom() {
         door.start(3);
-        door.policy.heard(told(11, -1));
+        door.policy.gossipReceived(told(11, -1));
         for (int i = 0; i < 10; i++) {
             door.take();
         }
@@ -445,8 +455,8 @@
         door.gateways = 100;
         door.start(3);
         long customer = (1L << 33) - 2;
-        door.policy.heard(told(customer, 0.5f));
-        door.policy.take(1, 0, customer, 0, 1, 0, 100, 7_500_000);
+        door.policy.gossipReceived(told(customer, 0.5f));
+        door.policy.requestReceived(1, 0, customer, 0, 1, 0, 100, 7_500_000);
         assertThat(door.heard("refuse")).hasSize(1);
         assertThat(door.heard("add")).isEmpty();
     }
@@ -454,11 +464,11 @@
     @Test
     void aFalseWordKeepsNobodyOutForLongerThanTwoBurstsTakeToRefill() {
         door.start(3);
-        door.policy.heard(told(11, Float.NaN));
-        door.policy.heard(told(11, Float.NEGATIVE_INFINITY));
+        door.policy.gossipReceived(told(11, Float.NaN));
+        door.policy.gossipReceived(told(11, Float.NEGATIVE_INFINITY));
         door.takeInQuota();
         assertThat(door.heard("attempt")).as("no number tells nothing").hasSize(1);
-        door.policy.heard(told(11, -1e30f));
+        door.policy.gossipReceived(told(11, -1e30f));
         door.pass(4_000_000);
         door.takeInQuota();
         assertThat(door.heard("attempt")).hasSize(2);
@@ -468,7 +478,7 @@
     void aWordOfMoreRoomThanIsKnownHereChangesNothing() {
         door.start(3);
         door.takeCounted(-3);
-        door.policy.heard(told(11, 0.9f));
+        door.policy.gossipReceived(told(11, 0.9f));
         door.asked.clear();
         door.pass(500_000);
         door.take();
@@ -481,12 +491,12 @@
         door.start(3);
         door.pass(10_000_000);
         door.takeCounted(2);
-        door.policy.take(499, 0, 499, 0, 1, 0, 100, 7_500_000);
-        door.policy.counted(door.lastName(), Outcome.FULL, 0, 300); // paced from here on
+        door.policy.requestReceived(499, 0, 499, 0, 1, 0, 100, 7_500_000);
+        door.policy.counterAnswered(door.lastName(), Outcome.AT_CAPACITY, 0, 300); // paced from here on
         door.asked.clear();
         for (int i = 0; i < 40; i++) {
             door.pass(2_000_000);
-            door.policy.take(500 + i, 0, 500 + i, 0, 1, 0, 100, 7_500_000);
+            door.policy.requestReceived(500 + i, 0, 500 + i, 0, 1, 0, 100, 7_500_000);
         }
         assertThat(door.heard("add")).hasSize(40);
     }
@@ -497,9 +507,9 @@
         door.start(3);
         door.pass(1_000_000);
         door.takeCounted(2);
-        door.policy.take(499, 0, 499, 0, 1, 0, 100, 7_500_000);
-        door.policy.counted(door.lastName(), Outcome.FULL, 0, 300);
-        door.policy.take(498, 0, 498, 0, 1, 0, 100, 7_500_000); // the one call that the pace leaves
+        door.policy.requestReceived(499, 0, 499, 0, 1, 0, 100, 7_500_000);
+        door.policy.counterAnswered(door.lastName(), Outcome.AT_CAPACITY, 0, 300);
+        door.policy.requestReceived(498, 0, 498, 0, 1, 0, 100, 7_500_000); // the one call that the pace leaves
         door.asked.clear();
     }
 
@@ -507,7 +517,7 @@
     void whoIsNotToldToBeBeyondIsLetInWhereNoCallCanBeMadeAndTheCounterAnswers() {
         crowdHundredGateways();
         for (int i = 0; i < 20; i++) {
-            door.policy.take(500 + i, 0, 500 + i, 0, 1, 0, 100, 7_500_000);
+            door.policy.requestReceived(500 + i, 0, 500 + i, 0, 1, 0, 100, 7_500_000);
         }
         assertThat(door.heard("add")).isEmpty();
         assertThat(door.heard("refuse"))
@@ -519,12 +529,12 @@
     void whatSlicesThatHoldNoRpcLetInIsAddedByTheNextCallsForCustomersLikeThem() {
         crowdHundredGateways();
         for (int i = 0; i < 8; i++) {
-            door.policy.take(500 + i, 0, 500 + i, 0, 1, 0, 100, 7_500_000);
+            door.policy.requestReceived(500 + i, 0, 500 + i, 0, 1, 0, 100, 7_500_000);
         }
         assertThat(door.heard("add")).isEmpty();
         assertThat(door.heard("refuse")).as("some are let in").hasSizeLessThan(7);
         door.pass(3_000_000);
-        door.policy.take(600, 0, 600, 0, 1, 0, 100, 7_500_000);
+        door.policy.requestReceived(600, 0, 600, 0, 1, 0, 100, 7_500_000);
         assertThat(door.heard("add")).containsExactly("add 3.0");
     }
 
@@ -532,7 +542,7 @@
     void aReaderAddsNothingAheadForSlicesThatHoldNoRpc() {
         crowdHundredGateways();
         door.pass(3_000_000);
-        door.policy.take(600, 0, 600, 0, 1, 0, 100, 7_500_000);
+        door.policy.requestReceived(600, 0, 600, 0, 1, 0, 100, 7_500_000);
         door.answer(-0.5);
         assertThat(door.heard("tell")).as("its other gateways").hasSize(99);
         assertThat(door.heard("add")).containsExactly("add 1.0", "add -1.0");
@@ -544,7 +554,7 @@
         door.start(3);
         door.pass(10_000_000);
         for (int i = 0; i < 20; i++) {
-            door.policy.take(i, 0, 500 + i, 0, 1, 0, 100, 7_500_000);
+            door.policy.requestReceived(i, 0, 500 + i, 0, 1, 0, 100, 7_500_000);
         }
         door.pass(60_000);
         assertThat(door.heard("refuse")).isEmpty();
@@ -574,7 +584,7 @@
         door.start(2);
         Policy.Rpc rpc = door.takeInQuota();
         String first = door.heard("attempt 1 ").get(0).replaceAll(".* to ", " to ");
-        door.end(rpc, 0, Outcome.FULL, 400_000);
+        door.end(rpc, 0, Outcome.AT_CAPACITY, 400_000);
         door.end(rpc, 1, Outcome.OK, 50_000);
         door.asked.clear();
         for (int i = 0; i < 4; i++) {
--- a/src/test/java/hopdrum/policy/FakeHost.java
+++ b/src/test/java/hopdrum/policy/FakeHost.java
@@ -1,13 +1,13 @@
 package hopdrum.policy;
 
-import hopdrum.host.Distances;
+import hopdrum.host.Endpoint;
 import hopdrum.host.Host;
-import hopdrum.host.Listed;
 import hopdrum.host.Method;
 import hopdrum.host.Outcome;
 import hopdrum.host.Plan;
+import hopdrum.host.QuotaLease;
 import hopdrum.host.Settings;
-import hopdrum.host.Sharers;
+import hopdrum.host.ZoneLatencies;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -17,15 +17,16 @@
     final List<String> asked = new ArrayList<>();
     final List<Long> names = new ArrayList<>();
     final List<Long> beginWithin = new ArrayList<>(); // of each attempt
-    Method method = new Method(2_000_000, 7_500_000, Method.Repeat.IDEMPOTENT, Method.Group.ALL, 0, 0, false);
+    Method method =
+            new Method(2_000_000, 7_500_000, Method.RetrySafety.IDEMPOTENT, Method.DeduplicationScope.ALL, 0, 0, false);
     Plan plan = new Plan(2, 4, 0, 0, 0, 0);
     int gateways = 2;
     int ordinal;
-    boolean secondCopies = true;
+    boolean hedgingAllowed = true;
     long clockUs = 90_000_000;
     Policy policy;
-    Sharers sharers; // null: no fleet
-    Distances distances; // null: no map
+    QuotaLease sharers; // null: no fleet
+    ZoneLatencies distances; // null: no map
     long owner; // 0: this tier
     long ownedForUs = Long.MAX_VALUE / 2;
     private long wakeUs = Long.MAX_VALUE;
@@ -47,7 +48,7 @@
                         true,
                         true,
                         1_000_000,
-                        secondCopies,
+                        hedgingAllowed,
                         false,
                         false,
                         List.of("depth"),
@@ -58,19 +59,21 @@
                 7,
                 this);
         for (int i = 1; i <= backends; i++) {
-            list(i, Listed.State.READY, 0);
+            list(i, Endpoint.State.READY, 0);
         }
         pass(10_000);
         return this;
     }
 
-    void list(long backend, Listed.State state, long startedAtUs) {
-        policy.listed(
-                0, Listed.Form.CHANGES, List.of(new Listed(backend, 0, 0, (int) backend % 2, state, 1, startedAtUs)));
+    void list(long backend, Endpoint.State state, long startedAtUs) {
+        policy.endpointsUpdated(
+                0,
+                Endpoint.UpdateKind.INCREMENTAL,
+                List.of(new Endpoint(backend, 0, 0, (int) backend % 2, state, 1, startedAtUs)));
     }
 
     Policy.Rpc take() {
-        return policy.take(++lastId, 0, 11, 0, 1, 0, 2, 7_500_000);
+        return policy.requestReceived(++lastId, 0, 11, 0, 1, 0, 2, 7_500_000);
     }
 
     Policy.Rpc takeInQuota() {
@@ -85,7 +88,7 @@
     }
 
     void answer(double room) {
-        policy.counted(lastName(), Outcome.OK, totalFor(room), 1_000);
+        policy.counterAnswered(lastName(), Outcome.OK, totalFor(room), 1_000);
     }
 
     long lastName() {
@@ -109,7 +112,7 @@
         while (wakeUs <= endUs) {
             clockUs = Math.max(clockUs, wakeUs);
             wakeUs = Long.MAX_VALUE;
-            policy.wake();
+            policy.wakeUp();
         }
         clockUs = endUs;
     }
@@ -119,22 +122,22 @@
     }
 
     @Override
-    public Distances distances() {
+    public ZoneLatencies zoneLatencies() {
         return distances;
     }
 
     @Override
-    public long owner(long id, long customer) {
+    public long ownerTier(long id, long customer) {
         return owner;
     }
 
     @Override
-    public long ownedForUs(long customer) {
+    public long ownershipAgeUs(long customer) {
         return ownedForUs;
     }
 
     @Override
-    public Sharers sharers() {
+    public QuotaLease quotaLease() {
         return sharers;
     }
 
@@ -155,7 +158,7 @@
     }
 
     @Override
-    public void refuse(long rpc, long retryAfterUs) {
+    public void reject(long rpc, long retryAfterUs) {
         asked.add("refuse " + rpc + " for " + retryAfterUs);
     }
 
@@ -165,23 +168,23 @@
     }
 
     @Override
-    public void addToCount(long name, double units, long timeToLiveUs) {
+    public void addToCounter(long name, double units, long timeToLiveUs) {
         asked.add("add " + units);
         names.add(name);
     }
 
     @Override
-    public void tell(int gateway, byte[] message) {
+    public void sendToPeer(int gateway, byte[] message) {
         asked.add("tell " + gateway);
     }
 
     @Override
-    public void wakeIn(long delayUs) {
+    public void scheduleWakeUp(long delayUs) {
         wakeUs = Math.min(wakeUs, clockUs + delayUs);
     }
 
     @Override
-    public void followList() {
+    public void pollEndpointList() {
         asked.add("follow");
     }
 }
--- a/src/test/java/hopdrum/policy/PartnersStoryTest.java
+++ b/src/test/java/hopdrum/policy/PartnerForwardingTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import hopdrum.host.Listed;
+import hopdrum.host.Endpoint;
 import hopdrum.host.Method;
 import hopdrum.host.Outcome;
 import hopdrum.host.Plan;
@@ -11,18 +11,18 @@
 import org.junit.jupiter.api.Test;
 
 /** What becomes of RPCs whose customers are another's: backends 1 and 2 are this tier's, doors 11 and 12 a partner's. */
-class PartnersStoryTest {
+class PartnerForwardingTest {
     private final FakeHost door = new FakeHost();
 
     @BeforeEach
     void start() {
         door.start(2);
-        door.policy.listed(
+        door.policy.endpointsUpdated(
                 2,
-                Listed.Form.WHOLE,
+                Endpoint.UpdateKind.COMPLETE,
                 List.of(
-                        new Listed(11, 0, 0, 0, Listed.State.READY, 1, 0),
-                        new Listed(12, 0, 0, 0, Listed.State.READY, 1, 0)));
+                        new Endpoint(11, 0, 0, 0, Endpoint.State.READY, 1, 0),
+                        new Endpoint(12, 0, 0, 0, Endpoint.State.READY, 1, 0)));
         door.owner = 2;
     }
 
@@ -54,7 +54,8 @@
 
     @Test
     void whatMayHaveRunAtAPartnerAndMayNotRunTwiceIsAborted() {
-        door.method = new Method(2_000_000, 7_500_000, Method.Repeat.NON_IDEMPOTENT, Method.Group.ALL, 0, 0, false);
+        door.method = new Method(
+                2_000_000, 7_500_000, Method.RetrySafety.NON_IDEMPOTENT, Method.DeduplicationScope.ALL, 0, 0, false);
         start();
         Policy.Rpc rpc = door.take();
         door.end(rpc, 0, Outcome.RESET, 5_000);
@@ -72,7 +73,7 @@
     @Test
     void aPartnersRefusalIsTheEndOfIt() {
         Policy.Rpc rpc = door.take();
-        rpc.attemptEnded(0, Outcome.MOOT, 5_000, true, 0, FakeHost.NO_REPORT); // the client has it already
+        rpc.attemptEnded(0, Outcome.INVALID_REQUEST, 5_000, true, 0, FakeHost.NO_REPORT); // the client has it already
         assertThat(rpc.over()).isTrue();
         assertThat(door.heard("refuse")).isEmpty();
         assertThat(door.heard("attempt")).hasSize(1);
@@ -95,7 +96,8 @@
         door.start(2);
         door.owner = 0;
         Policy.Rpc rpc = door.take();
-        door.policy.counted(door.lastName(), Outcome.OK, 1, 1_000); // it made the name: only its own unit is there
+        door.policy.counterAnswered(
+                door.lastName(), Outcome.OK, 1, 1_000); // it made the name: only its own unit is there
         assertThat(door.heard("attempt")).hasSize(1);
         double trimmed = Double.parseDouble(door.heard("add").get(1).substring(4));
         assertThat(door.totalFor(0) - 1 - trimmed).as("room left after it").isBetween(-0.01, 0.01);
--- a/src/test/java/hopdrum/policy/QuotaStoryTest.java
+++ b/src/test/java/hopdrum/policy/QuotaStoryTest.java
@@ -55,7 +55,7 @@
         door.asked.clear();
         long name = door.names.get(0);
         for (int i = 1; i <= 3; i++) {
-            door.policy.counted(name, Outcome.OK, door.totalFor(-i), 30_000);
+            door.policy.counterAnswered(name, Outcome.OK, door.totalFor(-i), 30_000);
         }
         assertThat(door.heard("add -1.0"))
                 .as("only what was not let in goes back")
--- a/src/test/java/hopdrum/policy/RulesStoryTest.java
+++ b/src/test/java/hopdrum/policy/RulesStoryTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import hopdrum.host.Listed;
+import hopdrum.host.Endpoint;
 import hopdrum.host.Method;
 import hopdrum.host.Outcome;
 import hopdrum.host.Plan;
@@ -12,7 +12,7 @@
 class RulesStoryTest {
     private final FakeHost door = new FakeHost();
 
-    private void method(Method.Repeat repeat, Method.Group group) {
+    private void method(Method.RetrySafety repeat, Method.DeduplicationScope group) {
         door.method = new Method(2_000_000, 7_500_000, repeat, group, 1_000_000, 0, false);
     }
 
@@ -29,7 +29,7 @@
 
     @Test
     void aNonIdempotentRpcThatMayHaveRunIsAbortedAndNeverSentAgain() {
-        method(Method.Repeat.NON_IDEMPOTENT, Method.Group.ALL);
+        method(Method.RetrySafety.NON_IDEMPOTENT, Method.DeduplicationScope.ALL);
         door.start(3);
         Policy.Rpc rpc = door.takeInQuota();
         door.end(rpc, 0, Outcome.ERROR, 5_000);
@@ -40,15 +40,15 @@
 
     @Test
     void aNonIdempotentRpcThatIsKnownNotToHaveRunMayBeSentAgain() {
-        method(Method.Repeat.NON_IDEMPOTENT, Method.Group.ALL);
+        method(Method.RetrySafety.NON_IDEMPOTENT, Method.DeduplicationScope.ALL);
         door.start(3);
-        door.end(door.takeInQuota(), 0, Outcome.FULL, 5_000);
+        door.end(door.takeInQuota(), 0, Outcome.AT_CAPACITY, 5_000);
         assertThat(door.heard("attempt 1 ")).hasSize(2);
     }
 
     @Test
     void aDeduplicatedRpcStaysInTheCellOfItsFirstAttemptAndIsNeverRefused() {
-        method(Method.Repeat.DEDUPLICATED, Method.Group.CELL);
+        method(Method.RetrySafety.DEDUPLICATED, Method.DeduplicationScope.CELL);
         door.start(4);
         Policy.Rpc rpc = door.takeInQuota();
         for (int i = 0; i < 3; i++) {
@@ -65,7 +65,7 @@
 
     @Test
     void aDeduplicatedRpcIsNotSentAgainOnceItsWindowHasPassed() {
-        method(Method.Repeat.DEDUPLICATED, Method.Group.ALL);
+        method(Method.RetrySafety.DEDUPLICATED, Method.DeduplicationScope.ALL);
         door.start(4);
         Policy.Rpc rpc = door.takeInQuota();
         door.pass(1_100_000);
@@ -79,7 +79,7 @@
 
     @Test
     void aRepeatIsToldByWhenItHasToBeginHoweverLateItsConnectionIs() {
-        method(Method.Repeat.DEDUPLICATED, Method.Group.ALL);
+        method(Method.RetrySafety.DEDUPLICATED, Method.DeduplicationScope.ALL);
         door.start(4);
         Policy.Rpc rpc = door.takeInQuota();
         door.pass(300_000);
@@ -104,7 +104,7 @@
 
     @Test
     void whereTwoAttemptsAtOnceAreForbiddenTheFirstIsCancelledBeforeAnotherAndOnlyAwayFromAnEjectedBackend() {
-        door.secondCopies = false;
+        door.hedgingAllowed = false;
         door.start(3);
         Policy.Rpc rpc = door.takeInQuota();
         door.pass(1_500_000);
@@ -121,7 +121,7 @@
     @Test
     void aBackendThatDrainsGetsNothingNew() {
         door.start(2);
-        door.list(1, Listed.State.DRAINING, 0);
+        door.list(1, Endpoint.State.DRAINING, 0);
         for (int i = 0; i < 3; i++) {
             door.end(door.takeInQuota(), 0, Outcome.OK, 100_000);
         }
@@ -131,7 +131,7 @@
     @Test
     void aColdBackendGetsThisGatewaysShareOfItsRampAlone() {
         door.start(0);
-        door.list(1, Listed.State.READY, door.clockUs);
+        door.list(1, Endpoint.State.READY, door.clockUs);
         for (int i = 0; i < 20; i++) {
             Policy.Rpc rpc = door.takeInQuota();
             if (!door.heard("attempt " + (i + 1) + " ").isEmpty()) {
@@ -148,7 +148,7 @@
         door.plan = new Plan(2, 4, 0, 2.2, 4.4, 0.4);
         door.start(3);
         door.take();
-        door.policy.counted(
+        door.policy.counterAnswered(
                 door.lastName(),
                 Outcome.OK,
                 1,
@@ -181,14 +181,14 @@
     @Test
     void oddListsSetsAndMessagesAreBorne() {
         door.start(2);
-        door.policy.listed(0, Listed.Form.WHOLE, List.of()); // empty
+        door.policy.endpointsUpdated(0, Endpoint.UpdateKind.COMPLETE, List.of()); // empty
         door.takeInQuota();
-        door.list(1, Listed.State.READY, 0);
-        door.list(1, Listed.State.READY, 0); // twice
-        door.policy.heard(new byte[3]);
+        door.list(1, Endpoint.State.READY, 0);
+        door.list(1, Endpoint.State.READY, 0); // twice
+        door.policy.gossipReceived(new byte[3]);
         assertThat(door.heard("attempt 1 ")).hasSize(1);
-        door.policy.take(50, 0, 12, 0, 1, 1, 9, 7_500_000); // more gateways in its set than there are
-        door.policy.counted(door.lastName(), Outcome.OK, 1, 1_000);
+        door.policy.requestReceived(50, 0, 12, 0, 1, 1, 9, 7_500_000); // more gateways in its set than there are
+        door.policy.counterAnswered(door.lastName(), Outcome.OK, 1, 1_000);
         assertThat(door.heard("attempt 50 ")).hasSize(1);
     }
 }
--- a/src/test/java/hopdrum/policy/ColdFleetStoryTest.java
+++ b/src/test/java/hopdrum/policy/SlowStartFleetTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import hopdrum.host.Listed;
+import hopdrum.host.Endpoint;
 import hopdrum.host.Outcome;
 import hopdrum.host.Plan;
 import java.util.ArrayList;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Many gateways and one cold backend: what counts there is the sum of what all of them send. */
-class ColdFleetStoryTest {
+class SlowStartFleetTest {
     private static final int GATEWAYS = 30;
     private static final long STEP_US = 10_000;
     private static final long WINDOW_US = 1_500_000; // as in FakeHost's settings, like the ramp's figures
@@ -75,9 +75,9 @@
             for (int i = 0; i < GATEWAYS; i++) {
                 if (i % 3 == 0 && ageUs == Math.max(toldAtAgeUs, 4_000_000) + 1_000_000) { // forgets what it has sent
                     gateways.set(i, new Gateway(i, bornUs + ageUs));
-                    gateways.get(i).host.list(1, Listed.State.READY, bornUs);
+                    gateways.get(i).host.list(1, Endpoint.State.READY, bornUs);
                 } else if (ageUs == toldAtAgeUs) {
-                    gateways.get(i).host.list(1, Listed.State.READY, bornUs);
+                    gateways.get(i).host.list(1, Endpoint.State.READY, bornUs);
                 }
                 if (gateways.get(i).step()) {
                     sentAtAge.add(ageUs);
