--- a/src/test/java/hopdrum/policy/DistancesStoryTest.java
+++ b/src/test/java/hopdrum/policy/ZoneLatencyRoutingTest.java
@@ -2,25 +2,27 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import hopdrum.host.Distances;
-import hopdrum.host.Listed;
+import hopdrum.host.Endpoint;
 import hopdrum.host.Outcome;
+import hopdrum.host.ZoneLatencies;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Where RPCs go when a map tells how far zones are: zone 0 is here, zone 1 is far. */
-class DistancesStoryTest {
+class ZoneLatencyRoutingTest {
     private final FakeHost door = new FakeHost();
 
     /** Backends 1 and 2 here, 3 and 4 far. */
     private void start(long farUs) {
         door.gateways = 1;
         door.start(0);
-        door.distances = new Distances(new long[] {0, farUs});
+        door.distances = new ZoneLatencies(new long[] {0, farUs});
         for (int i = 1; i <= 4; i++) {
-            door.policy.listed(
-                    0, Listed.Form.CHANGES, List.of(new Listed(i, i <= 2 ? 0 : 1, 0, i, Listed.State.READY, 1, 0)));
+            door.policy.endpointsUpdated(
+                    0,
+                    Endpoint.UpdateKind.INCREMENTAL,
+                    List.of(new Endpoint(i, i <= 2 ? 0 : 1, 0, i, Endpoint.State.READY, 1, 0)));
         }
         door.pass(10_000);
     }
