--- a/src/main/java/hopdrum/Main.java
+++ b/src/main/java/hopdrum/Main.java
@@ -22,10 +22,12 @@
             case "train" -> exitUnlessZero(Server.train(System.getenv("LB_CONFIG")));
             case "benchlink" -> exitUnlessZero(benchlink());
             default -> {
-                System.err.println("usage: hopdrum serve       (a front door on sockets, as LB_CONFIG describes)\n"
-                        + "       hopdrum serve --fleet FILE   (the same as one of a fleet, as FILE describes)\n"
-                        + "       hopdrum train       (start and end among nobody; the build makes its class archive so)\n"
-                        + "       hopdrum benchlink   (decide on the bench's wire, standard input to output)");
+                System.err.println("""
+                                   usage: hopdrum serve       (a front door on sockets, as LB_CONFIG describes)
+                                          hopdrum serve --fleet FILE   (the same as one of a fleet, as FILE describes)
+                                          hopdrum train       (start and end among nobody; the build makes its class archive so)
+                                          hopdrum benchlink   (decide on the bench's wire, standard input to output)\
+                                   """);
                 System.exit(2);
             }
         }
--- a/src/main/java/hopdrum/fleet/PeerAdmission.java
+++ b/src/main/java/hopdrum/fleet/PeerAdmission.java
@@ -11,7 +11,7 @@
         if (!hello.fleet().equals(file.fleet())) {
             return "another fleet";
         }
-        if (hello.shards() != file.shards() || file.shards() > 0 && hello.mostAloneMs() != file.mostAloneMs()) {
+        if (hello.shards() != file.shards() || (file.shards() > 0 && hello.mostAloneMs() != file.mostAloneMs())) {
             return "other shards or most_alone_ms"; // a taker counts the time out that a giver may have
         }
         if (!file.operators().contains(hello.who().operator())) {
--- a/src/main/java/hopdrum/fleet/latency/LatencyMap.java
+++ b/src/main/java/hopdrum/fleet/latency/LatencyMap.java
@@ -123,12 +123,12 @@
         long born = nowUs - r.ageUs();
         Key key = new Key(r.observer(), r.to());
         Held before = held.get(key);
-        if (nowUs - born > OLDEST_US || before == null && held.size() >= MOST_READINGS) {
+        if (nowUs - born > OLDEST_US || (before == null && held.size() >= MOST_READINGS)) {
             return;
         }
         boolean later = before == null
                 || r.start() > before.reading.start()
-                || r.start() == before.reading.start() && r.seq() > before.reading.seq();
+                || (r.start() == before.reading.start() && r.seq() > before.reading.seq());
         boolean same = before != null && r.start() == before.reading.start() && r.seq() == before.reading.seq();
         if (later) {
             held.put(key, new Held(r, born));
@@ -168,7 +168,7 @@
         for (Held h : held.values()) {
             LatencyReading r = h.reading;
             boolean ofPair =
-                    r.from().equals(from) && r.to().equals(to) || r.from().equals(to) && r.to().equals(from);
+                    (r.from().equals(from) && r.to().equals(to)) || (r.from().equals(to) && r.to().equals(from));
             long age = nowUs - h.bornUs;
             if (ofPair && age <= OLDEST_US) {
                 seen.add(new double[] {r.rttUs(), weight(age)});
@@ -189,11 +189,11 @@
         double fresh = weight(youngest);
         if (mine != null) { // never below what this member has seen at best: nobody's word shortens a way
             long least = own.get(from.equals(self.site()) ? to : from).leastUs;
-            double value = seen.size() >= MANY ? median : within(median, mine.rttUs);
+            double value = seen.size() >= MANY ? median : within(median, (double) mine.rttUs);
             return new Way(Math.max(least, (long) value), fresh / (1 + apart), Kind.SEEN, youngest);
         }
         if (seen.size() < MANY) {
-            double value = guess == null ? median : within(median, guess.rttUs);
+            double value = guess == null ? median : within(median, (double) guess.rttUs);
             return new Way((long) value, TOLD_SURE * fresh, Kind.TOLD, youngest);
         }
         return new Way((long) median, fresh / (1 + apart), Kind.MEASURED, youngest);
--- a/src/main/java/hopdrum/fleet/message/ShardAssignment.java
+++ b/src/main/java/hopdrum/fleet/message/ShardAssignment.java
@@ -75,7 +75,8 @@
         }
         for (int i = 0; i < owners.length(); i++) {
             Member.check(
-                    owners.charAt(i) == NOBODY || owners.charAt(i) >= 'A' && owners.charAt(i) < 'A' + operators.size(),
+                    owners.charAt(i) == NOBODY
+                            || (owners.charAt(i) >= 'A' && owners.charAt(i) < 'A' + operators.size()),
                     "an owner");
         }
     }
--- a/src/main/java/hopdrum/fleet/shards/ShardAssignmentRule.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardAssignmentRule.java
@@ -50,7 +50,7 @@
         return terms.revision() == (last == null ? 1 : last.revision() + 1)
                 && nowMs >= terms.fromMs()
                 && (isNotice(last, terms, agreedBy, nowMs)
-                        || terms.faults(nowMs, mostAloneMs).isEmpty() && agreedBy.containsAll(terms.operators()));
+                        || (terms.faults(nowMs, mostAloneMs).isEmpty() && agreedBy.containsAll(terms.operators())));
     }
 
     /** One party alone may end an agreement sooner, as the terms that all have agreed to say: nothing else may change. */
@@ -80,7 +80,7 @@
             return "it divides nothing";
         }
         if (next.asOfMs() > nowMs + CLOCKS_APART_MS
-                || last != null && next.asOfMs() < last.asOfMs() - CLOCKS_APART_MS) {
+                || (last != null && next.asOfMs() < last.asOfMs() - CLOCKS_APART_MS)) {
             return "its time cannot be";
         }
         boolean other = !Objects.equals(next.agreement(), last == null ? null : last.agreement());
@@ -104,7 +104,7 @@
             View before, Set<String> present, PartnerAgreement ready, List<String> agreedBy, long nowMs) {
         ShardAssignment last = before.division();
         PartnerAgreement terms = ready != null ? ready : last == null ? null : last.agreement();
-        boolean expired = terms != null && (nowMs >= terms.untilMs() || ready == null && last.expired());
+        boolean expired = terms != null && (nowMs >= terms.untilMs() || (ready == null && last.expired()));
         TreeSet<String> operators = new TreeSet<>(present);
         Map<String, Integer> has = new HashMap<>();
         for (int i = 0; last != null && i < shards; i++) {
--- a/src/main/java/hopdrum/fleet/shards/ShardLeases.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardLeases.java
@@ -159,7 +159,7 @@
         long atUs = (at == null ? adopted.lastEntry() : at).getValue().atUs;
         if (move.from().isEmpty()
                 || firstNumber >= move.number()
-                || adopted.firstKey() >= move.number() && firstNumber > 0) {
+                || (adopted.firstKey() >= move.number() && firstNumber > 0)) {
             return atUs + spanUs(mostAloneUs); // who had it, and until when, was never seen here
         }
         long opens = PAST;
--- a/src/main/java/hopdrum/fleet/view/FailureDetector.java
+++ b/src/main/java/hopdrum/fleet/view/FailureDetector.java
@@ -516,7 +516,7 @@
         } else if (e.state == State.LEFT || !r.about().is(e.member)) {
             return; // who left does not come back under the same start; the same start cannot be two voters
         } else if (r.incarnation() > e.incarnation
-                || r.incarnation() == e.incarnation && r.state().ordinal() > e.state.ordinal()) {
+                || (r.incarnation() == e.incarnation && r.state().ordinal() > e.state.ordinal())) {
             take(e, r, nowUs);
         } else if (r.incarnation() == e.incarnation
                 && r.state() == State.SUSPECT
--- a/src/main/java/hopdrum/fleet/view/ViewConsensus.java
+++ b/src/main/java/hopdrum/fleet/view/ViewConsensus.java
@@ -203,7 +203,7 @@
         boolean chair = isChair();
         ShardAssignment next = chair && now != null ? dividing.next(view, now) : view.division();
         boolean divides = next != null && !next.isLike(view.division());
-        if (now == null || sameStarts(now, view.members()) && !divides) {
+        if (now == null || (sameStarts(now, view.members()) && !divides)) {
             wanted = null;
             changeSinceUs = NOTHING;
             return;
@@ -369,7 +369,7 @@
         if (superseded) {
             return false;
         }
-        if (view.era() > era || view.era() == era && view.number() > number) {
+        if (view.era() > era || (view.era() == era && view.number() > number)) {
             reply(from, new Message.ViewSettled(view));
             return false;
         }
@@ -456,7 +456,7 @@
     }
 
     public void heard(Member from, Message.SettledViewRequest ask, long nowUs) {
-        if (view.era() > ask.era() || view.era() == ask.era() && view.number() > ask.number()) {
+        if (view.era() > ask.era() || (view.era() == ask.era() && view.number() > ask.number())) {
             reply(from, new Message.ViewSettled(view));
         }
         drain(nowUs);
@@ -464,7 +464,7 @@
 
     /** A peer has named its settled view: one that is behind asks, and one that is ahead tells. */
     public void peerHas(Member from, long era, long number, long nowUs) {
-        boolean ahead = era > view.era() || era == view.era() && number > view.number();
+        boolean ahead = era > view.era() || (era == view.era() && number > view.number());
         if (ahead && nowUs - askedUs > timing.pingUs()) {
             askedUs = nowUs;
             reply(from, new Message.SettledViewRequest(view.era(), view.number()));
@@ -481,7 +481,7 @@
     private void adopt(View settled, String how, long nowUs) {
         boolean next = settled.era() == view.era() && settled.number() > view.number();
         boolean otherEra = settled.era() > view.era() && (view.era() == 0 || !leases.holds(nowUs));
-        if (!next && !otherEra || settled.era() == 0) {
+        if ((!next && !otherEra) || settled.era() == 0) {
             return;
         }
         boolean follows = next && settled.number() == view.number() + 1;
--- a/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
@@ -183,7 +183,7 @@
         Attempt over = detach();
         Outcome outcome = pool.isDoor ? BackendResponse.outcomeOfDoor(reader) : BackendResponse.outcome(in, reader);
         float[] report = BackendResponse.report(in, reader, reportFields);
-        if (outcome == Outcome.OK || pool.isDoor && HttpWriter.isAnswer(reader.status())) {
+        if (outcome == Outcome.OK || (pool.isDoor && HttpWriter.isAnswer(reader.status()))) {
             owner.pass(over, in, reader);
         }
         if (keeps) {
--- a/src/main/java/hopdrum/frontdoor/connection/BackendDirectory.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendDirectory.java
@@ -66,7 +66,7 @@
             // Only what is not named any more: unlisting closes a backend's idle connections.
             Set<String> named = new HashSet<>();
             entries.forEach(entry -> named.add(entry.name));
-            byName.forEach((name, pool) -> pool.listed(named.contains(name) || pool.isDoor && pool.isListed()));
+            byName.forEach((name, pool) -> pool.listed(named.contains(name) || (pool.isDoor && pool.isListed())));
         }
         List<Endpoint> listed = new ArrayList<>();
         for (Entry entry : entries) {
--- a/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
@@ -144,7 +144,7 @@
                 boolean keeps = reader.keepAlive();
                 reader.done(in);
                 report(call, outcome, total);
-                if ((!keeps || leaves && unanswered.isEmpty()) && !isClosed()) {
+                if ((!keeps || (leaves && unanswered.isEmpty())) && !isClosed()) {
                     endCalls();
                     close();
                 }
--- a/src/main/java/hopdrum/frontdoor/wire/BackendResponse.java
+++ b/src/main/java/hopdrum/frontdoor/wire/BackendResponse.java
@@ -48,7 +48,7 @@
     public static Outcome outcomeOfDoor(HttpReader in) {
         return in.status() == 200
                 ? Outcome.OK
-                : in.status() == 503 || in.status() >= 400 && in.status() < 500
+                : in.status() == 503 || (in.status() >= 400 && in.status() < 500)
                         ? Outcome.INVALID_REQUEST
                         : Outcome.ERROR;
     }
--- a/src/main/java/hopdrum/frontdoor/wire/EndpointListReader.java
+++ b/src/main/java/hopdrum/frontdoor/wire/EndpointListReader.java
@@ -97,7 +97,7 @@
      */
     private void lineEnds() throws MalformedMessageException {
         String present = new String(line, lineFrom, length - lineFrom, StandardCharsets.UTF_8).strip();
-        if (lineFrom > 0 && (present.isEmpty() || present.startsWith("{") && present.contains("\"seq\""))) {
+        if (lineFrom > 0 && (present.isEmpty() || (present.startsWith("{") && present.contains("\"seq\"")))) {
             messageEnds(lineFrom);
             for (byte b : (present + "\n").getBytes(StandardCharsets.UTF_8)) {
                 data(b);
--- a/src/main/java/hopdrum/frontdoor/wire/HttpReader.java
+++ b/src/main/java/hopdrum/frontdoor/wire/HttpReader.java
@@ -170,7 +170,7 @@
                 }
                 line(ring, lineFrom, to);
                 lineFrom = scanned;
-            } else if (b < ' ' && b != '\t' && b != '\r' && b >= 0 || b == 127) {
+            } else if ((b < ' ' && b != '\t' && b != '\r' && b >= 0) || b == 127) {
                 throw new MalformedMessageException(400, "a control character in the head");
             } else if (scanned > 1 && ring.at(scanned - 2) == '\r') {
                 throw new MalformedMessageException(400, "a carriage return stands alone");
@@ -267,7 +267,7 @@
         for (int i = 0; i < fields; i++) {
             if (isNamed(ring, i, CONTENT_LENGTH)) {
                 long value = number(ring, valueFrom(i), valueTo(i));
-                if (value < 0 || lengthGiven && value != length) {
+                if (value < 0 || (lengthGiven && value != length)) {
                     throw new MalformedMessageException(400, "the content length is malformed");
                 }
                 lengthGiven = true;
--- a/src/main/java/hopdrum/frontdoor/wire/RequestHead.java
+++ b/src/main/java/hopdrum/frontdoor/wire/RequestHead.java
@@ -172,7 +172,7 @@
         long value = 0;
         for (int i = from; i < to; i++) {
             int digit = Character.digit(ring.at(i), 16);
-            if (digit < 0 || value >= MOST_CUSTOMER >> 4 && value * 16 + digit >= MOST_CUSTOMER) {
+            if (digit < 0 || (value >= MOST_CUSTOMER >> 4 && value * 16 + digit >= MOST_CUSTOMER)) {
                 throw new MalformedMessageException(400, "the cookie's key is malformed");
             }
             value = value * 16 + digit;
--- a/src/main/java/hopdrum/host/CreditGossip.java
+++ b/src/main/java/hopdrum/host/CreditGossip.java
@@ -20,7 +20,7 @@
             return null;
         }
         ByteBuffer said = ByteBuffer.wrap(message);
-        long customer = (said.get() & 0xFFL) << 32 | said.getInt() & 0xFFFFFFFFL;
+        long customer = (said.get() & 0xFFL) << 32 | (said.getInt() & 0xFFFFFFFFL);
         float units = said.getFloat();
         return Float.isFinite(units) ? new CreditGossip(customer, units) : null;
     }
--- a/src/main/java/hopdrum/policy/Policy.java
+++ b/src/main/java/hopdrum/policy/Policy.java
@@ -141,7 +141,7 @@
         while (!tier.line.isEmpty()) {
             Rpc rpc = tier.line.peek();
             // Guards against a line in which those who can only be late go first, and make all behind them late too.
-            boolean late = rpc.isTooLate() || now() > rpc.startByUs && tier.line.size() > 1;
+            boolean late = rpc.isTooLate() || (now() > rpc.startByUs && tier.line.size() > 1);
             if (rpc.attempts.isEmpty() && late) {
                 tier.line.poll();
                 finish(rpc, rpc.customer.returnIn(rpc.row.usualUs(), rpc.units)); // too late
@@ -201,7 +201,7 @@
     /** Puts an RPC in line again, if its method, its attempts, its time and the budget allow one more. */
     private boolean sendFurther(Rpc rpc, boolean mayHaveRun) {
         boolean pointless = rpc.softDlUs <= now() && rpc.row.method.lateUtility() <= 0;
-        if (!rpc.mayRepeat() || pointless || mayHaveRun && repeats < 1) return false;
+        if (!rpc.mayRepeat() || pointless || (mayHaveRun && repeats < 1)) return false;
         if (mayHaveRun) repeats -= 1;
         rpc.tier.line.add(rpc);
         return true;
@@ -375,14 +375,14 @@
             Method m = row.method;
             return firstThatMayHaveRun() == null
                     || m.retrySafety() == Method.RetrySafety.IDEMPOTENT
-                    || m.retrySafety() == Method.RetrySafety.DEDUPLICATED
-                            && m.deduplicationScope() == Method.DeduplicationScope.ALL;
+                    || (m.retrySafety() == Method.RetrySafety.DEDUPLICATED
+                            && m.deduplicationScope() == Method.DeduplicationScope.ALL);
         }
 
         private boolean mayRepeat() {
             return attempts.size() < settings.maxAttempts()
                     && (firstThatMayHaveRun() == null // a partner repeats by itself, and counts each
-                            || tier == tiers.get(0) && row.method.retrySafety() != Method.RetrySafety.NON_IDEMPOTENT);
+                            || (tier == tiers.get(0) && row.method.retrySafety() != Method.RetrySafety.NON_IDEMPOTENT));
         }
 
         /** Backends may run it anew after this: a further attempt has to begin before, however late its connection is. */
--- a/src/main/java/hopdrum/policy/Quota.java
+++ b/src/main/java/hopdrum/policy/Quota.java
@@ -74,7 +74,7 @@
             count.settled = true;
             if (now() - lastAnswerUs > OUTAGE_US) customers.values().forEach(Customer::forgetRefilled);
             lastAnswerUs = now();
-            leastAnswerUs = Math.min(tookUs, leastAnswerUs * LEAST_FORGETS);
+            leastAnswerUs = Math.min((double) tookUs, leastAnswerUs * LEAST_FORGETS);
             paceUp(tookUs);
             answerDevUs += (Math.abs(tookUs - answerUs) - answerDevUs) / 4;
             answerUs += (tookUs - answerUs) / 8;
@@ -85,7 +85,7 @@
             if (!answers && !broke) paceDown(); // a spoilt answer, a connection that broke: no crowd
             silence(count);
             // A call turned away was not added, nor was one that an outage took; a busy counter adds late.
-            boolean added = answers || outcome == Outcome.TIMED_OUT && lastAnswerUs >= count.sentUs;
+            boolean added = answers || (outcome == Outcome.TIMED_OUT && lastAnswerUs >= count.sentUs);
             customer.owed += added ? 0 : count.amount - count.excess; // whoever reads it next sees the excess
             customer.owed -= count.rpc != null && !count.rpc.admitted ? count.rpc.weight : 0;
         }
@@ -259,7 +259,7 @@
                 owed += others;
             }
             rpc.weight = rpc.units;
-            Count count = add((now() + stagger(key)) / EPOCH_US << CUSTOMER_BITS | key, rpc.weight + owed);
+            Count count = add(((now() + stagger(key)) / EPOCH_US) << CUSTOMER_BITS | key, rpc.weight + owed);
             owed = 0;
             count.rpc = rpc;
             at(now() + timeOutUs(), () -> silence(count));
--- a/src/rig/java/hopdrum/rig/check/Checker.java
+++ b/src/rig/java/hopdrum/rig/check/Checker.java
@@ -187,7 +187,8 @@
                 killed.remove(door);
             } else if (is(l, "term")) {
                 told.add(door);
-            } else if (is(l, "killed") || is(l, "step") && l.path("do").asText().equals("kill")) {
+            } else if (is(l, "killed")
+                    || (is(l, "step") && l.path("do").asText().equals("kill"))) {
                 l.path("who").forEach(w -> killed.add(w.asText()));
                 killed.add(door);
             } else if (is(l, "ended")
@@ -262,7 +263,7 @@
                             e.getKey() + ": " + viewOf(l) + " is " + l.path("members") + " and " + before);
                 }
                 if (l.path("era").asLong() < era
-                        || l.path("era").asLong() == era && l.path("number").asLong() < number) {
+                        || (l.path("era").asLong() == era && l.path("number").asLong() < number)) {
                     fault("order", at(l), e.getKey() + " went back from " + era + "/" + number + " to " + viewOf(l));
                 }
                 era = l.path("era").asLong();
--- a/src/rig/java/hopdrum/rig/check/Owners.java
+++ b/src/rig/java/hopdrum/rig/check/Owners.java
@@ -321,7 +321,9 @@
             int[] c = count[just ? 0 : 1];
             c[0]++;
             c[1] += status.equals("429") || status.equals("503") ? 1 : 0;
-            c[2] += status.equals("200") && at(l) - sent <= deadline / 2 || status.equals("429") || status.equals("503")
+            c[2] += (status.equals("200") && at(l) - sent <= deadline / 2)
+                            || status.equals("429")
+                            || status.equals("503")
                     ? 0
                     : 1;
             if (status.equals("200") && where.containsKey(l.path("rpc").asText())) {
--- a/src/rig/java/hopdrum/rig/swarm/Swarm.java
+++ b/src/rig/java/hopdrum/rig/swarm/Swarm.java
@@ -34,7 +34,7 @@
 public final class Swarm {
 
     /** One process that is or was. */
-    public final class Node {
+    public static final class Node {
         public final String name;
         public final int gateway;
         DurableState kept; // what its disk holds
--- a/src/rig/java/hopdrum/rig/trial/Relay.java
+++ b/src/rig/java/hopdrum/rig/trial/Relay.java
@@ -188,7 +188,7 @@
                 byte[] bytes = said(who, frame(in));
                 boolean mustPass = hello; // the answer to the hello
                 hello = false;
-                if (weather.cut || !mustPass && chance() < weather.loss) {
+                if (weather.cut || (!mustPass && chance() < weather.loss)) {
                     continue;
                 }
                 queue.put(new Frame(bytes, Journal.nowUs()));
--- a/src/test/java/hopdrum/fleet/BadInputTest.java
+++ b/src/test/java/hopdrum/fleet/BadInputTest.java
@@ -56,9 +56,18 @@
 
     @Test
     void everyFaultOfAFleetFileIsNamedAtOnceWithItsLine() throws IOException {
-        Path file =
-                fleetFile("fleet: demo\noperator: no rth\nsite: ams\nname: n0\nlisten: here\nseeds: [\"127.0.0.1:0\"]\n"
-                        + "founders: n0\nprobe_period_ms: 1000\nlease_ms: 900\ncolour: blue\n");
+        Path file = fleetFile("""
+                          fleet: demo
+                          operator: no rth
+                          site: ams
+                          name: n0
+                          listen: here
+                          seeds: ["127.0.0.1:0"]
+                          founders: n0
+                          probe_period_ms: 1000
+                          lease_ms: 900
+                          colour: blue
+                          """);
         assertThatThrownBy(() -> FleetFile.read(file))
                 .isInstanceOf(FleetFile.InvalidFileException.class)
                 .hasMessageContaining("fleet.yaml:2: operator: 'no rth', expected a name")
@@ -74,20 +83,26 @@
 
     @Test
     void everyFaultOfATermsFileIsNamedAtOnceWithItsLine() throws IOException {
-        Path file = Files.writeString(
-                folder.resolve("terms.yaml"),
-                "agreement: pact\nrevision: 1\nparties: [\"north brings many\"]\n"
-                        + "until: tomorrow\nalone_ms: 999999\ncolour: blue\n");
+        Path file = Files.writeString(folder.resolve("terms.yaml"), """
+                agreement: pact
+                revision: 1
+                parties: ["north brings many"]
+                until: tomorrow
+                alone_ms: 999999
+                colour: blue
+                """);
         assertThatThrownBy(() -> TermsFile.read(file))
                 .isInstanceOf(FleetFile.InvalidFileException.class)
                 .hasMessageContaining("terms.yaml:3: parties: 'north brings many', expected a party")
                 .hasMessageContaining(":4: until: 'tomorrow', expected a moment")
                 .hasMessageContaining(":5: alone_ms: '999999', expected")
                 .hasMessageContaining(":6: colour: is not known");
-        Path twice = Files.writeString(
-                folder.resolve("twice.yaml"),
-                "agreement: pact\nrevision: 1\nuntil: 2030-01-01T00:00:00Z\n"
-                        + "parties: [\"north brings 1, owed 1, floor 0\", \"north brings 2, owed 1, floor 0\"]\n");
+        Path twice = Files.writeString(folder.resolve("twice.yaml"), """
+                agreement: pact
+                revision: 1
+                until: 2030-01-01T00:00:00Z
+                parties: ["north brings 1, owed 1, floor 0", "north brings 2, owed 1, floor 0"]
+                """);
         assertThatThrownBy(() -> TermsFile.read(twice)).hasMessageContaining("a party twice");
     }
 
--- a/src/test/java/hopdrum/frontdoor/FrontDoorStoryTest.java
+++ b/src/test/java/hopdrum/frontdoor/FrontDoorStoryTest.java
@@ -1,5 +1,6 @@
 package hopdrum.frontdoor;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -116,9 +117,9 @@
             DatagramPacket got = new DatagramPacket(new byte[300], 300);
             peer.receive(got);
             assertThat(got.getLength()).isEqualTo(1);
-            stranger.send(new DatagramPacket("no".getBytes(), 2, got.getSocketAddress()));
+            stranger.send(new DatagramPacket("no".getBytes(UTF_8), 2, got.getSocketAddress()));
             peer.send(new DatagramPacket(new byte[257], 257, got.getSocketAddress()));
-            peer.send(new DatagramPacket("yes".getBytes(), 3, got.getSocketAddress()));
+            peer.send(new DatagramPacket("yes".getBytes(UTF_8), 3, got.getSocketAddress()));
             assertThat(heard.poll(10, TimeUnit.SECONDS)).isEqualTo("yes");
             peers.close();
             loop.ask(loop::stop);
