--- a/src/main/java/hopdrum/benchlink/Instance.java
+++ b/src/main/java/hopdrum/benchlink/Instance.java
@@ -5,6 +5,7 @@
 import hopdrum.host.Outcome;
 import hopdrum.host.SettingsReader;
 import hopdrum.policy.Policy;
+import hopdrum.policy.Request;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -19,7 +20,7 @@
 
     private final int number;
     private final Reply reply;
-    private final Map<Long, Policy.Rpc> open = new HashMap<>(); // an entry goes when its RPC is over
+    private final Map<Long, Request> open = new HashMap<>(); // an entry goes when its RPC is over
     private Policy policy;
     private long nowUs;
 
@@ -76,7 +77,7 @@
         int gateways = (int) in.getFloat();
         long leftUs = unsigned(in);
         if (policy != null) {
-            Policy.Rpc rpc = policy.requestReceived(id, method, customer, plan, units, first, gateways, leftUs);
+            Request rpc = policy.requestReceived(id, method, customer, plan, units, first, gateways, leftUs);
             keep(id, rpc);
         }
     }
@@ -100,7 +101,7 @@
 
     private void lapsed(ByteBuffer in) {
         long id = unsigned(in);
-        Policy.Rpc rpc = open.get(id);
+        Request rpc = open.get(id);
         if (rpc != null) {
             rpc.clientLeft();
             keep(id, rpc);
@@ -117,7 +118,7 @@
         in.getShort();
         int settled = in.getShort() & 0xffff;
         float[] report = report(in);
-        Policy.Rpc rpc = open.get(id);
+        Request rpc = open.get(id);
         if (rpc != null) {
             rpc.attemptEnded(attempt, outcome, tookUs, over, settled, report);
             keep(id, rpc);
@@ -129,7 +130,7 @@
         int attempt = in.getShort() & 0xffff;
         in.getInt();
         in.getInt();
-        Policy.Rpc rpc = open.get(id);
+        Request rpc = open.get(id);
         if (rpc != null) {
             rpc.streamStarted(attempt);
         }
@@ -189,8 +190,8 @@
         }
     }
 
-    private void keep(long id, Policy.Rpc rpc) {
-        if (rpc.over()) {
+    private void keep(long id, Request rpc) {
+        if (rpc.isFinished()) {
             open.remove(id);
         } else {
             open.put(id, rpc);
@@ -199,8 +200,8 @@
 
     /** One that is answered on a count's or a timer's news is over at once, unless attempts are still out. */
     private void answered(long id) {
-        Policy.Rpc rpc = open.get(id);
-        if (rpc != null && rpc.over()) {
+        Request rpc = open.get(id);
+        if (rpc != null && rpc.isFinished()) {
             open.remove(id);
         }
     }
--- a/src/main/java/hopdrum/frontdoor/connection/InFlightRequest.java
+++ b/src/main/java/hopdrum/frontdoor/connection/InFlightRequest.java
@@ -1,6 +1,6 @@
 package hopdrum.frontdoor.connection;
 
-import hopdrum.policy.Policy;
+import hopdrum.policy.Request;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -10,7 +10,7 @@
     final String trace;
     public final List<Attempt> attempts = new ArrayList<>(1);
     public ClientConnection client; // null once it has its answer, or has left
-    public Policy.Rpc handle;
+    public Request handle;
     public long expiresAtUs; // the client waits no longer
     public boolean passedOn; // by another front door to here: it goes no further
 
--- a/src/main/java/hopdrum/frontdoor/connection/InFlightRequests.java
+++ b/src/main/java/hopdrum/frontdoor/connection/InFlightRequests.java
@@ -26,7 +26,7 @@
     }
 
     public void closeIfOver(InFlightRequest rpc) {
-        if (rpc.handle.over()) {
+        if (rpc.handle.isFinished()) {
             drop(rpc);
         }
     }
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Warmup.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Warmup.java
@@ -14,6 +14,7 @@
 import hopdrum.host.Method;
 import hopdrum.host.Outcome;
 import hopdrum.policy.Policy;
+import hopdrum.policy.Request;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -47,7 +48,7 @@
     private final HttpReader request = new HttpReader(HttpReader.Kind.REQUEST);
     private final HttpReader answer = new HttpReader(HttpReader.Kind.RESPONSE);
     private final Deque<Runnable> later = new ArrayDeque<>();
-    private final Map<Long, Policy.Rpc> open = new HashMap<>();
+    private final Map<Long, Request> open = new HashMap<>();
     private final Policy policy;
     private long nowUs = 1_000_000_000_000L;
     private long wakeAtUs = Long.MAX_VALUE;
@@ -88,7 +89,7 @@
         request.read(client);
         head.read(client, request);
         long id = number;
-        Policy.Rpc rpc = policy.requestReceived(
+        Request rpc = policy.requestReceived(
                 id,
                 head.method,
                 head.customer,
@@ -108,7 +109,7 @@
                 policy.wakeUp();
             }
         }
-        open.values().removeIf(Policy.Rpc::over);
+        open.values().removeIf(Request::isFinished);
         request.done(client);
         toClient.skip(toClient.size());
     }
@@ -159,7 +160,7 @@
         RequestHead.forward(client, request, timeOutUs / 1000, false, backend);
         backend.skip(backend.size());
         later.add(() -> {
-            Policy.Rpc rpc = open.get(id);
+            Request rpc = open.get(id);
             if (rpc != null) {
                 put(backend, ANSWER);
                 try {
--- a/src/main/java/hopdrum/policy/Policy.java
+++ b/src/main/java/hopdrum/policy/Policy.java
@@ -2,416 +2,211 @@
 
 import hopdrum.host.Endpoint;
 import hopdrum.host.Host;
-import hopdrum.host.Method;
 import hopdrum.host.Outcome;
-import hopdrum.host.Plan;
 import hopdrum.host.Settings;
-import hopdrum.policy.Backends.Backend;
-import hopdrum.policy.Backends.Row;
-import hopdrum.policy.Quota.Customer;
-import java.util.ArrayList;
+import hopdrum.policy.TrackedRequest.Stage;
+import hopdrum.policy.backends.MethodStats;
+import hopdrum.policy.context.PolicyContext;
+import hopdrum.policy.quota.CustomerQuota;
+import hopdrum.policy.quota.QuotaTable;
 import java.util.List;
 
 /**
- * All decisions of one gateway. A front door makes one Policy for each start, for one thread: take() a new
- * RPC and have its handle; later news of that RPC is a call on the handle, other news comes by counted(),
- * listed(), heard() and wake(). The Policy answers by calls on Host while it is being called.
- * Read advance() first: the ordinary path of an RPC from top to bottom. Times are microseconds.
- * Nothing here knows a deployment, a method or a customer by name.
+ * All decisions of one gateway. A front door makes one Policy for each start, for one thread: a new request is
+ * {@link #requestReceived}, which returns its handle; later events of that request are calls on the handle, other events
+ * are calls here. The Policy answers by calls on {@link Host} while it is being called. Read {@link #advance} first: the
+ * ordinary path of a request from top to bottom. Times are microseconds of the host's clock. Nothing here knows a
+ * deployment, a method or a customer by name.
  */
-public final class Policy extends Part {
-    private static final double REPEATS_PER_RPC = 0.1;
-    private static final double MOST_REPEATS = 15;
+public final class Policy {
     private static final long SWEEP_US = 2_000_000;
+    private static final long POLL_US = 1_000_000;
 
-    private final Quota quota;
-    private final List<Backends> tiers = new ArrayList<>(); // the backends, then each partner's front doors
-    private final Row[] rows;
-    private long orders;
-    private double repeats = MOST_REPEATS;
+    private final PolicyContext context;
+    private final Host host;
+    private final QuotaTable quotas;
+    private final Dispatcher dispatcher;
+    private final MethodStats[] methodStats;
+    private final TrackedRequest.Listener requestEvents = new RequestEvents();
+    private long requestsReceived;
 
+    /** A gateway without backends or requests; {@code seed} starts its source of randomness. */
     public Policy(Settings settings, long seed, Host host) {
-        super(settings, seed, host);
-        this.quota = new Quota(this);
-        this.rows = settings.methods().stream().map(Row::new).toArray(Row[]::new);
-        if (settings.pollsEndpointList()) host.pollEndpointList();
-        at(now() + SWEEP_US, this::sweep);
-        timers.arm();
-    }
-
-    // ---- What the front door tells ----
-
-    /** A client's RPC has come in; exactly one final answer is owed from here on. */
-    public Rpc requestReceived(
-            long id, int method, long customer, int plan, double units, int first, int gateways, long leftUs) {
-        Rpc rpc = new Rpc(id, rows[method], quota.customer(customer, plan, first, gateways), units, leftUs);
-        at(rpc.giveUpAtUs, () -> outOfTime(rpc));
-        advance(rpc);
-        timers.arm();
-        return rpc;
-    }
-
+        this.context = new PolicyContext(settings, seed, host);
+        this.host = host;
+        this.quotas = new QuotaTable(context);
+        this.dispatcher = new Dispatcher(context);
+        this.methodStats = settings.methods().stream().map(MethodStats::new).toArray(MethodStats[]::new);
+        if (settings.pollsEndpointList()) {
+            host.pollEndpointList();
+        }
+        context.schedule(context.nowUs() + SWEEP_US, this::sweep);
+        context.armTimers();
+    }
+
+    // ---- Events ----
+
+    /**
+     * A client's request has come in; exactly one final answer is owed from here on.
+     *
+     * @param id the front door's number of the request, as in the calls on Host
+     * @param method the method's index in the settings
+     * @param customer the customer's key
+     * @param plan the index of the customer's plan in the settings
+     * @param units what it takes of the customer's quota
+     * @param firstGateway the first of the gateways that serve this customer
+     * @param gateways how many in a row serve it
+     * @param remainingUs how long the client will wait
+     */
+    public Request requestReceived(
+            long id,
+            int method,
+            long customer,
+            int plan,
+            double units,
+            int firstGateway,
+            int gateways,
+            long remainingUs) {
+        MethodStats stats = methodStats[method];
+        CustomerQuota quota = quotas.customer(customer, plan, firstGateway, gateways);
+        TrackedRequest request =
+                new TrackedRequest(context, requestEvents, id, requestsReceived++, stats, quota, units, remainingUs);
+        context.schedule(request.giveUpAtUs, () -> dispatcher.timedOut(request));
+        advance(request);
+        context.armTimers();
+        return request;
+    }
+
+    /** The time of a wake-up that was asked for has come. */
     public void wakeUp() {
-        if (!timers.runDue()) return;
-        pump();
-        timers.arm();
+        if (context.runDueTimers()) {
+            dispatcher.pump();
+            context.armTimers();
+        }
     }
 
+    /** A call on the counter has ended: with the name's total after it if the outcome is OK, after so many microseconds. */
     public void counterAnswered(long name, Outcome outcome, double total, long tookUs) {
-        if (!quota.counted(name, outcome, total, tookUs)) return;
-        pump();
-        timers.arm();
+        if (quotas.counterAnswered(name, outcome, total, tookUs)) {
+            dispatcher.pump();
+            context.armTimers();
+        }
     }
 
-    /** Another gateway has read a customer's count and found no room for one more RPC. */
+    /** Another gateway has read a customer's count and found no room for one more request. */
     public void gossipReceived(byte[] message) {
-        quota.heard(message);
+        quotas.gossipReceived(message);
     }
 
-    /** Tier 0 is the list of backends; others are partners, whose front doors count what they are passed. */
-    public void endpointsUpdated(int tier, Endpoint.UpdateKind form, List<Endpoint> entries) {
-        if (form == Endpoint.UpdateKind.NONE) {
-            at(now() + 1_000_000, host::pollEndpointList);
+    /** News of the endpoint list. Tier 0 is the own backends; others are partners, whose front doors count for themselves. */
+    public void endpointsUpdated(int tier, Endpoint.UpdateKind kind, List<Endpoint> endpoints) {
+        if (kind == Endpoint.UpdateKind.NONE) {
+            context.schedule(context.nowUs() + POLL_US, host::pollEndpointList);
         } else {
-            tier(tier).listed(form, entries);
-            pump();
+            dispatcher.endpointsUpdated(tier, kind, endpoints);
         }
-        timers.arm();
-    }
-
-    private Backends tier(int number) {
-        while (tiers.size() <= number) tiers.add(new Backends(this));
-        return tiers.get(number);
+        context.armTimers();
     }
 
     private void sweep() {
-        quota.sweep();
-        at(now() + SWEEP_US, this::sweep);
+        quotas.sweep();
+        context.schedule(context.nowUs() + SWEEP_US, this::sweep);
     }
 
     // ---- The ordinary path ----
 
-    void advance(Rpc rpc) {
-        Customer customer = rpc.customer;
-        Plan plan = customer.plan;
-        if (rpc.stage == Stage.NEW) {
-            // 1. Beyond quota for certain: more than its share open, or a reading not yet refilled says so.
-            customer.lastUsedUs = now();
-            long owner = host.ownerTier(rpc.id, customer.key);
-            long waitUs = owner > 0 ? 0 : Math.max(-owner, customer.beyondForUs(rpc.units));
-            boolean late = rpc.isTooLate(); // a client's repeat whose soft deadline has passed takes no units
-            if (late || customer.openIsFull() || waitUs > 0) {
-                finish(rpc, late ? 0 : customer.returnIn(waitUs, rpc.units));
-                return;
-            }
-            rpc.tier = tier((int) owner);
-            boolean bucketFirst =
-                    quota.callsAreScarce() && !customer.holdsNone() && customer.bucketNow(rpc.units) >= rpc.units;
-            // 2. Ask: one call on the customer's count adds the units; its answer comes to answered().
-            if (plan.rate() <= 0 || owner > 0) { // a partner's customer is counted there, once
-                rpc.stage = Stage.LINE;
-            } else if (!bucketFirst && customer.awaitsVerdict(rpc)) {
-                customer.waiting.add(rpc); // the credit known is spoken for by calls still out
-                return;
-            } else if (!bucketFirst && quota.counterMayBeAsked()) {
-                rpc.stage = Stage.COUNTING;
-                customer.ask(rpc);
-                return;
-            } else {
-                customer.decideLocally(rpc);
-                return;
-            }
-        }
-        if (rpc.stage == Stage.LINE) {
-            // 3. Wait in line until a backend's place comes free; pump() sends it on in its turn.
-            rpc.tier.line.add(rpc);
-            at(rpc.startByUs + 1, this::pump);
-            pump();
-        }
-        // 4. What comes back is a call on the handle: Rpc.attemptEnded().
-    }
-
-    /** Gives free places to the lines, the RPC that must start soonest first. */
-    void pump() {
-        for (Backends tier : tiers) pump(tier);
-    }
-
-    private void pump(Backends tier) {
-        List<Rpc> bound = new ArrayList<>(0);
-        while (!tier.line.isEmpty()) {
-            Rpc rpc = tier.line.peek();
-            // Guards against a line in which those who can only be late go first, and make all behind them late too.
-            boolean late = rpc.isTooLate() || (now() > rpc.startByUs && tier.line.size() > 1);
-            if (rpc.attempts.isEmpty() && late) {
-                tier.line.poll();
-                finish(rpc, rpc.customer.returnIn(rpc.row.usualUs(), rpc.units)); // too late
-                continue;
-            }
-            Backend backend = tier.hasPlace() ? tier.pick(rpc) : null;
-            if (backend == null && rpc.attempts.isEmpty()) break; // a repeat may be bound; the line goes on
-            tier.line.poll();
-            if (backend != null) {
-                send(rpc, backend);
-            } else if (tier.noneMayTake(rpc)) {
-                finish(rpc, 0); // given up, and so answered at once
-            } else {
-                bound.add(rpc);
-            }
-        }
-        tier.line.addAll(bound);
-    }
-
-    private void send(Rpc rpc, Backend backend) {
-        Attempt attempt = new Attempt();
-        attempt.backend = backend;
-        attempt.sentUs = now();
-        attempt.number = rpc.attempts.size();
-        if (rpc.attempts.isEmpty()) {
-            repeats = Math.min(MOST_REPEATS, repeats + REPEATS_PER_RPC);
-            rpc.customer.open++;
-        }
-        rpc.attempts.add(attempt);
-        rpc.out++;
-        rpc.stage = Stage.OUT;
-        backend.out++;
-        backend.sentCold(rpc.row);
-        // Its time-out is when this gateway gives up: a backend need not begin what nobody waits for.
-        long timeOutUs = Math.max(1, rpc.giveUpAtUs - now());
-        host.startAttempt(rpc.id, backend.listed.backend(), timeOutUs, Math.min(timeOutUs, rpc.repeatByUs() - now()));
-        at(now() + rpc.row.patienceUs() + backend.farUs(), () -> overdue(rpc, attempt));
-    }
-
-    // ---- Further attempts and the end of an RPC ----
-
-    /** Guards against what shows only as time (a hang, a vanished machine, a long pause, a crawl). */
-    private void overdue(Rpc rpc, Attempt attempt) {
-        if (!attempt.out || rpc.streaming) return; // a stream that has begun belongs to the client
-        Backend backend = attempt.backend;
-        boolean mute = backend.lastAnswerUs < attempt.sentUs;
-        if (mute && ++backend.suspicions >= 2) backend.eject();
-        // Only away from an ejected backend: elsewhere a long RPC is long too.
-        if (backend.usable() || rpc.isDone() || rpc.out != 1) return;
-        if (settings.hedgingAllowed()) {
-            sendFurther(rpc, true);
-        } else if (settings.cancellationAllowed() && rpc.mayRepeat() && repeats >= 1) {
-            host.cancelAttempt(rpc.id, attempt.number);
-        }
-    }
-
-    /** Puts an RPC in line again, if its method, its attempts, its time and the budget allow one more. */
-    private boolean sendFurther(Rpc rpc, boolean mayHaveRun) {
-        boolean pointless = rpc.softDlUs <= now() && rpc.row.method.lateUtility() <= 0;
-        if (!rpc.mayRepeat() || pointless || (mayHaveRun && repeats < 1)) return false;
-        if (mayHaveRun) repeats -= 1;
-        rpc.tier.line.add(rpc);
-        return true;
-    }
-
-    private void outOfTime(Rpc rpc) {
-        if (!rpc.isDone() && !rpc.streaming) {
-            for (Attempt attempt : rpc.attempts) {
-                if (attempt.out) attempt.backend.tookTooLong(rpc.row, now() - attempt.sentUs);
-            }
-            finish(rpc, 0);
-        }
-    }
-
-    /** The module's own final answer, at once: refused where a repeat is harmless, else aborted. */
-    void finish(Rpc rpc, long waitUs) {
-        boolean harmless = rpc.isHarmless();
-        rpc.close();
-        if (harmless) {
-            host.reject(rpc.id, settings.retryAfterAllowed() ? Math.min(waitUs, settings.maxRetryAfterUs()) : 0);
+    /** Takes a request through admission into its tier's queue, from where the dispatcher forwards it in its turn. */
+    private void advance(TrackedRequest request) {
+        if (request.stage == Stage.NEW && !isAdmittedAtOnce(request)) {
+            return; // rejected, or the verdict comes by the request's own events
+        }
+        if (request.stage == Stage.QUEUED) {
+            dispatcher.enqueue(request);
+        }
+    }
+
+    /** True if the request is admitted without its quota's verdict; else the verdict is given here or will come. */
+    private boolean isAdmittedAtOnce(TrackedRequest request) {
+        CustomerQuota customer = request.customer;
+        double units = request.units();
+        // 1. Beyond quota for certain: too many open, or a reading not yet refilled says so. A late retry takes no
+        // units.
+        customer.touch();
+        long owner = host.ownerTier(request.id, customer.customer());
+        long waitUs = owner > 0 ? 0 : Math.max(-owner, customer.refillWaitUs(units));
+        boolean late = request.isTooLate();
+        if (late || customer.isAtConcurrencyLimit() || waitUs > 0) {
+            dispatcher.finish(request, late ? 0 : customer.retryAfterUs(waitUs, units));
+            return false;
+        }
+        request.tier = (int) owner;
+        boolean bucketFirst =
+                quotas.areCallsScarce() && !customer.isShareBelowOneRequest() && customer.bucketHolds(units);
+        // 2. One call on the customer's count adds the units; its answer admits or rejects.
+        if (customer.plan().rate() <= 0 || owner > 0) { // a partner's customer is counted there, once
+            request.stage = Stage.QUEUED;
+            return true;
+        }
+        if (!bucketFirst && customer.mustAwaitVerdict(request)) {
+            customer.awaitVerdict(request);
+        } else if (!bucketFirst && quotas.mayCallCounter()) {
+            request.stage = Stage.AWAITING_COUNTER;
+            customer.ask(request);
         } else {
-            host.abort(rpc.id);
-        }
-    }
-
-    // ---- The handle and its attempts ----
-
-    static final class Attempt {
-        Backend backend;
-        long sentUs;
-        int number;
-        boolean out = true;
-        boolean neverRan;
-    }
-
-    enum Stage {
-        NEW,
-        COUNTING,
-        LINE,
-        OUT,
-        DONE
-    }
-
-    /** The handle of one RPC. */
-    public final class Rpc {
-        private final long id;
-        final Row row;
-        final Customer customer;
-        final double units;
-        double weight; // as counted for it
-        private final long softDlUs;
-        final long startByUs; // later it is not likely to meet its soft deadline
-        private final long giveUpAtUs;
-        final long order = orders++;
-        private final List<Attempt> attempts = new ArrayList<>(1);
-        private int out; // of them
-        Backends tier; // whose backends may take it; before it is in line, nobody's
-        Stage stage = Stage.NEW;
-        boolean admitted;
-        private boolean streaming;
-
-        private Rpc(long id, Row row, Customer customer, double units, long leftUs) {
-            this.id = id;
-            this.row = row;
-            this.customer = customer;
-            this.units = units;
-            long marginUs = 2 * settings.tickUs() + 1_000;
-            long dlUs = now() + leftUs;
-            this.softDlUs = Math.min(dlUs, now() + row.method.softDeadlineUs() - row.ageUs(leftUs));
-            this.startByUs = softDlUs - row.usualUs();
-            this.giveUpAtUs = (row.method.lateUtility() > 0 ? dlUs : softDlUs) - marginUs;
-        }
-
-        /** An attempt has ended; over tells that the client has its answer, by this or earlier. */
-        public void attemptEnded(int number, Outcome outcome, long wholeUs, boolean over, int settled, float[] report) {
-            if (number >= attempts.size() || !attempts.get(number).out) return;
-            Attempt attempt = attempts.get(number);
-            Backend backend = attempt.backend;
-            long tookUs = Math.max(1, wholeUs - backend.farUs());
-            attempt.out = false;
-            out--;
-            attempt.neverRan = outcome == Outcome.AT_CAPACITY
-                    || outcome == Outcome.CONNECT_FAILED
-                    || outcome == Outcome.INVALID_REQUEST;
-            backend.out--;
-            if (report.length > 0) backend.reported(report);
-            switch (outcome) {
-                case OK -> {
-                    row.learn(tookUs);
-                    backend.answered(row, tookUs);
-                }
-                case AT_CAPACITY -> backend.full(row, customer.plan, tookUs);
-                case ERROR -> backend.failing(true);
-                case CONNECT_FAILED, RESET -> backend.failing(false);
-                case TIMED_OUT -> backend.tookTooLong(row, tookUs);
-                default -> {}
-            }
-            if (settled > 0 && settings.settlesUnits() && admitted && settled != units) {
-                customer.owed += settled - units;
+            customer.decideLocally(request);
+        }
+        return false;
+    }
+
+    /** What becomes of a request after its admission or its attempts. */
+    private final class RequestEvents implements TrackedRequest.Listener {
+        @Override
+        public void ready(TrackedRequest request) {
+            advance(request);
+        }
+
+        @Override
+        public void rejected(TrackedRequest request, long retryAfterUs) {
+            dispatcher.finish(request, retryAfterUs);
+        }
+
+        @Override
+        public void attemptEnded(
+                TrackedRequest request,
+                Attempt attempt,
+                Outcome outcome,
+                long tookUs,
+                boolean clientAnswered,
+                int settledUnits,
+                float[] report) {
+            long atBackendUs = Math.max(1, tookUs - attempt.backend.roundTripUs());
+            dispatcher
+                    .backendsOf(request)
+                    .attemptEnded(attempt.backend, request.methodStats(), request.plan(), outcome, atBackendUs, report);
+            if (settledUnits > 0
+                    && context.settings().settlesUnits()
+                    && request.isAdmitted()
+                    && settledUnits != request.units()) {
+                request.customer.settle(settledUnits - request.units());
             }
-            if (!isDone() && over) {
-                close();
-            } else if (!isDone()
-                    && out == 0
-                    && !tier.line.contains(this)
-                    && (outcome == Outcome.INVALID_REQUEST
-                            || outcome == Outcome.TIMED_OUT
-                            || streaming
-                            || !sendFurther(this, !attempt.neverRan))) {
-                finish(this, 0);
-            }
-            pump();
-            timers.arm();
-        }
-
-        public void streamStarted(int number) {
-            streaming = true;
-        }
-
-        public void clientLeft() {
-            if (isDone()) return;
-            close();
-            pump();
-            timers.arm();
-        }
-
-        /** True once nothing more will come of this RPC. */
-        public boolean over() {
-            return isDone() && out == 0;
-        }
-
-        private boolean isDone() {
-            return stage == Stage.DONE;
-        }
-
-        void admit() {
-            admitted = true;
-            stage = Stage.LINE;
-            advance(this);
-        }
-
-        /** The RPC has its final answer; units that it took and never used go back. */
-        private void close() {
-            if (stage == Stage.LINE || stage == Stage.OUT) tier.line.remove(this);
-            customer.waiting.remove(this);
-            if (attempts.isEmpty() && admitted) {
-                customer.owed -= weight;
-            } else if (!attempts.isEmpty()) {
-                customer.open--;
-            }
-            stage = Stage.DONE;
-            for (Attempt c : attempts) {
-                if (c.out && settings.cancellationAllowed()) host.cancelAttempt(id, c.number);
+            if (!request.isDone() && clientAnswered) {
+                dispatcher.close(request);
+            } else if (!request.isDone() && request.attemptsInFlight == 0 && !dispatcher.isQueued(request)) {
+                boolean isFinal =
+                        outcome == Outcome.INVALID_REQUEST || outcome == Outcome.TIMED_OUT || request.streaming;
+                if (isFinal || !dispatcher.retry(request, !attempt.neverRan)) {
+                    dispatcher.finish(request, 0);
+                }
             }
+            dispatcher.pump();
+            context.armTimers();
         }
 
-        private Attempt firstThatMayHaveRun() {
-            return attempts.stream().filter(c -> !c.neverRan).findFirst().orElse(null);
-        }
-
-        boolean wouldBeLate(long farUs) {
-            return farUs > 0 && now() + farUs + row.usualUs() > softDlUs;
-        }
-
-        private boolean isTooLate() {
-            return row.method.lateUtility() <= 0 && now() > startByUs;
-        }
-
-        /** A refusal tells the client that a repeat is harmless: so only where it is. */
-        private boolean isHarmless() {
-            Method m = row.method;
-            return firstThatMayHaveRun() == null
-                    || m.retrySafety() == Method.RetrySafety.IDEMPOTENT
-                    || (m.retrySafety() == Method.RetrySafety.DEDUPLICATED
-                            && m.deduplicationScope() == Method.DeduplicationScope.ALL);
-        }
-
-        private boolean mayRepeat() {
-            return attempts.size() < settings.maxAttempts()
-                    && (firstThatMayHaveRun() == null // a partner repeats by itself, and counts each
-                            || (tier == tiers.get(0) && row.method.retrySafety() != Method.RetrySafety.NON_IDEMPOTENT));
-        }
-
-        /** Backends may run it anew after this: a further attempt has to begin before, however late its connection is. */
-        private long repeatByUs() {
-            Attempt first = firstThatMayHaveRun();
-            boolean windowed = first != null && row.method.retrySafety() == Method.RetrySafety.DEDUPLICATED;
-            return windowed
-                    ? first.sentUs + row.method.deduplicationWindowUs() - 2 * settings.tickUs()
-                    : Long.MAX_VALUE;
-        }
-
-        boolean mayGoTo(Backend b) {
-            Attempt first = firstThatMayHaveRun();
-            if (first == null || row.method.retrySafety() == Method.RetrySafety.IDEMPOTENT) return true;
-            return row.method.retrySafety() == Method.RetrySafety.DEDUPLICATED
-                    && now() < repeatByUs()
-                    && switch (row.method.deduplicationScope()) {
-                        case ALL -> true;
-                        case ZONE -> b.listed.zone() == first.backend.listed.zone();
-                        case CELL -> b.listed.cell() == first.backend.listed.cell();
-                    };
-        }
-
-        boolean tried(Backend b) {
-            return attempts.stream().anyMatch(c -> c.backend.isSameAs(b));
-        }
-
-        boolean isOutAt(Backend b) {
-            return attempts.stream().anyMatch(c -> c.out && c.backend.isSameAs(b));
+        @Override
+        public void clientLeft(TrackedRequest request) {
+            dispatcher.close(request);
+            dispatcher.pump();
+            context.armTimers();
         }
     }
 }
--- a/src/test/java/hopdrum/policy/FailureStoryTest.java
+++ b/src/test/java/hopdrum/policy/FailureStoryTest.java
@@ -14,8 +14,8 @@
 class FailureStoryTest {
     private final FakeHost door = new FakeHost();
 
-    private Policy.Rpc served(long tookUs) {
-        Policy.Rpc rpc = door.takeInQuota();
+    private Request served(long tookUs) {
+        Request rpc = door.takeInQuota();
         door.end(rpc, 0, Outcome.OK, tookUs);
         return rpc;
     }
@@ -28,12 +28,12 @@
         }
         door.pass(10_000);
         door.asked.clear();
-        List<Policy.Rpc> stuck = new ArrayList<>();
+        List<Request> stuck = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             stuck.add(door.takeInQuota());
         }
         String hung = door.heard("attempt").get(0).replaceAll(".* to ", " to ");
-        for (Policy.Rpc rpc : stuck) {
+        for (Request rpc : stuck) {
             if (!door.heard("attempt").get(stuck.indexOf(rpc)).endsWith(hung)) {
                 door.end(rpc, 0, Outcome.OK, 50_000);
             }
@@ -51,7 +51,7 @@
     void fastFailuresTakePlacesAwayAndTheRpcIsTriedElsewhere() {
         door.start(3);
         for (int i = 0; i < 12; i++) {
-            Policy.Rpc rpc = door.takeInQuota();
+            Request rpc = door.takeInQuota();
             int last = door.heard("attempt " + (i + 1) + " ").size() - 1;
             if (door.heard("attempt " + (i + 1) + " ").get(last).endsWith("to 1")) {
                 door.end(rpc, last, Outcome.ERROR, 1_000);
@@ -70,7 +70,7 @@
     void answersThatCannotBeReadAreTriedElsewhereAndNobodysFault() {
         door.start(2);
         for (int i = 1; i <= 10; i++) {
-            Policy.Rpc rpc = door.takeInQuota();
+            Request rpc = door.takeInQuota();
             if (door.heard("attempt " + i + " ").get(0).endsWith("to 1")) {
                 door.end(rpc, 0, Outcome.UNREADABLE, 1_000);
                 assertThat(door.heard("attempt " + i + " ").get(1)).endsWith("to 2");
@@ -108,7 +108,7 @@
     void notAllBackendsAreEverEjected() {
         door.start(2);
         for (int i = 0; i < 20; i++) {
-            Policy.Rpc rpc = door.takeInQuota();
+            Request rpc = door.takeInQuota();
             for (int c = 0; c < 3; c++) {
                 door.end(rpc, c, Outcome.ERROR, 1_000);
             }
@@ -142,7 +142,7 @@
         door.method = new Method(
                 2_000_000, 7_500_000, Method.RetrySafety.IDEMPOTENT, Method.DeduplicationScope.ALL, 0, 0.2, false);
         door.start(1);
-        List<Policy.Rpc> taken = new ArrayList<>();
+        List<Request> taken = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             taken.add(door.takeInQuota());
         }
@@ -200,7 +200,7 @@
         int calls = 0;
         for (int i = 0; i < 500; i++) {
             int before = door.heard("add").size();
-            Policy.Rpc rpc = door.policy.requestReceived(1000 + i, 0, 100 + i, 0, 1, 0, 2, 7_500_000);
+            Request rpc = door.policy.requestReceived(1000 + i, 0, 100 + i, 0, 1, 0, 2, 7_500_000);
             if (door.heard("add").size() > before) {
                 calls++;
                 door.policy.counterAnswered(door.lastName(), Outcome.AT_CAPACITY, 0, 300);
@@ -348,7 +348,7 @@
                 0,
                 false);
         door.start(2);
-        Policy.Rpc rpc = door.takeInQuota();
+        Request rpc = door.takeInQuota();
         long first = door.heard("attempt").get(0).endsWith("to 1") ? 1 : 2;
         door.list(first, Endpoint.State.GONE, 0);
         door.end(rpc, 0, Outcome.RESET, 1_000);
@@ -563,11 +563,11 @@
     @Test
     void lateAnswersTakeAwayPlacesSoThatTheGatewaysQueuesDrain() {
         door.start(4);
-        List<Policy.Rpc> out = new ArrayList<>();
+        List<Request> out = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             out.add(door.takeInQuota());
         }
-        for (Policy.Rpc rpc : out) {
+        for (Request rpc : out) {
             door.end(rpc, 0, Outcome.TIMED_OUT, 1_900_000);
         }
         door.asked.clear();
@@ -582,7 +582,7 @@
     @Test
     void aBackendSlowToSayFullIsShunnedForThatPlanAndKeepsItsPlaces() {
         door.start(2);
-        Policy.Rpc rpc = door.takeInQuota();
+        Request rpc = door.takeInQuota();
         String first = door.heard("attempt 1 ").get(0).replaceAll(".* to ", " to ");
         door.end(rpc, 0, Outcome.AT_CAPACITY, 400_000);
         door.end(rpc, 1, Outcome.OK, 50_000);
--- a/src/test/java/hopdrum/policy/FakeHost.java
+++ b/src/test/java/hopdrum/policy/FakeHost.java
@@ -72,17 +72,17 @@
                 List.of(new Endpoint(backend, 0, 0, (int) backend % 2, state, 1, startedAtUs)));
     }
 
-    Policy.Rpc take() {
+    Request take() {
         return policy.requestReceived(++lastId, 0, 11, 0, 1, 0, 2, 7_500_000);
     }
 
-    Policy.Rpc takeInQuota() {
+    Request takeInQuota() {
         return takeCounted(2);
     }
 
     /** Takes an RPC and has the counter answer its call with a total that leaves this much room. */
-    Policy.Rpc takeCounted(double room) {
-        Policy.Rpc rpc = take();
+    Request takeCounted(double room) {
+        Request rpc = take();
         answer(room);
         return rpc;
     }
@@ -102,7 +102,7 @@
         return plan.burst() + plan.rate() * sinceUs / 1e6 - room;
     }
 
-    void end(Policy.Rpc rpc, int attempt, Outcome outcome, long tookUs) {
+    void end(Request rpc, int attempt, Outcome outcome, long tookUs) {
         rpc.attemptEnded(attempt, outcome, tookUs, outcome == Outcome.OK, 0, NO_REPORT);
     }
 
--- a/src/test/java/hopdrum/policy/PartnerForwardingTest.java
+++ b/src/test/java/hopdrum/policy/PartnerForwardingTest.java
@@ -33,20 +33,20 @@
 
     @Test
     void aPartnersCustomerIsPassedOnAndCountedThereAlone() {
-        Policy.Rpc rpc = door.take();
+        Request rpc = door.take();
         assertThat(lastAttempt()).matches("attempt 1 to 1[12]");
         assertThat(door.heard("add")).isEmpty();
         door.end(rpc, 0, Outcome.OK, 5_000);
-        assertThat(rpc.over()).isTrue();
+        assertThat(rpc.isFinished()).isTrue();
         door.owner = 0;
-        Policy.Rpc own = door.takeInQuota();
+        Request own = door.takeInQuota();
         assertThat(lastAttempt()).matches("attempt 2 to [12]");
         door.end(own, 0, Outcome.OK, 5_000);
     }
 
     @Test
     void whatMayHaveRunAtAPartnerIsNotSentAgainSinceItWouldBeCountedTwice() {
-        Policy.Rpc rpc = door.take();
+        Request rpc = door.take();
         door.end(rpc, 0, Outcome.RESET, 5_000);
         assertThat(door.heard("attempt")).hasSize(1);
         assertThat(door.heard("refuse")).hasSize(1); // idempotent: the client may ask again
@@ -57,14 +57,14 @@
         door.method = new Method(
                 2_000_000, 7_500_000, Method.RetrySafety.NON_IDEMPOTENT, Method.DeduplicationScope.ALL, 0, 0, false);
         start();
-        Policy.Rpc rpc = door.take();
+        Request rpc = door.take();
         door.end(rpc, 0, Outcome.RESET, 5_000);
         assertThat(door.heard("abort")).hasSize(1);
     }
 
     @Test
     void whatSurelyNeverReachedAPartnersDoorGoesToItsOther() {
-        Policy.Rpc rpc = door.take();
+        Request rpc = door.take();
         String first = lastAttempt();
         door.end(rpc, 0, Outcome.CONNECT_FAILED, 1_000);
         assertThat(lastAttempt()).matches("attempt 1 to 1[12]").isNotEqualTo(first);
@@ -72,9 +72,9 @@
 
     @Test
     void aPartnersRefusalIsTheEndOfIt() {
-        Policy.Rpc rpc = door.take();
+        Request rpc = door.take();
         rpc.attemptEnded(0, Outcome.INVALID_REQUEST, 5_000, true, 0, FakeHost.NO_REPORT); // the client has it already
-        assertThat(rpc.over()).isTrue();
+        assertThat(rpc.isFinished()).isTrue();
         assertThat(door.heard("refuse")).isEmpty();
         assertThat(door.heard("attempt")).hasSize(1);
     }
@@ -82,8 +82,8 @@
     @Test
     void aCustomerWhoseOwnerNobodyKnowsIsRefusedWithATimeAndNothingIsGuessed() {
         door.owner = -300_000;
-        Policy.Rpc rpc = door.take();
-        assertThat(rpc.over()).isTrue();
+        Request rpc = door.take();
+        assertThat(rpc.isFinished()).isTrue();
         assertThat(door.heard("refuse")).containsExactly("refuse 1 for 300000");
         assertThat(door.heard("add")).isEmpty();
         assertThat(door.heard("attempt")).isEmpty();
@@ -95,7 +95,7 @@
         door.ownedForUs = 500_000; // one unit
         door.start(2);
         door.owner = 0;
-        Policy.Rpc rpc = door.take();
+        Request rpc = door.take();
         door.policy.counterAnswered(
                 door.lastName(), Outcome.OK, 1, 1_000); // it made the name: only its own unit is there
         assertThat(door.heard("attempt")).hasSize(1);
--- a/src/test/java/hopdrum/policy/RulesStoryTest.java
+++ b/src/test/java/hopdrum/policy/RulesStoryTest.java
@@ -19,19 +19,19 @@
     @Test
     void anRpcThatNobodyAnswersIsGivenUpBeforeItsDeadlineAndOnlyOnce() {
         door.start(1);
-        Policy.Rpc rpc = door.takeInQuota();
+        Request rpc = door.takeInQuota();
         door.pass(7_490_000);
         assertThat(door.heard("refuse 1")).hasSize(1);
         door.end(rpc, 0, Outcome.CANCELLED, 2_000_000);
         assertThat(door.heard("refuse 1")).hasSize(1);
-        assertThat(rpc.over()).isTrue();
+        assertThat(rpc.isFinished()).isTrue();
     }
 
     @Test
     void aNonIdempotentRpcThatMayHaveRunIsAbortedAndNeverSentAgain() {
         method(Method.RetrySafety.NON_IDEMPOTENT, Method.DeduplicationScope.ALL);
         door.start(3);
-        Policy.Rpc rpc = door.takeInQuota();
+        Request rpc = door.takeInQuota();
         door.end(rpc, 0, Outcome.ERROR, 5_000);
         assertThat(door.heard("attempt 1 ")).hasSize(1);
         assertThat(door.heard("abort 1")).hasSize(1);
@@ -50,7 +50,7 @@
     void aDeduplicatedRpcStaysInTheCellOfItsFirstAttemptAndIsNeverRefused() {
         method(Method.RetrySafety.DEDUPLICATED, Method.DeduplicationScope.CELL);
         door.start(4);
-        Policy.Rpc rpc = door.takeInQuota();
+        Request rpc = door.takeInQuota();
         for (int i = 0; i < 3; i++) {
             door.end(rpc, i, Outcome.ERROR, 5_000);
         }
@@ -67,7 +67,7 @@
     void aDeduplicatedRpcIsNotSentAgainOnceItsWindowHasPassed() {
         method(Method.RetrySafety.DEDUPLICATED, Method.DeduplicationScope.ALL);
         door.start(4);
-        Policy.Rpc rpc = door.takeInQuota();
+        Request rpc = door.takeInQuota();
         door.pass(1_100_000);
         int before = door.heard("attempt 1 ").size();
         for (int i = 0; i < before; i++) {
@@ -81,7 +81,7 @@
     void aRepeatIsToldByWhenItHasToBeginHoweverLateItsConnectionIs() {
         method(Method.RetrySafety.DEDUPLICATED, Method.DeduplicationScope.ALL);
         door.start(4);
-        Policy.Rpc rpc = door.takeInQuota();
+        Request rpc = door.takeInQuota();
         door.pass(300_000);
         door.end(rpc, 0, Outcome.ERROR, 300_000);
         assertThat(door.heard("attempt 1 ")).hasSize(2);
@@ -93,9 +93,9 @@
     @Test
     void aRequestWhoseClientLeavesWhileItsCountIsOutIsNeverSentOnAndItsUnitsGoBack() {
         door.start(3);
-        Policy.Rpc rpc = door.take();
+        Request rpc = door.take();
         rpc.clientLeft();
-        assertThat(rpc.over()).isTrue();
+        assertThat(rpc.isFinished()).isTrue();
         door.answer(2);
         door.pass(3_000_000);
         assertThat(door.heard("attempt")).isEmpty();
@@ -106,7 +106,7 @@
     void whereTwoAttemptsAtOnceAreForbiddenTheFirstIsCancelledBeforeAnotherAndOnlyAwayFromAnEjectedBackend() {
         door.hedgingAllowed = false;
         door.start(3);
-        Policy.Rpc rpc = door.takeInQuota();
+        Request rpc = door.takeInQuota();
         door.pass(1_500_000);
         assertThat(door.heard("cancel")).as("a long RPC is long elsewhere too").isEmpty();
         door.end(rpc, 0, Outcome.OK, 1_500_000);
@@ -133,7 +133,7 @@
         door.start(0);
         door.list(1, Endpoint.State.READY, door.clockUs);
         for (int i = 0; i < 20; i++) {
-            Policy.Rpc rpc = door.takeInQuota();
+            Request rpc = door.takeInQuota();
             if (!door.heard("attempt " + (i + 1) + " ").isEmpty()) {
                 door.end(rpc, 0, Outcome.OK, 10_000);
             }
@@ -171,7 +171,7 @@
     @Test
     void aStreamThatHasBegunIsLeftToTheClient() {
         door.start(3);
-        Policy.Rpc rpc = door.takeCounted(2);
+        Request rpc = door.takeCounted(2);
         rpc.streamStarted(0);
         door.pass(7_490_000);
         assertThat(door.heard("attempt 1 ")).hasSize(1);
--- a/src/test/java/hopdrum/policy/SlowStartFleetTest.java
+++ b/src/test/java/hopdrum/policy/SlowStartFleetTest.java
@@ -23,7 +23,7 @@
     /** A gateway that always has a request waiting; what it sends is answered in the usual time. */
     private static final class Gateway {
         final FakeHost host = new FakeHost();
-        private Policy.Rpc waiting;
+        private Request waiting;
         private int sent;
         private long answerAtUs;
 
@@ -41,7 +41,7 @@
                 answerAtUs = 0;
                 host.end(waiting, 0, Outcome.OK, (long) WORK_US);
             }
-            if (waiting == null || waiting.over()) {
+            if (waiting == null || waiting.isFinished()) {
                 waiting = host.take();
             }
             host.pass(STEP_US);
--- a/src/test/java/hopdrum/policy/ZoneLatencyRoutingTest.java
+++ b/src/test/java/hopdrum/policy/ZoneLatencyRoutingTest.java
@@ -56,7 +56,7 @@
     @Test
     void anEjectedZoneHereLeavesTheFarOne() {
         start(100_000);
-        List<Policy.Rpc> rpcs = new ArrayList<>();
+        List<Request> rpcs = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             rpcs.add(door.takeInQuota());
         }
@@ -71,7 +71,7 @@
     void theWayIsNoSlownessOfABackendFarAway() {
         start(400_000);
         for (int i = 0; i < 30; i++) {
-            Policy.Rpc rpc = door.takeInQuota();
+            Request rpc = door.takeInQuota();
             String to = door.heard("attempt " + (i + 1) + " ").get(0);
             door.end(rpc, 0, Outcome.OK, to.endsWith("3") || to.endsWith("4") ? 450_000 : 50_000);
         }
