--- a/src/main/java/hopdrum/FleetServer.java
+++ b/src/main/java/hopdrum/FleetServer.java
@@ -32,10 +32,10 @@
             return new Server.Beside() {
                 @Override
                 public void serves(FrontDoor door) {
-                    door.knows(fleet, fleet::zoneLatencies);
+                    door.setFleet(fleet, fleet::zoneLatencies);
                     if (fleet.sharesCustomers()) {
-                        door.shares(fleet::shards);
-                        fleet.setDoorListener((tier, there) -> loop.ask(() -> door.partners(tier, there)));
+                        door.setShardOwnership(fleet::shards);
+                        fleet.setDoorListener((tier, there) -> loop.ask(() -> door.updatePartners(tier, there)));
                     }
                 }
 
--- a/src/main/java/hopdrum/frontdoor/ClientListener.java
+++ b/src/main/java/hopdrum/frontdoor/ClientListener.java
@@ -16,40 +16,50 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The listening socket and the connections that clients opened. */
-final class ClientListener implements EventLoop.Ready, ClientConnection.Owner {
+/** Accepts clients' connections on the listening socket and keeps track of them until they close. */
+final class ClientListener implements EventLoop.Ready, ClientConnection.Listener {
     private static final Log LOG = new Log("clients");
     private static final int BACKLOG = 1024;
     private static final long PAUSE_US = 50_000;
-    private static final long LEAST_IDLE_US = 250_000;
-    private static final long LEAST_SILENT_US = 50_000;
-    private static final int MOST_AT_ONCE = 32; // accepted: guards what is under way against a burst
+    private static final long MIN_IDLE_US = 250_000;
+    private static final long MIN_SILENT_US = 50_000;
+    private static final int MAX_ACCEPTED_AT_ONCE = 32; // a burst of clients must not delay requests in flight
 
-    /** Who takes RPCs. */
-    interface Owner {
-        void take(ClientConnection client) throws MalformedMessageException;
+    /** Handles clients' requests. */
+    interface RequestListener {
+        /**
+         * A request stands at the front of the client's receive buffer.
+         *
+         * @throws MalformedMessageException if it is rejected; the exception's status is the response
+         */
+        void requestReceived(ClientConnection client) throws MalformedMessageException;
 
-        void left(ClientConnection client);
+        /** A client has disconnected while its request was in flight. */
+        void clientDisconnected(ClientConnection client);
 
+        /** Whether the front door can handle requests: what the readiness endpoint reports. */
         boolean isReady();
     }
 
     private final EventLoop loop;
     private final ResourceBudget budget;
-    private final Owner owner;
+    private final RequestListener requests;
     private final ServerSocketChannel listener;
-    private SelectionKey key; // null until open()
-    private final Set<ClientConnection> open = new LinkedHashSet<>(); // one goes as it is closed
-    private final Set<ClientConnection> silent = new LinkedHashSet<>(); // have not said anything yet; the same
-    private final Set<ClientConnection> lingering = new LinkedHashSet<>(); // have their last answer; the same
-    private final Set<ClientConnection> idle = new LinkedHashSet<>(); // longest idle first; the same
+    private SelectionKey key; // null until startAccepting()
+    // A connection is removed from each set when it closes.
+    private final Set<ClientConnection> open = new LinkedHashSet<>();
+    private final Set<ClientConnection> silent = new LinkedHashSet<>(); // have not sent anything yet
+    private final Set<ClientConnection> lingering = new LinkedHashSet<>(); // have had their last response
+    private final Set<ClientConnection> idle = new LinkedHashSet<>(); // longest idle first
     private boolean paused;
-    private boolean stopping;
+    private boolean draining;
 
-    ClientListener(EventLoop loop, SocketAddress listen, ResourceBudget budget, Owner owner) throws IOException {
+    /** Binds the listening socket. Connections are not accepted before {@link #startAccepting()}. */
+    ClientListener(EventLoop loop, SocketAddress listen, ResourceBudget budget, RequestListener requests)
+            throws IOException {
         this.loop = loop;
         this.budget = budget;
-        this.owner = owner;
+        this.requests = requests;
         listener = ServerSocketChannel.open();
         try {
             listener.configureBlocking(false);
@@ -61,13 +71,14 @@
         }
     }
 
-    /** From now on what has connected is accepted; until then it waits in the listening socket's queue. */
-    void open() throws IOException {
+    /** Starts to accept connections; until then they wait in the listening socket's queue. */
+    void startAccepting() throws IOException {
         if (key == null && listener.isOpen()) {
             key = listener.register(loop.selector(), SelectionKey.OP_ACCEPT, this);
         }
     }
 
+    /** The address that the socket is bound to. */
     SocketAddress address() throws IOException {
         return listener.getLocalAddress();
     }
@@ -78,57 +89,58 @@
     }
 
     private void accept() throws IOException {
-        for (int i = 0; i < MOST_AT_ONCE && listener.isOpen(); i++) {
-            if (!budget.clientFits() && i > 0) {
-                return; // the selector tells if there is another
+        for (int i = 0; i < MAX_ACCEPTED_AT_ONCE && listener.isOpen(); i++) {
+            if (!budget.hasRoomForClient() && i > 0) {
+                return; // the selector reports a further one
             }
-            if (!budget.clientFits()) {
-                shed();
+            if (!budget.hasRoomForClient()) {
+                evictClient();
             }
-            if (!budget.clientFits()) {
-                pause("no descriptor or memory left for more clients");
+            if (!budget.hasRoomForClient()) {
+                pauseAccepting("no descriptor or memory left for more clients");
                 return;
             }
             SocketChannel channel = listener.accept();
             if (channel == null) {
                 return;
             }
-            budget.client(1);
+            budget.clientOpened();
             try {
                 ClientConnection client = new ClientConnection(loop, channel, budget, this);
                 open.add(client);
                 silent.add(client);
             } catch (IOException e) {
-                budget.client(-1);
+                budget.clientClosed();
                 LOG.warning("a client's connection ended at once", e.getMessage());
             }
         }
     }
 
     /**
-     * Clients that wait for nothing lose their connection first: those that have their last answer, those that came and
-     * say nothing, those idle. Guards against losing what a client has just sent: one whose bytes are there already is
-     * not idle, and one that came or was answered a moment ago may be writing.
+     * Closes one connection on which nothing is in flight: first one that lingers after its last response, then one
+     * that has not sent anything yet, then an idle one. A request that a client has just sent must not be lost: a
+     * connection with bytes to read is not idle, and a client that connected or had a response a moment ago may be
+     * sending.
      */
-    private void shed() {
-        if (!lingering.isEmpty() && loop.nowUs() - lingering.iterator().next().idleSinceUs() >= LEAST_SILENT_US) {
+    private void evictClient() {
+        if (!lingering.isEmpty() && loop.nowUs() - lingering.iterator().next().idleSinceUs() >= MIN_SILENT_US) {
             lingering.iterator().next().close();
-        } else if (!shed(silent, LEAST_SILENT_US)) {
-            shed(idle, LEAST_IDLE_US);
+        } else if (!evictLongestIdle(silent, MIN_SILENT_US)) {
+            evictLongestIdle(idle, MIN_IDLE_US);
         }
     }
 
-    private boolean shed(Set<ClientConnection> from, long leastUs) {
-        while (!from.isEmpty()) {
-            ClientConnection longest = from.iterator().next();
-            if (loop.nowUs() - longest.idleSinceUs() < leastUs) {
+    private boolean evictLongestIdle(Set<ClientConnection> candidates, long minIdleUs) {
+        while (!candidates.isEmpty()) {
+            ClientConnection longest = candidates.iterator().next();
+            if (loop.nowUs() - longest.idleSinceUs() < minIdleUs) {
                 return false;
             }
             if (closeIfIdle(longest)) {
-                LOG.info("a client's connection without an RPC is closed to make room", null);
+                LOG.info("a client's connection without a request is closed to make room", null);
                 return true;
             }
-            from.remove(longest);
+            candidates.remove(longest);
         }
         return false;
     }
@@ -142,24 +154,24 @@
         return isIdle;
     }
 
-    /** There is time: what crosses the end on its way here meets no reset. */
-    private static void finishIfIdle(ClientConnection client) {
+    /** Unlike {@link #closeIfIdle}, leaves time for a request that crosses the close: it meets no reset. */
+    private static void closeGracefullyIfIdle(ClientConnection client) {
         client.readNow();
         if (client.isIdle()) {
-            client.finish();
+            client.closeGracefully();
         }
     }
 
-    private void pause(String why) {
-        LOG.warning("accepting pauses", why);
+    private void pauseAccepting(String reason) {
+        LOG.warning("accepting pauses", reason);
         if (!paused && key != null && key.isValid()) {
             paused = true;
-            key.interestOps(0); // guards against a loop that spins on a connection that it cannot take
-            loop.in(PAUSE_US, this::resume);
+            key.interestOps(0); // else the loop would spin on a connection that it cannot accept
+            loop.in(PAUSE_US, this::resumeAccepting);
         }
     }
 
-    private void resume() {
+    private void resumeAccepting() {
         if (paused && key.isValid()) {
             paused = false;
             key.interestOps(SelectionKey.OP_ACCEPT);
@@ -168,68 +180,68 @@
 
     @Override
     public void broken(Exception e) {
-        pause(e.getMessage());
+        pauseAccepting(e.getMessage());
     }
 
     @Override
-    public void arrived(ClientConnection client) throws MalformedMessageException {
-        if (RequestHead.asksReady(client.bytes())) {
-            client.answer(owner.isReady() && !stopping ? 200 : 503, 0, false);
+    public void messageReceived(ClientConnection client) throws MalformedMessageException {
+        if (RequestHead.asksReady(client.receiveBuffer())) {
+            client.respond(requests.isReady() && !draining ? 200 : 503, 0, false);
         } else {
-            owner.take(client);
+            requests.requestReceived(client);
         }
     }
 
     @Override
-    public void idle(ClientConnection client) {
+    public void connectionIdle(ClientConnection client) {
         idle.add(client);
-        if (stopping && !listener.isOpen()) {
-            finishIfIdle(client);
+        if (draining && !listener.isOpen()) {
+            closeGracefullyIfIdle(client);
         }
     }
 
     @Override
-    public void busy(ClientConnection client) {
+    public void connectionBusy(ClientConnection client) {
         idle.remove(client);
         silent.remove(client);
     }
 
     @Override
-    public void lingers(ClientConnection client) {
+    public void connectionLingering(ClientConnection client) {
         lingering.add(client);
     }
 
     @Override
-    public void left(ClientConnection client) {
-        owner.left(client);
+    public void clientDisconnected(ClientConnection client) {
+        requests.clientDisconnected(client);
     }
 
     @Override
-    public void released(ClientConnection client) {
-        budget.client(-1);
+    public void connectionClosed(ClientConnection client) {
+        budget.clientClosed();
         idle.remove(client);
         silent.remove(client);
         lingering.remove(client);
         open.remove(client);
         if (paused) {
-            loop.soon(this::resume);
+            loop.soon(this::resumeAccepting);
         }
     }
 
     @Override
-    public boolean closesWithAnswer(boolean moreIsHere) {
-        if (moreIsHere && listener.isOpen()) {
-            return false; // what has been taken is owed an answer; it has half a second for them once the process ends
+    public boolean closesAfterResponse(boolean moreReceived) {
+        if (moreReceived && listener.isOpen()) {
+            return false; // responses are owed to all requests that arrive while connections are still accepted
         }
-        return stopping || paused; // while others wait for room a client is told to come back on a new connection
+        return draining || paused; // while others wait for room a client has to come back on a new connection
     }
 
-    /** From now on each answer is its connection's last. */
-    void stop() {
-        stopping = true;
+    /** Starts the graceful shutdown: from now on each response is its connection's last. */
+    void startDraining() {
+        draining = true;
     }
 
-    /** What has connected by now is still served; nothing more is accepted, and idle connections close. */
+    /** Accepts the connections that are queued by now and no further ones, and closes idle connections. */
     void stopAccepting() {
         try {
             for (int before = -1; before != open.size() && !paused; ) {
@@ -240,13 +252,15 @@
         } catch (IOException e) {
             LOG.warning("the listening socket did not close cleanly", e.getMessage());
         }
-        new ArrayList<>(open).forEach(ClientListener::finishIfIdle);
+        new ArrayList<>(open).forEach(ClientListener::closeGracefullyIfIdle);
     }
 
+    /** Whether no client is connected. */
     boolean isEmpty() {
         return open.isEmpty();
     }
 
+    /** Closes the listening socket and all connections. */
     void close() throws IOException {
         listener.close();
         new ArrayList<>(open).forEach(ClientConnection::close);
--- a/src/main/java/hopdrum/frontdoor/CounterClient.java
+++ b/src/main/java/hopdrum/frontdoor/CounterClient.java
@@ -11,105 +11,107 @@
 import java.util.List;
 import java.util.Objects;
 
-/** The few connections to the counter. A name keeps to one of them, so that its answers come in order. */
-final class CounterClient implements CounterConnection.Owner {
+/** Calls the counter over a few connections. A name keeps to one of them, so that its responses arrive in order. */
+final class CounterClient implements CounterConnection.Listener {
     private static final Log LOG = new Log("counter");
     private static final int CONNECTIONS = 2;
-    private static final long STUCK_US = 250_000;
-    private static final long MOST_STUCK_US = 8_000_000;
+    private static final long MIN_STALL_US = 250_000;
+    private static final long MAX_STALL_US = 8_000_000;
 
-    /** Who is told how calls end. */
-    interface Owner {
-        void counted(long name, Outcome outcome, double total, long tookUs);
+    /** Is notified of the ends of calls. */
+    interface Listener {
+        /** See {@link CounterConnection.Listener#callEnded}. */
+        void callEnded(long name, Outcome outcome, double total, long tookUs);
     }
 
     private final EventLoop loop;
     private SocketAddress address; // null without a counter
-    private final long timeOutUs;
+    private final long timeoutUs;
     private final ResourceBudget budget;
-    private final Owner owner;
-    private long stuckUs = STUCK_US;
-    private long answeredUs;
+    private final Listener listener;
+    private long stallUs = MIN_STALL_US; // after which a silent connection is replaced
+    private long lastResponseUs;
     private final CounterConnection[] connections = new CounterConnection[CONNECTIONS];
-    private final List<CounterConnection> leaving = new ArrayList<>(); // to where it was; one goes as it is closed
+    private final List<CounterConnection> draining = new ArrayList<>(); // to former addresses; removed when closed
 
-    CounterClient(EventLoop loop, SocketAddress address, long timeOutUs, ResourceBudget budget, Owner owner) {
+    CounterClient(EventLoop loop, SocketAddress address, long timeoutUs, ResourceBudget budget, Listener listener) {
         this.loop = loop;
         this.address = address;
-        this.timeOutUs = timeOutUs;
+        this.timeoutUs = timeoutUs;
         this.budget = budget;
-        this.owner = owner;
-        loop.in(STUCK_US, this::check);
+        this.listener = listener;
+        loop.in(MIN_STALL_US, this::replaceStalledConnections);
     }
 
-    /** New calls go there at once; those under way end where they are. */
-    void moveTo(SocketAddress now) {
-        if (Objects.equals(now, address)) {
+    /** New calls go to that address at once; pending calls end on their connections. Null if there is no counter. */
+    void updateAddress(SocketAddress current) {
+        if (Objects.equals(current, address)) {
             return;
         }
-        address = now;
-        stuckUs = STUCK_US;
+        address = current;
+        stallUs = MIN_STALL_US;
         for (int i = 0; i < CONNECTIONS; i++) {
             CounterConnection old = connections[i];
             connections[i] = null;
             if (old != null) {
-                leaving.add(old);
-                old.closeOnceAnswered();
+                draining.add(old);
+                old.drain();
             }
         }
     }
 
-    void add(long name, double amount, long lifeMs) {
-        int slot = Math.floorMod(Long.hashCode(name), CONNECTIONS);
+    /** Adds an amount to a name; the listener is notified of how it ended, never before this returns. */
+    void add(long name, double amount, long timeToLiveMs) {
+        int index = Math.floorMod(Long.hashCode(name), CONNECTIONS);
         try {
-            if (connections[slot] == null && address != null) {
-                connections[slot] = new CounterConnection(loop, address, timeOutUs, budget, this);
+            if (connections[index] == null && address != null) {
+                connections[index] = new CounterConnection(loop, address, timeoutUs, budget, this);
             }
-            if (connections[slot] != null && connections[slot].call(name, amount, lifeMs)) {
+            if (connections[index] != null && connections[index].call(name, amount, timeToLiveMs)) {
                 return;
             }
         } catch (IOException e) {
             LOG.warning("no connection to the counter", e.getMessage());
         }
-        loop.soon(() -> owner.counted(name, Outcome.CONNECT_FAILED, 0, 0));
+        loop.soon(() -> listener.callEnded(name, Outcome.CONNECT_FAILED, 0, 0));
     }
 
     @Override
-    public void counted(long name, Outcome outcome, double total, long tookUs) {
+    public void callEnded(long name, Outcome outcome, double total, long tookUs) {
         if (outcome == Outcome.OK) {
-            stuckUs = STUCK_US;
-            answeredUs = loop.nowUs();
+            stallUs = MIN_STALL_US;
+            lastResponseUs = loop.nowUs();
         } else {
             LOG.warning("a call to the counter ended as " + outcome, null);
         }
-        owner.counted(name, outcome, total, tookUs);
+        listener.callEnded(name, outcome, total, tookUs);
     }
 
     /**
-     * Guards against a connection that stands open and silent (a counter that vanished): a new one takes its place.
-     * Later each time, since the counter may hold the old ones still, and it holds 32 at most.
+     * Replaces connections that stand open and silent, as after the counter's machine vanished. The wait doubles each
+     * time, since the counter may still hold the old connections, and it holds 32 at most.
      */
-    private void check() {
+    private void replaceStalledConnections() {
         boolean replaced = false;
         for (CounterConnection connection : all()) {
-            if (connection.isStuck(stuckUs)) {
+            if (connection.isStalled(stallUs)) {
                 LOG.warning("a connection to the counter is silent and replaced", null);
-                connection.giveUp();
+                connection.abandon();
                 replaced = true;
             }
         }
-        stuckUs = replaced ? Math.min(MOST_STUCK_US, 2 * stuckUs) : stuckUs;
-        loop.in(STUCK_US / 4, this::check);
+        stallUs = replaced ? Math.min(MAX_STALL_US, 2 * stallUs) : stallUs;
+        loop.in(MIN_STALL_US / 4, this::replaceStalledConnections);
     }
 
     @Override
-    public boolean answeredSince(long us) {
-        return answeredUs > us;
+    public boolean hasRespondedSince(long us) {
+        return lastResponseUs > us;
     }
 
     @Override
-    public void released(CounterConnection connection) {
-        leaving.remove(connection);
+    public void connectionClosed(CounterConnection connection) {
+        draining.remove(connection);
         for (int i = 0; i < CONNECTIONS; i++) {
             if (connections[i] == connection) {
                 connections[i] = null;
@@ -117,12 +119,13 @@
         }
     }
 
+    /** Closes all connections. */
     void close() {
         all().forEach(CounterConnection::close);
     }
 
     private List<CounterConnection> all() {
-        List<CounterConnection> all = new ArrayList<>(leaving);
+        List<CounterConnection> all = new ArrayList<>(draining);
         for (CounterConnection connection : connections) {
             if (connection != null) {
                 all.add(connection);
--- a/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
+++ b/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
@@ -1,5 +1,6 @@
 package hopdrum.frontdoor;
 
+import hopdrum.frontdoor.connection.DiscoveredBackend;
 import hopdrum.frontdoor.connection.ResourceBudget;
 import hopdrum.frontdoor.lifecycle.EventLoop;
 import hopdrum.frontdoor.lifecycle.Log;
@@ -9,104 +10,132 @@
 import hopdrum.frontdoor.wire.MalformedMessageException;
 import java.io.IOException;
 import java.net.InetSocketAddress;
+import java.util.List;
 import java.util.Map;
 
-/** Follows the list of backends: one watch, kept up; a whole list after a line that could not be read. */
+/**
+ * Follows discovery's endpoint list by a watch that is reopened whenever it ends or falls silent. Fetches the complete
+ * list after a line that could not be read, and after a change of discovery's address.
+ */
 final class DiscoveryClient {
     private static final Log LOG = new Log("discovery");
-    private static final int MOST_BYTES = 64 << 10;
-    // What a silent watch misses counts as told 6 s later: the silence, and two new watches that say nothing, stay
-    // within.
-    private static final long SILENT_US =
-            3_000_000; // an empty line comes every 2 s: guards against a silent connection
-    private static final long FIRST_WORD_US = 700_000; // of a watch opened for a silent one: it is answered at once
-    private static final long MOST_FIRST_WORD_US =
-            2_000_000; // each further one is waited for longer, an outage may last
-    private static final long AGAIN_US = 250_000;
-    private static final long CUT_US = 125_000; // no bytes amid a message for so long: it was cut short
-    private static final long NO_LIST_US = 1_000_000; // a list that is asked for comes at once
-
-    /** Who is told of the list. */
-    interface Owner {
-        /** Throws IllegalArgumentException where the message cannot be understood. */
-        void told(Map<?, ?> message, boolean whole);
-
-        /** Discovery has refused or ended the watch, or does not answer. */
-        void lost();
+    private static final int MAX_BUFFER_BYTES = 64 << 10;
+    // A change that a silent watch misses counts as notified 6 s later: the silence that reveals it and two new watches
+    // that stay silent fit within that.
+    private static final long SILENCE_LIMIT_US = 3_000_000; // an empty line comes every 2 s
+    private static final long REOPENED_FIRST_LINE_US = 700_000; // a watch reopened after silence responds at once
+    private static final long MAX_FIRST_LINE_US = 2_000_000; // backoff: an outage may last
+    private static final long CHECK_INTERVAL_US = 250_000;
+    private static final long TRUNCATED_MESSAGE_US = 125_000; // without a byte in the middle of a message
+    private static final long FETCH_TIMEOUT_US = 1_000_000; // a fetched list comes at once
+
+    /** Is notified of endpoint lists and of the loss of the watch. */
+    interface Listener {
+        /**
+         * An endpoint list has arrived.
+         *
+         * @param complete whether it names all backends; else it names changes
+         */
+        void endpointListReceived(List<DiscoveredBackend> backends, boolean complete);
+
+        /** Discovery has refused or ended the watch, or does not respond. */
+        void watchLost();
+    }
+
+    /** A line of a watch, or a fetched list. */
+    private record ListMessage(long version, boolean complete, Map<?, ?> fields) {
+        static ListMessage parse(String line) {
+            if (!(JsonReader.parse(line) instanceof Map<?, ?> fields)
+                    || !(fields.get("seq") instanceof Double seq)
+                    || !(fields.get("whole") instanceof Boolean complete)) {
+                throw new IllegalArgumentException("no list");
+            }
+            return new ListMessage(seq.longValue(), complete, fields);
+        }
     }
 
     private final EventLoop loop;
     private InetSocketAddress address;
     private final ResourceBudget budget;
-    private final Owner owner;
+    private final Listener listener;
     private long version;
     private Connection watch;
     private Connection fetch;
-    private Connection former; // the watch at the address before, until the new one has told its whole list
-    private long lastHeardUs;
-    private long firstWordUs = SILENT_US; // what a new watch has for its first word
-    private boolean wholeNeeded;
+    private Connection formerWatch; // at the address before, until the complete list of the new one has arrived
+    private long lastLineUs;
+    private long firstLineTimeoutUs = SILENCE_LIMIT_US; // of a new watch
+    private boolean completeListNeeded;
     private boolean closed;
 
-    DiscoveryClient(EventLoop loop, InetSocketAddress address, long version, ResourceBudget budget, Owner owner) {
+    /**
+     * A client that does nothing before {@link #start()}.
+     *
+     * @param version of the last known list; -1 without one
+     */
+    DiscoveryClient(EventLoop loop, InetSocketAddress address, long version, ResourceBudget budget, Listener listener) {
         this.loop = loop;
         this.address = address;
         this.version = version;
         this.budget = budget;
-        this.owner = owner;
+        this.listener = listener;
     }
 
+    /** Opens the watch, and keeps it open until {@link #close()}. */
     void start() {
-        keepUp();
+        checkPeriodically();
     }
 
-    private void keepUp() {
+    private void checkPeriodically() {
         if (!closed) {
-            look();
-            loop.in(AGAIN_US, this::keepUp);
+            check();
+            loop.in(CHECK_INTERVAL_US, this::checkPeriodically);
         }
     }
 
-    /** Versions at another address are others: its whole list is needed, and what is known stands until then. */
-    void moveTo(InetSocketAddress now) {
-        if (now.equals(address)) {
+    /**
+     * Follows discovery to another address. Versions there are not comparable: its complete list is fetched, and the
+     * last list stands until then.
+     */
+    void updateAddress(InetSocketAddress current) {
+        if (current.equals(address)) {
             return;
         }
-        address = now;
+        address = current;
         version = -1;
-        wholeNeeded = true;
-        close(former);
-        former = watch;
+        completeListNeeded = true;
+        close(formerWatch);
+        formerWatch = watch;
         watch = null;
         close(fetch);
-        look();
+        check();
     }
 
-    private void look() {
-        if (watch != null && loop.nowUs() - watch.readUs > CUT_US) {
-            watch.reader.endsOpenMessage(); // cut short: guards against waiting for the next line, 2 s, to see it
+    private void check() {
+        if (watch != null && loop.nowUs() - watch.lastReadUs > TRUNCATED_MESSAGE_US) {
+            watch.reader.endsOpenMessage(); // truncated: else only the next line, up to 2 s later, would show it
         }
-        if (watch != null && loop.nowUs() - lastHeardUs > patienceUs()) {
-            LOG.warning("the watch is silent and opened anew", null);
-            boolean first = watch.hasSpoken || firstWordUs == SILENT_US;
-            firstWordUs = first ? FIRST_WORD_US : Math.min(MOST_FIRST_WORD_US, firstWordUs * 3 / 2);
+        if (watch != null && loop.nowUs() - lastLineUs > silenceLimitUs()) {
+            LOG.warning("the watch is silent and is reopened", null);
+            boolean first = watch.hasReceivedLine || firstLineTimeoutUs == SILENCE_LIMIT_US;
+            firstLineTimeoutUs =
+                    first ? REOPENED_FIRST_LINE_US : Math.min(MAX_FIRST_LINE_US, firstLineTimeoutUs * 3 / 2);
             watch.close();
-            owner.lost();
+            listener.watchLost();
         }
         if (watch == null) {
-            lastHeardUs = loop.nowUs();
+            lastLineUs = loop.nowUs();
             watch = open(true);
         }
-        if (wholeNeeded && fetch == null) {
+        if (completeListNeeded && fetch == null) {
             fetch = open(false);
         }
     }
 
-    private long patienceUs() {
-        if (wholeNeeded) {
-            return NO_LIST_US;
+    private long silenceLimitUs() {
+        if (completeListNeeded) {
+            return FETCH_TIMEOUT_US;
         }
-        return watch.hasSpoken ? SILENT_US : firstWordUs;
+        return watch.hasReceivedLine ? SILENCE_LIMIT_US : firstLineTimeoutUs;
     }
 
     private Connection open(boolean isWatch) {
@@ -114,16 +143,17 @@
             return new Connection(isWatch);
         } catch (IOException e) {
             LOG.warning("no connection to discovery", e.getMessage());
-            owner.lost();
+            listener.watchLost();
             return null;
         }
     }
 
+    /** Closes all connections. */
     void close() {
         closed = true;
         close(watch);
         close(fetch);
-        close(former);
+        close(formerWatch);
     }
 
     private static void close(Connection connection) {
@@ -132,64 +162,61 @@
         }
     }
 
-    private void line(String line, Connection from) {
-        boolean isWatch = from == watch;
-        if (isWatch) {
-            lastHeardUs = loop.nowUs();
-            watch.hasSpoken = true;
+    private void lineReceived(String line, Connection from) {
+        if (from == watch) {
+            lastLineUs = loop.nowUs();
+            watch.hasReceivedLine = true;
         }
         if (line.isEmpty()) {
             return;
         }
         try {
-            if (!(JsonReader.parse(line) instanceof Map<?, ?> message)
-                    || !(message.get("seq") instanceof Double seq)
-                    || !(message.get("whole") instanceof Boolean whole)) {
-                throw new IllegalArgumentException("no list");
-            }
-            if (from == former) {
-                owner.told(message, whole);
-                return;
-            }
-            if (!isWatch && seq.longValue() < version) {
-                return; // the watch has told more since
-            }
-            owner.told(message, whole);
-            if (whole) {
-                wholeNeeded = false;
-                close(former);
-            }
-            version = seq.longValue();
+            messageReceived(ListMessage.parse(line), from);
         } catch (IllegalArgumentException e) {
-            LOG.warning("a line from discovery cannot be read, the whole list is fetched", e.getMessage());
-            wholeNeeded = from != former || wholeNeeded;
-            if (isWatch && fetch == null) {
+            LOG.warning("a line from discovery cannot be read, the complete list is fetched", e.getMessage());
+            completeListNeeded = from != formerWatch || completeListNeeded;
+            if (from == watch && fetch == null) {
                 fetch = open(false);
             }
         }
     }
 
+    private void messageReceived(ListMessage message, Connection from) {
+        if (from != watch && from != formerWatch && message.version < version) {
+            return; // the watch has brought a newer list since
+        }
+        listener.endpointListReceived(DiscoveredBackend.parseList(message.fields), message.complete);
+        if (from == formerWatch) {
+            return; // versions at the former address are not comparable
+        }
+        if (message.complete) {
+            completeListNeeded = false;
+            close(formerWatch);
+        }
+        version = message.version;
+    }
+
     private final class Connection extends StreamConnection {
         private final boolean isWatch;
         private final EndpointListReader reader;
-        private boolean hasSpoken;
-        private long readUs = DiscoveryClient.this.loop.nowUs();
+        private boolean hasReceivedLine;
+        private long lastReadUs = DiscoveryClient.this.loop.nowUs();
 
         Connection(boolean isWatch) throws IOException {
-            super(DiscoveryClient.this.loop, address, MOST_BYTES, MOST_BYTES, budget);
+            super(DiscoveryClient.this.loop, address, MAX_BUFFER_BYTES, MAX_BUFFER_BYTES, budget);
             this.isWatch = isWatch;
-            this.reader = new EndpointListReader(line -> line(line, this));
+            this.reader = new EndpointListReader(line -> lineReceived(line, this));
             EndpointListReader.ask(
                     isWatch, version, address.getAddress().getHostAddress() + ":" + address.getPort(), out);
             flush();
             if (!isWatch) {
-                loop.in(NO_LIST_US, this::close);
+                loop.in(FETCH_TIMEOUT_US, this::close);
             }
         }
 
         @Override
         protected void received() {
-            readUs = DiscoveryClient.this.loop.nowUs();
+            lastReadUs = DiscoveryClient.this.loop.nowUs();
             try {
                 if (reader.read(in)) {
                     close();
@@ -203,9 +230,10 @@
         @Override
         protected void ended(Ending ending) {
             if (isWatch) {
-                LOG.info("the watch has ended and is opened anew", null);
-                firstWordUs = SILENT_US; // guards a service that answers its callers in turn after an outage
-                owner.lost();
+                LOG.info("the watch has ended and is reopened", null);
+                firstLineTimeoutUs =
+                        SILENCE_LIMIT_US; // after an outage discovery may serve its callers one after another
+                listener.watchLost();
             }
         }
 
@@ -217,8 +245,8 @@
             if (fetch == this) {
                 fetch = null;
             }
-            if (former == this) {
-                former = null;
+            if (formerWatch == this) {
+                formerWatch = null;
             }
         }
     }
--- a/src/main/java/hopdrum/frontdoor/PeerMessenger.java
+++ b/src/main/java/hopdrum/frontdoor/PeerMessenger.java
@@ -11,19 +11,26 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Short messages to and from the other front doors, by UDP. Owns the one datagram socket. */
+/** Sends short messages to the other front doors and receives theirs, by UDP. Owns the one datagram socket. */
 final class PeerMessenger implements EventLoop.Ready {
     private static final Log LOG = new Log("peers");
-    private static final int MOST = 256;
+    private static final int MAX_MESSAGE_BYTES = 256;
+    private static final int MAX_RECEIVED_AT_ONCE = 64; // so that other sockets get their turn
     private final DatagramChannel channel;
     private final List<InetSocketAddress> peers;
-    private final Consumer<byte[]> heard;
-    private final ByteBuffer buffer = ByteBuffer.allocateDirect(MOST + 1);
+    private final Consumer<byte[]> listener;
+    private final ByteBuffer buffer = ByteBuffer.allocateDirect(MAX_MESSAGE_BYTES + 1);
 
-    PeerMessenger(EventLoop loop, SocketAddress listen, List<InetSocketAddress> peers, Consumer<byte[]> heard)
+    /**
+     * Binds the socket.
+     *
+     * @param peers the addresses of all front doors, by their gateway number
+     * @param listener is given each message of a peer, on the loop's thread
+     */
+    PeerMessenger(EventLoop loop, SocketAddress listen, List<InetSocketAddress> peers, Consumer<byte[]> listener)
             throws IOException {
         this.peers = peers;
-        this.heard = heard;
+        this.listener = listener;
         channel = DatagramChannel.open();
         try {
             channel.configureBlocking(false);
@@ -35,12 +42,17 @@
         }
     }
 
-    void tell(int gateway, byte[] message) {
-        if (gateway < 0 || gateway >= peers.size() || message.length > MOST) {
+    /**
+     * Sends a message, which may be lost. One that is too long, or to no peer, is dropped.
+     *
+     * @param gateway the peer's place in the list of peers
+     */
+    void send(int gateway, byte[] message) {
+        if (gateway < 0 || gateway >= peers.size() || message.length > MAX_MESSAGE_BYTES) {
             return;
         }
         try {
-            channel.send(ByteBuffer.wrap(message), peers.get(gateway)); // one that the socket does not take is lost
+            channel.send(ByteBuffer.wrap(message), peers.get(gateway)); // lost if the socket does not take it
         } catch (IOException e) {
             LOG.warning("a message to another front door was not sent", e.getMessage());
         }
@@ -48,18 +60,18 @@
 
     @Override
     public void ready(SelectionKey key) throws IOException {
-        for (int i = 0; i < 64; i++) {
+        for (int i = 0; i < MAX_RECEIVED_AT_ONCE; i++) {
             buffer.clear();
             SocketAddress from = channel.receive(buffer);
             if (from == null) {
                 return;
             }
             buffer.flip();
-            // Guards against datagrams from elsewhere: only the sender's address tells who it is.
-            if (buffer.remaining() <= MOST && peers.indexOf(from) >= 0) {
+            // Datagrams from elsewhere are dropped: only the sender's address tells who it is.
+            if (buffer.remaining() <= MAX_MESSAGE_BYTES && peers.indexOf(from) >= 0) {
                 byte[] message = new byte[buffer.remaining()];
                 buffer.get(message);
-                heard.accept(message);
+                listener.accept(message);
             }
         }
     }
@@ -69,6 +81,7 @@
         LOG.warning("the datagram socket failed to read", e.getMessage());
     }
 
+    /** Closes the socket. */
     void close() {
         try {
             channel.close();
--- /dev/null
+++ b/src/main/java/hopdrum/frontdoor/RequestHandler.java
@@ -0,0 +1,87 @@
+package hopdrum.frontdoor;
+
+import hopdrum.frontdoor.connection.ClientConnection;
+import hopdrum.frontdoor.connection.InFlightRequest;
+import hopdrum.frontdoor.connection.InFlightRequests;
+import hopdrum.frontdoor.lifecycle.Config;
+import hopdrum.frontdoor.lifecycle.EventLoop;
+import hopdrum.frontdoor.wire.MalformedMessageException;
+import hopdrum.frontdoor.wire.RequestHead;
+import hopdrum.policy.Policy;
+
+/** Hands clients' requests, and the news of clients that disconnect, to Policy. */
+final class RequestHandler implements ClientListener.RequestListener {
+    private final EventLoop loop;
+    private final Policy policy;
+    private final InFlightRequests requests;
+    private final RequestTally tally;
+    private final FleetHooks fleet;
+    private final EndpointUpdater endpoints;
+    private final RequestHead head; // of the request that is being handled
+    private final int gateways;
+
+    RequestHandler(
+            Config config,
+            EventLoop loop,
+            Policy policy,
+            InFlightRequests requests,
+            RequestTally tally,
+            FleetHooks fleet,
+            EndpointUpdater endpoints) {
+        this.loop = loop;
+        this.policy = policy;
+        this.requests = requests;
+        this.tally = tally;
+        this.fleet = fleet;
+        this.endpoints = endpoints;
+        gateways = config.settings().gateways();
+        head = new RequestHead(
+                config.methods(), config.plans(), config.settings().methods(), gateways, config.mostUnits());
+    }
+
+    @Override
+    public boolean isReady() {
+        return endpoints.hasEndpoints();
+    }
+
+    @Override
+    public void requestReceived(ClientConnection client) throws MalformedMessageException {
+        head.read(client.receiveBuffer(), client.message());
+        long remainingUs = Math.max(1, head.leftMs * 1000 - client.messageAgeUs());
+        boolean hasPartners = fleet.hasPartners();
+        InFlightRequest request = requests.add(
+                client,
+                head.trace,
+                loop.nowUs() + remainingUs,
+                hasPartners && RequestHead.isPassedOn(client.receiveBuffer(), client.message()));
+        if (request == null) {
+            throw new MalformedMessageException(409, "the X-Trace-Id is another RPC's that is open");
+        }
+        client.attachRequest(request);
+        tally.requestReceived();
+        // With partners any front door takes any customer: its gateways are all that its shard's owner has.
+        request.accepted(policy.requestReceived(
+                request.id(),
+                head.method,
+                head.customer,
+                head.plan,
+                head.units,
+                hasPartners ? 0 : head.firstGateway,
+                hasPartners ? gateways : head.gateways,
+                remainingUs));
+        requests.removeIfDone(request);
+    }
+
+    @Override
+    public void clientDisconnected(ClientConnection client) {
+        InFlightRequest request = client.request();
+        request.detachClient();
+        tally.clientDisconnected();
+        if (request.handle() == null) {
+            requests.remove(request); // Policy failed to take it
+            return;
+        }
+        request.handle().clientLeft();
+        requests.removeIfDone(request);
+    }
+}
--- /dev/null
+++ b/src/main/java/hopdrum/frontdoor/RequestTally.java
@@ -0,0 +1,71 @@
+package hopdrum.frontdoor;
+
+import hopdrum.frontdoor.connection.InFlightRequests;
+import hopdrum.frontdoor.connection.ResourceBudget;
+import hopdrum.frontdoor.lifecycle.EventLoop;
+import hopdrum.frontdoor.lifecycle.Log;
+
+/** Counts requests and their ends, and logs a summary of them periodically unless there were none. */
+final class RequestTally {
+    private static final Log LOG = new Log("frontdoor");
+    private static final long SUMMARY_INTERVAL_US = 10_000_000;
+
+    private final EventLoop loop;
+    private final InFlightRequests requests;
+    private final ResourceBudget budget;
+    private int received;
+    private int ok;
+    private int rejected;
+    private int aborted;
+    private int disconnected;
+
+    RequestTally(EventLoop loop, InFlightRequests requests, ResourceBudget budget) {
+        this.loop = loop;
+        this.requests = requests;
+        this.budget = budget;
+    }
+
+    /** Schedules the summaries. */
+    void start() {
+        loop.in(SUMMARY_INTERVAL_US, this::logSummary);
+    }
+
+    void requestReceived() {
+        received++;
+    }
+
+    void requestRejected() {
+        rejected++;
+    }
+
+    void requestAborted() {
+        aborted++;
+    }
+
+    void clientDisconnected() {
+        disconnected++;
+    }
+
+    /** Counts a backend's or a partner's response by its status. */
+    void responseForwarded(int status) {
+        ok += status == 200 ? 1 : 0;
+        rejected += status == 429 || status == 503 ? 1 : 0;
+        aborted += status == 500 ? 1 : 0;
+    }
+
+    private void logSummary() {
+        if (received + ok + rejected + aborted + disconnected != 0) {
+            LOG.info(
+                    "in 10 s",
+                    "received=" + received + " ok=" + ok + " rejected=" + rejected + " aborted=" + aborted
+                            + " disconnected=" + disconnected + "; now in_flight=" + requests.size() + " clients="
+                            + budget.clients() + " backends=" + budget.backends());
+            received = 0;
+            ok = 0;
+            rejected = 0;
+            aborted = 0;
+            disconnected = 0;
+        }
+        loop.in(SUMMARY_INTERVAL_US, this::logSummary);
+    }
+}
--- a/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
@@ -13,66 +13,81 @@
 import java.io.IOException;
 import java.util.List;
 
-/** A connection to a backend: one attempt at a time, kept for the next one where the backend keeps it. */
+/** A pooled connection to a backend: one attempt at a time, used again for the next one if the backend keeps it open. */
 public final class BackendConnection extends StreamConnection {
-    /** Who is told how attempts end. */
-    public interface Owner {
-        /** A whole answer that was asked for: its client gets it. The connection's bytes stand until this returns. */
-        void pass(Attempt attempt, RingBuffer bytes, HttpReader answer);
+    /** Is notified of responses, of the ends of attempts, and of the connection's own end. */
+    public interface Listener {
+        /**
+         * A complete response has arrived that the client is to get. Comes before {@link #attemptEnded}.
+         *
+         * @param bytes the connection's receive buffer, which holds the response until this returns
+         * @param response where its parts are in {@code bytes}
+         */
+        void forwardResponse(Attempt attempt, RingBuffer bytes, HttpReader response);
 
-        void ended(Attempt attempt, Outcome outcome, float[] report);
+        /**
+         * An attempt has ended, by a response or without one.
+         *
+         * @param report the load report of the response, in the order of the settings' fields; empty without one
+         */
+        void attemptEnded(Attempt attempt, Outcome outcome, float[] report);
 
-        void released(BackendConnection connection);
+        /** The connection is closed. */
+        void connectionClosed(BackendConnection connection);
     }
 
     private static final Log LOG = new Log("backends");
-    private static final int MOST_BYTES = 128 << 10;
-    private static final long HALF_US = 250_000; // of silence amid an answer
+    private static final int MAX_REQUEST_BYTES = 128 << 10;
+    private static final long STALLED_RESPONSE_US = 250_000; // without a byte in the middle of a response
     private static final float[] NO_REPORT = {};
-    private final Owner owner;
+    private final Listener listener;
     private final ConnectionPool pool;
     private final List<String> reportFields;
     private final HttpReader reader = new HttpReader(HttpReader.Kind.RESPONSE);
     private Attempt attempt;
-    private boolean written; // the attempt's last byte
-    private EventLoop.Timer dial;
+    private boolean requestWritten; // up to its last byte
+    private EventLoop.Timer connectTimeout;
     private long idleSinceUs;
-    private long heardUs; // the last bytes of an answer that is not whole; 0 before
+    private long partialResponseUs; // when the last bytes of an incomplete response arrived; 0 before the first
 
+    /**
+     * Starts to open a connection to the pool's address.
+     *
+     * @param connectTimeoutUs after which a connection that has not come up counts as failed
+     * @param reportFields the fields of the load report that are read, in the order in which they are handed on
+     * @throws IOException if the system refuses the socket
+     */
     public BackendConnection(
             EventLoop loop,
             ConnectionPool pool,
-            long dialTimeOutUs,
+            long connectTimeoutUs,
             List<String> reportFields,
             ResourceBudget budget,
-            Owner owner)
+            Listener listener)
             throws IOException {
-        super(loop, pool.address(), HttpReader.MOST_ANSWER_RING, MOST_BYTES, budget);
+        super(loop, pool.address(), HttpReader.MOST_ANSWER_RING, MAX_REQUEST_BYTES, budget);
         this.pool = pool;
-        this.owner = owner;
+        this.listener = listener;
         this.reportFields = reportFields;
         if (!isConnected()) {
-            dial = loop.in(dialTimeOutUs, this::notUp);
+            connectTimeout = loop.in(connectTimeoutUs, this::connectTimedOut);
         }
     }
 
-    public ConnectionPool pool() {
-        return pool;
-    }
-
+    /** Since when it has been free for another attempt. */
     public long idleSinceUs() {
         return idleSinceUs;
     }
 
     /**
-     * Takes on an attempt. Its request is written once the connection is up, so that it states the time that is left then;
-     * false, and the connection is closed, where it does not fit.
+     * Takes on an attempt. Its request is written once the connection is up, so that it states the time that is left
+     * then. Returns false, and the connection is closed, if the request does not fit.
      */
-    public boolean send(Attempt sent) {
-        attempt = sent;
-        heardUs = 0;
-        sent.connection = this;
-        written = false;
+    public boolean send(Attempt next) {
+        attempt = next;
+        partialResponseUs = 0;
+        next.assignTo(this);
+        requestWritten = false;
         if (isConnected() && !writeRequest()) {
             detach();
             close();
@@ -81,14 +96,13 @@
         return true;
     }
 
-    /** Writes the RPC that stands at the front of its client's ring. */
+    /** Writes the request that stands at the front of its client's receive buffer. */
     private boolean writeRequest() {
-        ClientConnection client = attempt.rpc.client;
-        // Another front door is told how long the client waits, not when this one gives up: it goes by that for its
-        // soft deadline.
-        long endsAtUs = pool.isDoor ? attempt.rpc.expiresAtUs : attempt.endsAtUs;
-        long leftMs = Math.max(1, (endsAtUs - loop.nowUs()) / 1000);
-        if (!RequestHead.forward(client.bytes(), client.message(), leftMs, pool.isDoor, out)) {
+        ClientConnection client = attempt.request().client();
+        // A partner's front door derives its soft deadline from the time that the client waits, not from the attempt's.
+        long deadlineUs = pool.isPartner() ? attempt.request().expiresAtUs() : attempt.deadlineUs();
+        long remainingMs = Math.max(1, (deadlineUs - loop.nowUs()) / 1000);
+        if (!RequestHead.forward(client.receiveBuffer(), client.message(), remainingMs, pool.isPartner(), out)) {
             return false;
         }
         flush();
@@ -97,33 +111,33 @@
 
     @Override
     protected void connected() {
-        if (dial != null) {
-            dial.cancel();
-            dial = null;
+        if (connectTimeout != null) {
+            connectTimeout.cancel();
+            connectTimeout = null;
         }
         if (attempt == null) {
             return;
         }
-        if (attempt.rpc.client == null) {
-            endUnsent(Outcome.INVALID_REQUEST); // its client has gone, or has its answer
-        } else if (loop.nowUs() >= attempt.beginByUs || !pool.mayBegin()) {
+        if (attempt.request().client() == null) {
+            endUnsent(Outcome.INVALID_REQUEST); // its client has disconnected, or has its response
+        } else if (loop.nowUs() >= attempt.writeByUs() || !pool.acceptsAttempts()) {
             endUnsent(Outcome.CONNECT_FAILED);
         } else if (!writeRequest()) {
-            Attempt over = detach();
+            Attempt ended = detach();
             close();
-            owner.ended(over, Outcome.CONNECT_FAILED, NO_REPORT);
+            listener.attemptEnded(ended, Outcome.CONNECT_FAILED, NO_REPORT);
         }
     }
 
-    /** The connection came up too late for its attempt, and stays for another one. */
+    /** The connection came up too late for its attempt, and is kept for another one. */
     private void endUnsent(Outcome outcome) {
-        Attempt over = detach();
+        Attempt ended = detach();
         idleSinceUs = loop.nowUs();
-        pool.keep(this);
-        owner.ended(over, outcome, NO_REPORT);
+        pool.release(this);
+        listener.attemptEnded(ended, outcome, NO_REPORT);
     }
 
-    private void notUp() {
+    private void connectTimedOut() {
         if (!isConnected() && !isClosed()) {
             ended(Ending.BROKEN);
             close();
@@ -132,84 +146,85 @@
 
     @Override
     protected void drained() {
-        written = true;
+        requestWritten = true;
     }
 
     @Override
     protected void received() {
         if (attempt == null) {
-            close(); // bytes that answer nothing
+            close(); // bytes that belong to no response
             return;
         }
         try {
             if (reader.read(in)) {
-                whole(reader.keepAlive() && written);
+                completeResponse(reader.keepAlive() && requestWritten);
             } else if (reader.isUntilClose() && reader.status() != 200) {
                 reader.endAtHead();
-                whole(false);
-            } else if (heardUs == 0 && !in.isEmpty()) {
-                heardUs = loop.nowUs();
-                lookIn(HALF_US, attempt);
+                completeResponse(false);
+            } else if (partialResponseUs == 0 && !in.isEmpty()) {
+                partialResponseUs = loop.nowUs();
+                watchForStall(STALLED_RESPONSE_US, attempt);
             } else {
-                heardUs = loop.nowUs();
+                partialResponseUs = loop.nowUs();
             }
         } catch (MalformedMessageException e) {
-            unreadable(e.getMessage());
+            responseUnreadable(e.getMessage());
         }
     }
 
-    /** It has run, and any backend's answer may be spoilt so. */
-    private void unreadable(String why) {
-        LOG.warning("a backend's answer cannot be read", why);
-        Attempt over = detach();
+    /** The attempt has run; that its response is malformed says nothing about the backend's health. */
+    private void responseUnreadable(String reason) {
+        LOG.warning("a backend's answer cannot be read", reason);
+        Attempt ended = detach();
         close();
-        owner.ended(over, Outcome.UNREADABLE, NO_REPORT);
+        listener.attemptEnded(ended, Outcome.UNREADABLE, NO_REPORT);
     }
 
-    /** Guards against an answer that begins and does not go on: its client would wait for nothing. */
-    private void lookIn(long delayUs, Attempt of) {
+    /** Ends an attempt whose response begins and does not go on: its client would wait for nothing. */
+    private void watchForStall(long delayUs, Attempt watched) {
         loop.in(delayUs, () -> {
-            long leftUs = heardUs + HALF_US - loop.nowUs();
-            if (attempt == of && !isClosed() && leftUs > 0) {
-                lookIn(leftUs, of);
-            } else if (attempt == of && !isClosed()) {
-                unreadable("it stops halfway");
+            long remainingUs = partialResponseUs + STALLED_RESPONSE_US - loop.nowUs();
+            if (attempt == watched && !isClosed() && remainingUs > 0) {
+                watchForStall(remainingUs, watched);
+            } else if (attempt == watched && !isClosed()) {
+                responseUnreadable("it stops halfway");
             }
         });
     }
 
-    /** The client first, then the connection's next use, then the news of it, upon which that use may come. */
-    private void whole(boolean keeps) {
-        Attempt over = detach();
-        Outcome outcome = pool.isDoor ? BackendResponse.outcomeOfDoor(reader) : BackendResponse.outcome(in, reader);
+    /** The client comes first, then the connection's release, then the attempt's end, which may use it at once. */
+    private void completeResponse(boolean reusable) {
+        Attempt ended = detach();
+        Outcome outcome =
+                pool.isPartner() ? BackendResponse.outcomeOfDoor(reader) : BackendResponse.outcome(in, reader);
         float[] report = BackendResponse.report(in, reader, reportFields);
-        if (outcome == Outcome.OK || (pool.isDoor && HttpWriter.isAnswer(reader.status()))) {
-            owner.pass(over, in, reader);
+        if (outcome == Outcome.OK || (pool.isPartner() && HttpWriter.isAnswer(reader.status()))) {
+            listener.forwardResponse(ended, in, reader);
         }
-        if (keeps) {
-            free();
+        if (reusable) {
+            becomeIdle();
         } else {
             close();
         }
-        owner.ended(over, outcome, report);
+        listener.attemptEnded(ended, outcome, report);
     }
 
     private Attempt detach() {
-        Attempt over = attempt;
+        Attempt ended = attempt;
         attempt = null;
-        over.connection = null;
-        return over;
+        ended.unassign();
+        return ended;
     }
 
-    private void free() {
+    private void becomeIdle() {
         reader.done(in);
         if (!in.isEmpty()) {
-            close(); // more than one answer
+            close(); // bytes behind the response
             return;
         }
         in.shrink();
         idleSinceUs = loop.nowUs();
-        pool.keep(this);
+        pool.release(this);
     }
 
     @Override
@@ -217,26 +232,26 @@
         if (attempt == null) {
             return;
         }
-        if (ending == Ending.IN_ORDER && written && reader.isUntilClose()) {
+        if (ending == Ending.IN_ORDER && requestWritten && reader.isUntilClose()) {
             reader.endAtClose();
-            whole(false);
+            completeResponse(false);
             return;
         }
-        owner.ended(detach(), written ? Outcome.RESET : Outcome.CONNECT_FAILED, NO_REPORT);
+        listener.attemptEnded(detach(), requestWritten ? Outcome.RESET : Outcome.CONNECT_FAILED, NO_REPORT);
     }
 
-    /** Nobody waits any more: the backend sees the connection close. */
-    public void giveUp() {
+    /** Nobody waits for the attempt any more: the connection closes, by which the backend learns it. */
+    void abandonAttempt() {
         attempt = null;
         close();
     }
 
     @Override
     protected void released() {
-        if (dial != null) {
-            dial.cancel();
+        if (connectTimeout != null) {
+            connectTimeout.cancel();
         }
-        pool.forget(this);
-        owner.released(this);
+        pool.remove(this);
+        listener.connectionClosed(this);
     }
 }
--- a/src/main/java/hopdrum/frontdoor/connection/BackendDirectory.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendDirectory.java
@@ -3,43 +3,50 @@
 import hopdrum.frontdoor.lifecycle.Config;
 import hopdrum.host.Endpoint;
 import hopdrum.host.ShardOwnership;
-import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
 /**
- * The backends by name and by the number that Policy knows them by, with their addresses and connections. An entry
- * goes once discovery has withdrawn it and its last connection is closed.
+ * The backends by name and by the id that Policy knows them by, each with its connection pool. An entry is removed once
+ * the backend is withdrawn and its last connection is closed.
  */
 public final class BackendDirectory {
+    private static final long MICROS_PER_MILLI = 1000;
     private final Map<String, ConnectionPool> byName = new HashMap<>();
-    private final Map<Long, ConnectionPool> byNumber = new HashMap<>();
+    private final Map<Long, ConnectionPool> byId = new HashMap<>();
     private final List<String> zones;
     private final List<String> kinds;
-    private long next = 1;
+    private long nextId = 1;
 
+    /**
+     * An empty directory.
+     *
+     * @param zones the names of the zones, in the settings' order
+     * @param kinds the names of the kinds of machines, in the settings' order
+     */
     public BackendDirectory(List<String> zones, List<String> kinds) {
         this.zones = zones;
         this.kinds = kinds;
     }
 
-    public ConnectionPool get(long backend) {
-        return byNumber.get(backend);
+    /** The pool of the backend of that id; null if it is not known any more. */
+    public ConnectionPool get(long backendId) {
+        return byId.get(backendId);
     }
 
+    /** The pools of all backends. */
     public Iterable<ConnectionPool> pools() {
-        return byNumber.values();
+        return byId.values();
     }
 
-    /** Makes room for a connection that is needed: the one that has waited longest goes. */
+    /** Makes room for a connection that is needed by closing the one that has been idle longest. */
     public void closeLongestIdle() {
         BackendConnection longest = null;
-        for (ConnectionPool pool : byNumber.values()) {
+        for (ConnectionPool pool : byId.values()) {
             BackendConnection idle = pool.longestIdle();
             if (idle != null && (longest == null || idle.idleSinceUs() < longest.idleSinceUs())) {
                 longest = idle;
@@ -50,117 +57,77 @@
         }
     }
 
-    /** Takes in one message of discovery's; throws IllegalArgumentException, and changes nothing, if it is malformed. */
-    public List<Endpoint> take(Map<?, ?> message, boolean whole) {
-        if (!(message.get("hosts") instanceof List<?> hosts)) {
-            throw new IllegalArgumentException("no list of hosts");
-        }
-        List<Entry> entries = new ArrayList<>();
-        for (Object host : hosts) {
-            if (!(host instanceof Map<?, ?> fields)) {
-                throw new IllegalArgumentException("a host is no object");
-            }
-            entries.add(new Entry(fields));
-        }
-        if (whole) {
-            // Only what is not named any more: unlisting closes a backend's idle connections.
+    /**
+     * Applies an endpoint list of discovery's.
+     *
+     * @param complete whether the list names all backends, so that others are withdrawn; else it names changes
+     * @return the same backends for Policy
+     */
+    public List<Endpoint> applyList(List<DiscoveredBackend> backends, boolean complete) {
+        if (complete) {
+            // Only what is not named any more: withdrawing closes a backend's idle connections.
             Set<String> named = new HashSet<>();
-            entries.forEach(entry -> named.add(entry.name));
-            byName.forEach((name, pool) -> pool.listed(named.contains(name) || (pool.isDoor && pool.isListed())));
+            backends.forEach(backend -> named.add(backend.name()));
+            byName.forEach(
+                    (name, pool) -> pool.setListed(named.contains(name) || (pool.isPartner() && pool.isListed())));
         }
-        List<Endpoint> listed = new ArrayList<>();
-        for (Entry entry : entries) {
-            ConnectionPool pool =
-                    byName.computeIfAbsent(entry.name, name -> new ConnectionPool(next++, entry.address, false));
-            byNumber.put(pool.backend, pool);
-            pool.moveTo(entry.address);
-            pool.told(entry.state);
-            listed.add(new Endpoint(
-                    pool.backend,
-                    Math.max(0, zones.indexOf(entry.zone)),
-                    Math.max(0, kinds.indexOf(entry.kind)),
-                    entry.cell,
-                    entry.state,
-                    entry.weight,
-                    entry.bornMs * 1000)); // the loop's clock counts from the same moment
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (DiscoveredBackend backend : backends) {
+            ConnectionPool pool = byName.computeIfAbsent(
+                    backend.name(), name -> new ConnectionPool(nextId++, backend.address(), false));
+            byId.put(pool.backendId(), pool);
+            pool.updateAddress(backend.address());
+            pool.updateState(backend.state());
+            endpoints.add(endpoint(pool.backendId(), backend));
         }
-        sweep();
-        return listed;
+        removeWithdrawn();
+        return endpoints;
     }
 
-    /** The front doors of another tier, all that are there, as backends of their own. */
-    public List<Endpoint> partners(int tier, List<ShardOwnership.PartnerEndpoint> doors) {
+    private Endpoint endpoint(long backendId, DiscoveredBackend backend) {
+        return new Endpoint(
+                backendId,
+                Math.max(0, zones.indexOf(backend.zone())),
+                Math.max(0, kinds.indexOf(backend.kind())),
+                backend.cell(),
+                backend.state(),
+                backend.weight(),
+                backend.startedAtMs() * MICROS_PER_MILLI); // the loop's clock has the wall clock's epoch
+    }
+
+    /**
+     * Applies the complete list of the front doors of another tier, which are backends of a tier of their own.
+     *
+     * @return the same front doors for Policy
+     */
+    public List<Endpoint> applyPartners(int tier, List<ShardOwnership.PartnerEndpoint> partners) {
         String prefix = "tier " + tier + ": "; // no name that discovery gives
         Set<String> named = new HashSet<>();
-        List<Endpoint> listed = new ArrayList<>();
-        for (ShardOwnership.PartnerEndpoint door : doors) {
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (ShardOwnership.PartnerEndpoint partner : partners) {
+            String name = prefix + partner.name();
             ConnectionPool pool = byName.computeIfAbsent(
-                    prefix + door.name(),
-                    k -> new ConnectionPool(next++, Config.address("serves", door.address()), true));
-            byNumber.put(pool.backend, pool);
-            pool.told(Endpoint.State.READY);
-            named.add(prefix + door.name());
-            listed.add(new Endpoint(
-                    pool.backend, Math.max(0, zones.indexOf(door.site())), 0, 0, Endpoint.State.READY, 1, 0));
+                    name, k -> new ConnectionPool(nextId++, Config.address("serves", partner.address()), true));
+            byId.put(pool.backendId(), pool);
+            pool.updateState(Endpoint.State.READY);
+            named.add(name);
+            endpoints.add(new Endpoint(
+                    pool.backendId(), Math.max(0, zones.indexOf(partner.site())), 0, 0, Endpoint.State.READY, 1, 0));
         }
         byName.forEach(
-                (name, pool) -> pool.listed(pool.isListed() && (!name.startsWith(prefix) || named.contains(name))));
-        sweep();
-        return listed;
-    }
-
-    public void sweep() {
-        for (Iterator<Map.Entry<String, ConnectionPool>> i = byName.entrySet().iterator(); i.hasNext(); ) {
-            ConnectionPool pool = i.next().getValue();
-            if (!pool.isListed() && pool.isEmpty()) {
-                i.remove();
-                byNumber.remove(pool.backend);
-            }
-        }
+                (name, pool) -> pool.setListed(pool.isListed() && (!name.startsWith(prefix) || named.contains(name))));
+        removeWithdrawn();
+        return endpoints;
     }
 
-    private static final class Entry {
-        final String name;
-        final InetSocketAddress address;
-        final String zone;
-        final String kind;
-        final int cell;
-        final Endpoint.State state;
-        final double weight;
-        final long bornMs;
-
-        Entry(Map<?, ?> fields) {
-            name = text(fields, "host");
-            address = Config.address("dial", text(fields, "dial"));
-            zone = String.valueOf(fields.get("site"));
-            kind = String.valueOf(fields.get("class"));
-            cell = (int) number(fields, "block", 0);
-            weight = number(fields, "share", 1);
-            bornMs = (long) number(fields, "born_ms", 0);
-            state = switch (text(fields, "health")) {
-                case "in_service" -> Endpoint.State.READY;
-                case "terminating" -> Endpoint.State.DRAINING;
-                case "terminated" -> Endpoint.State.GONE;
-                default -> throw new IllegalArgumentException("unknown health " + fields.get("health"));
-            };
-        }
-
-        private static String text(Map<?, ?> fields, String key) {
-            if (fields.get(key) instanceof String text && !text.isEmpty()) {
-                return text;
+    /** Removes backends that are withdrawn and have no connection left. */
+    public void removeWithdrawn() {
+        byName.values().removeIf(pool -> {
+            boolean unused = !pool.isListed() && pool.isEmpty();
+            if (unused) {
+                byId.remove(pool.backendId());
             }
-            throw new IllegalArgumentException("a host without " + key);
-        }
-
-        private static double number(Map<?, ?> fields, String key, double absent) {
-            Object value = fields.get(key);
-            if (value == null) {
-                return absent;
-            }
-            if (value instanceof Double number) {
-                return number;
-            }
-            throw new IllegalArgumentException("a host whose " + key + " is no number");
-        }
+            return unused;
+        });
     }
 }
--- a/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
@@ -10,223 +10,250 @@
 import java.io.IOException;
 import java.nio.channels.SocketChannel;
 
-/** A client's connection: one message after another; the next is looked at when the one before has its answer. */
+/** A client's connection. Messages are handled one at a time: the next one once the one before has its response. */
 public final class ClientConnection extends StreamConnection {
-    /** Who is told of its messages and its end. */
-    public interface Owner {
-        /** A whole message stands at the front; throws what the client is to be told of it. */
-        void arrived(ClientConnection client) throws MalformedMessageException;
+    /** Is notified of the connection's messages, of its states, and of its end. */
+    public interface Listener {
+        /**
+         * A complete message stands at the front of the receive buffer.
+         *
+         * @throws MalformedMessageException if it is rejected; the exception's status is the response
+         */
+        void messageReceived(ClientConnection client) throws MalformedMessageException;
 
-        /** Nothing is under way on it. */
-        void idle(ClientConnection client);
+        /** No message has arrived, and no request is in flight on the connection. */
+        void connectionIdle(ClientConnection client);
 
-        void busy(ClientConnection client);
+        /** The connection is idle no longer. */
+        void connectionBusy(ClientConnection client);
 
-        /** Its last answer is written, and only its end is waited for. */
-        void lingers(ClientConnection client);
+        /** The last response is written, and the client's end of the connection is awaited. */
+        void connectionLingering(ClientConnection client);
 
-        void left(ClientConnection client);
+        /** The connection has closed while a request was in flight on it. Comes before {@link #connectionClosed}. */
+        void clientDisconnected(ClientConnection client);
 
-        void released(ClientConnection client);
+        /** The connection is closed. */
+        void connectionClosed(ClientConnection client);
 
         /**
-         * True while connections are to close with their next answer.
+         * Whether the next response is to be the connection's last.
          *
-         * @param moreIsHere whether bytes of a further message have come in behind the one that is answered
+         * @param moreReceived whether bytes of a further message have arrived behind the one that is responded to
          */
-        boolean closesWithAnswer(boolean moreIsHere);
+        boolean closesAfterResponse(boolean moreReceived);
     }
 
     private static final Log LOG = new Log("clients");
-    private static final int MOST_BYTES = 128 << 10;
-    private static final long ANSWER_US = 10_000_000; // to take an answer that may be long
-    private static final long LINGER_US = 1_000_000; // after a last answer, which may be long on its way
-    private static final long FINISH_US = 200_000; // at rest: what may be on its way here crosses within that
-    private static final long SILENT_US = 2_000_000; // a connection that asks nothing may be closed then
-    private final Owner owner;
-    private final long slowUs;
+    private static final int MAX_MESSAGE_BYTES = 128 << 10;
+    private static final long READ_RESPONSE_TIMEOUT_US = 10_000_000; // a response may be long
+    private static final long LINGER_US = 1_000_000; // after a last response, which may be long on its way
+    private static final long IDLE_LINGER_US = 200_000; // a message that crosses the close arrives within that
+    private static final long FIRST_MESSAGE_TIMEOUT_US = 2_000_000;
+    private final Listener listener;
+    private final long messageTimeoutUs;
     private final HttpReader reader = new HttpReader(HttpReader.Kind.REQUEST);
-    private InFlightRequest rpc;
-    private long arrivedUs; // before the first byte of the message at the front
-    private long behindUs; // before the first byte of what came in behind it
-    private EventLoop.Timer slow;
+    private InFlightRequest request; // null while none is in flight on this connection
+    private long messageSinceUs; // before the first byte of the message at the front; 0 without one
+    private long nextMessageSinceUs; // before the first byte of what arrived behind it; 0 without any
+    private EventLoop.Timer timeout; // of the transfer that is awaited, null without one
     private long idleSinceUs;
-    private int dropped; // bytes that came after the last answer
-    private boolean closing; // the last answer is written or being written
-
-    public ClientConnection(EventLoop loop, SocketChannel channel, ResourceBudget budget, Owner owner)
+    private int discardedBytes; // that arrived after the last response
+    private boolean closing; // the last response is written or being written
+
+    /**
+     * Takes over an accepted connection.
+     *
+     * @throws IOException if the connection has ended already
+     */
+    public ClientConnection(EventLoop loop, SocketChannel channel, ResourceBudget budget, Listener listener)
             throws IOException {
-        super(loop, channel, MOST_BYTES, HttpReader.MOST_ANSWER_RING, budget);
-        this.owner = owner;
-        this.slowUs = budget.slowUs();
-        slow = loop.in(SILENT_US, this::saysNothing);
+        super(loop, channel, MAX_MESSAGE_BYTES, HttpReader.MOST_ANSWER_RING, budget);
+        this.listener = listener;
+        this.messageTimeoutUs = budget.transferTimeoutUs();
+        timeout = loop.in(FIRST_MESSAGE_TIMEOUT_US, this::firstMessageTimedOut);
         idleSinceUs = loop.nowUs();
     }
 
-    public RingBuffer bytes() {
+    /** The receive buffer; the message that is handled stays at its front until it has its response. */
+    public RingBuffer receiveBuffer() {
         return in;
     }
 
+    /** Where the parts of the message at the front are in the receive buffer. */
     public HttpReader message() {
         return reader;
     }
 
-    public InFlightRequest rpc() {
-        return rpc;
+    /** The request in flight on this connection; null without one. */
+    public InFlightRequest request() {
+        return request;
     }
 
     /** How long ago the client may have sent the first byte of the message at the front. */
-    public long ageUs() {
-        return loop.nowUs() - arrivedUs;
+    public long messageAgeUs() {
+        return loop.nowUs() - messageSinceUs;
     }
 
-    /** An RPC is made of the message at the front; it stays there until the answer. */
-    public void took(InFlightRequest taken) {
-        rpc = taken;
+    /** The message at the front is this request's; further messages wait for its response. */
+    public void attachRequest(InFlightRequest started) {
+        request = started;
     }
 
     @Override
     protected void received() {
         if (closing) {
-            dropped += in.size();
+            discardedBytes += in.size();
             in.skip(in.size());
             in.shrink();
-            if (dropped > MOST_BYTES) {
-                close(); // guards against one that goes on sending at full speed
+            if (discardedBytes > MAX_MESSAGE_BYTES) {
+                close(); // the client goes on sending at full speed
             }
             return;
         }
-        if (rpc != null) {
-            behindUs = behindUs == 0 ? loop.unseenSinceUs() : behindUs;
+        if (request != null) {
+            nextMessageSinceUs = nextMessageSinceUs == 0 ? loop.unseenSinceUs() : nextMessageSinceUs;
             return;
         }
-        if (arrivedUs == 0) {
-            stopClock();
-            arrivedUs = loop.unseenSinceUs();
-            owner.busy(this);
+        if (messageSinceUs == 0) {
+            cancelTimeout();
+            messageSinceUs = loop.unseenSinceUs();
+            listener.connectionBusy(this);
         }
-        next();
+        handleMessages();
     }
 
-    /** Takes up messages until one waits for its answer or is not whole yet. */
-    private void next() {
+    /** Handles messages until one waits for its response or is incomplete. */
+    private void handleMessages() {
         try {
-            while (rpc == null && !closing && !isClosed()) {
+            while (request == null && !closing && !isClosed()) {
                 if (!reader.read(in)) {
-                    incomplete();
+                    awaitRestOfMessage();
                     return;
                 }
-                stopClock();
-                owner.arrived(this);
+                cancelTimeout();
+                listener.messageReceived(this);
             }
         } catch (MalformedMessageException e) {
-            stopClock();
-            LOG.info("a request was turned down with " + e.status, e.getMessage());
-            answer(e.status, 0, true);
+            cancelTimeout();
+            LOG.info("a request was rejected with " + e.status, e.getMessage());
+            respond(e.status, 0, true);
         }
     }
 
-    private void incomplete() throws MalformedMessageException {
+    private void awaitRestOfMessage() throws MalformedMessageException {
         if (!reader.isStarted() && in.isEmpty()) {
-            arrivedUs = 0;
-            goesIdle();
+            messageSinceUs = 0;
+            becomeIdle();
         } else {
             if (reader.awaitsLeave() && HttpWriter.leaveToSend(out)) {
                 flush();
             }
             if (in.isFull()) {
-                throw new MalformedMessageException(413, "the message is longer than its ring");
+                throw new MalformedMessageException(413, "the message is longer than its buffer");
             }
-            if (slow == null) {
-                slow = loop.in(
-                        slowUs, this::tooSlow); // guards against senders that hold a connection by sending slowly
+            if (timeout == null) {
+                // A sender must not hold a connection by sending slowly.
+                timeout = loop.in(messageTimeoutUs, this::transferTimedOut);
             }
         }
     }
 
-    /** What it was opened for would have come long ago. */
-    private void saysNothing() {
-        slow = null;
+    /** A client that means to send a request would have done so long ago. */
+    private void firstMessageTimedOut() {
+        timeout = null;
         readNow();
         if (!isClosed() && isIdle()) {
-            finish(); // it may be about to ask
+            closeGracefully(); // a request may be on its way
         }
     }
 
-    private void goesIdle() {
+    private void becomeIdle() {
         in.shrink();
         idleSinceUs = loop.nowUs();
-        owner.idle(this);
+        listener.connectionIdle(this);
     }
 
+    /** Since when the connection has been idle, or lingering. */
     public long idleSinceUs() {
         return idleSinceUs;
     }
 
-    private void tooSlow() {
-        LOG.info("a client that sends or reads too slowly is cut off", null);
-        if (closing || !out.isEmpty() || rpc != null) {
+    private void transferTimedOut() {
+        LOG.info("a client that sends or reads too slowly is disconnected", null);
+        if (closing || !out.isEmpty() || request != null) {
             close();
         } else {
-            slow = null;
-            answer(408, 0, true);
+            timeout = null;
+            respond(408, 0, true);
         }
     }
 
-    private void stopClock() {
-        if (slow != null) {
-            slow.cancel();
-            slow = null;
+    private void cancelTimeout() {
+        if (timeout != null) {
+            timeout.cancel();
+            timeout = null;
         }
     }
 
-    /** A backend's whole answer, which is still in that backend's ring; false if it could not be held. */
-    public boolean answer(RingBuffer from, HttpReader answer) {
-        boolean last = !reader.keepAlive() || owner.closesWithAnswer(in.size() > reader.end());
-        if (!HttpWriter.answer(from, answer, last, out)) {
+    /**
+     * Forwards a backend's complete response.
+     *
+     * @param from the backend's receive buffer, which holds the response
+     * @param response where its parts are in {@code from}
+     * @return false if the send buffer has no room for it
+     */
+    public boolean forwardResponse(RingBuffer from, HttpReader response) {
+        boolean last = !reader.keepAlive() || listener.closesAfterResponse(in.size() > reader.end());
+        if (!HttpWriter.answer(from, response, last, out)) {
             return false;
         }
-        answered(last);
+        responseBuffered(last);
         return true;
     }
 
-    /** An answer of this program's own. */
-    public void answer(int status, long retryAfterUs, boolean close) {
-        boolean last = close || !reader.keepAlive() || owner.closesWithAnswer(in.size() > reader.end());
+    /**
+     * Sends a response of the front door's own.
+     *
+     * @param retryAfterUs the Retry-After of the response, microseconds; 0 for none
+     * @param close whether the connection closes after the response in any case
+     */
+    public void respond(int status, long retryAfterUs, boolean close) {
+        boolean last = close || !reader.keepAlive() || listener.closesAfterResponse(in.size() > reader.end());
         if (!HttpWriter.plain(status, retryAfterUs, last, out)) {
             loop.soon(this::close);
             return;
         }
-        answered(last);
+        responseBuffered(last);
     }
 
-    private void answered(boolean last) {
-        rpc = null;
+    private void responseBuffered(boolean last) {
+        request = null;
         closing = last;
         if (last) {
             in.skip(in.size());
         } else {
             reader.done(in);
-            arrivedUs = in.isEmpty() ? 0 : behindUs == 0 ? arrivedUs : behindUs;
-            behindUs = 0;
+            messageSinceUs = in.isEmpty() ? 0 : nextMessageSinceUs == 0 ? messageSinceUs : nextMessageSinceUs;
+            nextMessageSinceUs = 0;
         }
         if (out.size() > 0) {
             flush();
         }
-        if (!out.isEmpty() && slow == null) {
-            slow = loop.in(ANSWER_US, this::tooSlow); // guards against clients that do not take their answers
+        if (!out.isEmpty() && timeout == null) {
+            timeout = loop.in(READ_RESPONSE_TIMEOUT_US, this::transferTimedOut); // the client may never read it
         }
         if (!last) {
-            loop.soon(this::again);
+            loop.soon(this::resumeAfterResponse);
         }
     }
 
-    private void again() {
-        if (!isClosed() && rpc == null && !closing) {
-            if (arrivedUs != 0 && !in.isEmpty()) {
-                next();
+    private void resumeAfterResponse() {
+        if (!isClosed() && request == null && !closing) {
+            if (messageSinceUs != 0 && !in.isEmpty()) {
+                handleMessages();
             } else if (in.isEmpty()) {
-                goesIdle();
+                becomeIdle();
             }
             interest();
         }
@@ -234,46 +261,46 @@
 
     @Override
     protected void drained() {
-        stopClock();
+        cancelTimeout();
         if (closing && !isClosed()) {
             linger(LINGER_US);
         }
     }
 
-    /** Ends a connection that is idle. */
-    public void finish() {
-        stopClock();
+    /** Closes an idle connection so that a message that crosses the close meets no reset. */
+    public void closeGracefully() {
+        cancelTimeout();
         closing = true;
-        owner.busy(this);
-        linger(FINISH_US);
+        listener.connectionBusy(this);
+        linger(IDLE_LINGER_US);
     }
 
-    /** Closing at once could reset the connection under its last answer: the other end has a while to close first. */
-    private void linger(long mostUs) {
+    /** Closing at once could reset the connection under its last response: the client has a while to close first. */
+    private void linger(long maxUs) {
         endSending();
         if (!isClosed()) {
             idleSinceUs = loop.nowUs();
-            slow = loop.in(mostUs, this::close);
-            owner.lingers(this);
+            timeout = loop.in(maxUs, this::close);
+            listener.connectionLingering(this);
         }
     }
 
-    /** Idle, and no bytes of a message have come. */
+    /** Whether no request is in flight, and no bytes of a message or of a response are left. */
     public boolean isIdle() {
-        return rpc == null && in.isEmpty() && out.isEmpty() && !closing;
+        return request == null && in.isEmpty() && out.isEmpty() && !closing;
     }
 
     @Override
     protected void ended(Ending ending) {
-        // released() tells of the RPC, however the connection ends
+        // released() notifies the listener, however the connection ends
     }
 
     @Override
     protected void released() {
-        stopClock();
-        if (rpc != null) {
-            owner.left(this);
+        cancelTimeout();
+        if (request != null) {
+            listener.clientDisconnected(this);
         }
-        owner.released(this);
+        listener.connectionClosed(this);
     }
 }
--- a/src/main/java/hopdrum/frontdoor/connection/ConnectionPool.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ConnectionPool.java
@@ -8,52 +8,64 @@
 import java.util.Iterator;
 import java.util.Set;
 
-/** The connections to one backend; those that wait are used again last used first. */
+/** The connections to one backend. Idle ones are used again, last used first. */
 public final class ConnectionPool {
-    private static final long REST_US = 2_000;
-    public final long backend;
-    final boolean isDoor; // a front door of another tier: what it answers is the client's
+    private static final long MIN_REST_US = 2_000;
+    private final long backendId;
+    private final boolean partner;
     private InetSocketAddress address;
-    private final Set<BackendConnection> open = new HashSet<>(); // one goes as it is closed
-    private final Deque<BackendConnection> idle = new ArrayDeque<>(); // longest idle first; the same
+    private final Set<BackendConnection> open = new HashSet<>(); // a connection removes itself when it closes
+    private final Deque<BackendConnection> idle = new ArrayDeque<>(); // of those open, longest idle first
     private boolean listed = true;
-    private boolean mayBegin = true;
+    private boolean accepting = true;
 
-    ConnectionPool(long backend, InetSocketAddress address, boolean isDoor) {
-        this.backend = backend;
-        this.isDoor = isDoor;
+    ConnectionPool(long backendId, InetSocketAddress address, boolean partner) {
+        this.backendId = backendId;
+        this.partner = partner;
         this.address = address;
     }
 
+    /** The number by which Policy knows the backend. */
+    public long backendId() {
+        return backendId;
+    }
+
+    /** Whether the backend is a partner's front door: its response, whatever its status, is the client's. */
+    boolean isPartner() {
+        return partner;
+    }
+
+    /** Where new connections go. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** A backend that moved, or started anew: what stands open leads to what it was. */
-    void moveTo(InetSocketAddress now) {
-        if (!now.equals(address)) {
-            address = now;
+    /** The backend moved or restarted: idle connections lead to its old address and are closed. */
+    void updateAddress(InetSocketAddress current) {
+        if (!current.equals(address)) {
+            address = current;
             closeIdle();
         }
     }
 
-    /** What discovery says of it now. */
-    void told(Endpoint.State state) {
-        mayBegin = state == Endpoint.State.READY;
-        listed(state != Endpoint.State.GONE);
+    /** Takes over the state that the endpoint list gives for the backend. */
+    void updateState(Endpoint.State state) {
+        accepting = state == Endpoint.State.READY;
+        setListed(state != Endpoint.State.GONE);
     }
 
-    void listed(boolean isListed) {
+    /** Whether the endpoint list names the backend; the idle connections of a withdrawn one are closed. */
+    void setListed(boolean isListed) {
         listed = isListed;
-        mayBegin &= listed;
+        accepting &= listed;
         if (!listed) {
             closeIdle();
         }
     }
 
-    /** False once it was told to drain or withdrawn: an attempt whose connection comes up then is not begun. */
-    boolean mayBegin() {
-        return mayBegin;
+    /** False once the backend is draining or withdrawn: no attempt may be written to it any more. */
+    boolean acceptsAttempts() {
+        return accepting;
     }
 
     boolean isListed() {
@@ -65,27 +77,29 @@
     }
 
     /**
-     * The last used of those that have rested. Guards against bytes that come just behind an answer (a second copy of
-     * it): they must not be there, or on their way, when the next attempt is written.
+     * Takes the last used idle connection that has rested, or null. Bytes that arrive just behind a response (a second
+     * copy of it) must not be there, or on their way, when the next attempt is written.
      */
-    public BackendConnection takeIdle(long nowUs) {
+    public BackendConnection acquireIdle(long nowUs) {
         Iterator<BackendConnection> lastUsedFirst = idle.descendingIterator();
         while (lastUsedFirst.hasNext()) {
             BackendConnection connection = lastUsedFirst.next();
-            if (nowUs - connection.idleSinceUs() >= REST_US) {
+            if (nowUs - connection.idleSinceUs() >= MIN_REST_US) {
                 lastUsedFirst.remove();
                 connection.readNow(); // closes it if there is anything
-                return connection.isClosed() ? takeIdle(nowUs) : connection;
+                return connection.isClosed() ? acquireIdle(nowUs) : connection;
             }
         }
         return null;
     }
 
-    public void opened(BackendConnection connection) {
+    /** Adds a connection that was opened to the backend. */
+    public void add(BackendConnection connection) {
         open.add(connection);
     }
 
-    void keep(BackendConnection connection) {
+    /** Takes back a connection that is free for another attempt; closes it if the backend was withdrawn. */
+    void release(BackendConnection connection) {
         if (listed) {
             idle.addLast(connection);
         } else {
@@ -93,7 +107,8 @@
         }
     }
 
-    void forget(BackendConnection connection) {
+    /** Forgets a connection that was closed. */
+    void remove(BackendConnection connection) {
         open.remove(connection);
         idle.remove(connection);
     }
@@ -102,6 +117,7 @@
         return idle.peekFirst();
     }
 
+    /** Closes all connections. */
     public void closeAll() {
         while (!open.isEmpty()) {
             open.iterator().next().close();
@@ -114,7 +130,7 @@
         }
     }
 
-    /** Guards against an attempt that crosses the backend's own closing of an idle connection: that is a reset. */
+    /** Closes connections before the backend's own idle limit does: an attempt that crosses that close is reset. */
     public void closeIdleSince(long beforeUs) {
         while (!idle.isEmpty() && idle.peekFirst().idleSinceUs() < beforeUs) {
             idle.peekFirst().close();
--- a/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
@@ -11,184 +11,204 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** A connection to the counter: calls written one after another, answers in the same order. */
+/** A connection to the counter: pipelined calls, whose responses arrive in the order of the calls. */
 public final class CounterConnection extends StreamConnection {
-    /** Who is told how calls end. */
-    public interface Owner {
-        void counted(long name, Outcome outcome, double total, long tookUs);
+    /** Is notified of the ends of calls and of the connection's own end. */
+    public interface Listener {
+        /**
+         * A call has ended, by a response or without one.
+         *
+         * @param total what the counter holds for the name now; 0 unless the outcome is OK
+         * @param tookUs how long the call took
+         */
+        void callEnded(long name, Outcome outcome, double total, long tookUs);
 
-        /** True if any connection has brought an answer since then. */
-        boolean answeredSince(long us);
+        /** Whether the counter has responded on any connection since that time. */
+        boolean hasRespondedSince(long us);
 
-        void released(CounterConnection connection);
+        /** The connection is closed. */
+        void connectionClosed(CounterConnection connection);
     }
 
-    private static final int MOST_BYTES = 64 << 10;
-    private static final long HALF_US = 5_000; // of silence amid an answer of a hundred bytes
+    private static final int MAX_BUFFER_BYTES = 64 << 10;
+    private static final long STALLED_RESPONSE_US = 5_000; // without a byte amid a response of a hundred bytes
 
     private static final class Call {
         final long name;
         final long sentUs;
-        final long writtenAt; // bytes written on the connection by its last one
+        final long endOffset; // of its last byte in the bytes sent on the connection
         boolean reported;
 
-        Call(long name, long sentUs, long writtenAt) {
+        Call(long name, long sentUs, long endOffset) {
             this.name = name;
             this.sentUs = sentUs;
-            this.writtenAt = writtenAt;
+            this.endOffset = endOffset;
         }
     }
 
-    private final Owner owner;
-    private final long timeOutUs;
+    private final Listener listener;
+    private final long timeoutUs;
     private final HttpReader reader = new HttpReader(HttpReader.Kind.RESPONSE);
-    private final Deque<Call> unanswered = new ArrayDeque<>(); // emptied by answers and by the connection's end
-    private final Deque<Call> awaited = new ArrayDeque<>(); // those of them not timed out yet
-    private long put;
-    private long written;
-    private long lastHeardUs;
-    private long halfUs; // when it was heard last and left half an answer
-    private boolean armed;
-    private boolean leaves;
-
-    public CounterConnection(EventLoop loop, SocketAddress to, long timeOutUs, ResourceBudget budget, Owner owner)
+    private final Deque<Call> pending = new ArrayDeque<>(); // emptied by responses and by the connection's end
+    private final Deque<Call> awaited = new ArrayDeque<>(); // those of them that have not timed out
+    private long bufferedBytes; // since the connection was opened
+    private long writtenBytes; // of the bytes buffered
+    private long lastReceivedUs;
+    private long partialResponseUs; // when bytes last arrived that left a response incomplete
+    private boolean timeoutArmed;
+    private boolean draining;
+
+    /**
+     * Starts to open a connection to the counter.
+     *
+     * @param timeoutUs after which a call counts as timed out
+     * @throws IOException if the system refuses the socket
+     */
+    public CounterConnection(
+            EventLoop loop, SocketAddress address, long timeoutUs, ResourceBudget budget, Listener listener)
             throws IOException {
-        super(loop, to, MOST_BYTES, MOST_BYTES, budget);
-        this.owner = owner;
-        this.timeOutUs = timeOutUs;
-        this.lastHeardUs = loop.nowUs();
-    }
-
-    /** False if the call cannot be written. */
-    public boolean call(long name, double amount, long lifeMs) {
+        super(loop, address, MAX_BUFFER_BYTES, MAX_BUFFER_BYTES, budget);
+        this.listener = listener;
+        this.timeoutUs = timeoutUs;
+        this.lastReceivedUs = loop.nowUs();
+    }
+
+    /**
+     * Sends a call that adds an amount to a name.
+     *
+     * @param timeToLiveMs how long the counter keeps the name
+     * @return false if the send buffer has no room for it; the call does not take place then
+     */
+    public boolean call(long name, double amount, long timeToLiveMs) {
         int before = out.size();
-        if (!CounterProtocol.call(name, amount, lifeMs, out)) {
+        if (!CounterProtocol.call(name, amount, timeToLiveMs, out)) {
             return false;
         }
-        if (unanswered.isEmpty()) {
-            lastHeardUs = loop.nowUs();
+        if (pending.isEmpty()) {
+            lastReceivedUs = loop.nowUs();
         }
-        put += out.size() - before;
-        Call call = new Call(name, loop.nowUs(), put);
-        unanswered.add(call);
+        bufferedBytes += out.size() - before;
+        Call call = new Call(name, loop.nowUs(), bufferedBytes);
+        pending.add(call);
         awaited.add(call);
         flush();
-        if (!armed) {
-            armed = true;
-            loop.in(timeOutUs, this::timeOut);
+        if (!timeoutArmed) {
+            timeoutArmed = true;
+            loop.in(timeoutUs, this::handleTimeout);
         }
         return true;
     }
 
-    /** No more calls come: it closes with the last answer that is out. */
-    public void closeOnceAnswered() {
-        leaves = true;
-        if (unanswered.isEmpty()) {
+    /** No more calls are made: the connection closes once no call is pending. */
+    public void drain() {
+        draining = true;
+        if (pending.isEmpty()) {
             close();
         }
     }
 
-    /** Silent for that long with a call unanswered: it may be of no use any more. */
-    public boolean isStuck(long forUs) {
-        return !unanswered.isEmpty() && loop.nowUs() - lastHeardUs > forUs;
+    /** Whether nothing has arrived for longer than that while a call is pending. */
+    public boolean isStalled(long stallUs) {
+        return !pending.isEmpty() && loop.nowUs() - lastReceivedUs > stallUs;
     }
 
-    private void timeOut() {
-        armed = false;
+    private void handleTimeout() {
+        timeoutArmed = false;
         if (isClosed()) {
             return;
         }
-        if (!isConnected() && !awaited.isEmpty() && loop.nowUs() - awaited.peek().sentUs >= timeOutUs) {
-            endCalls(); // never came up: nothing was written, and nothing shall be later
+        if (!isConnected() && !awaited.isEmpty() && loop.nowUs() - awaited.peek().sentUs >= timeoutUs) {
+            endCalls(); // never came up: nothing was written, and nothing may be later
             close();
             return;
         }
-        if (isStuck(timeOutUs) && owner.answeredSince(unanswered.peek().sentUs)) {
-            giveUp(); // guards against one that fell silent alone: the counter answers elsewhere
+        if (isStalled(timeoutUs) && listener.hasRespondedSince(pending.peek().sentUs)) {
+            abandon(); // this connection alone fell silent: the counter responds on others
             return;
         }
-        while (!awaited.isEmpty() && loop.nowUs() - awaited.peek().sentUs >= timeOutUs) {
+        while (!awaited.isEmpty() && loop.nowUs() - awaited.peek().sentUs >= timeoutUs) {
             report(awaited.poll(), Outcome.TIMED_OUT, 0);
         }
         if (!awaited.isEmpty()) {
-            armed = true;
-            loop.at(awaited.peek().sentUs + timeOutUs, this::timeOut);
+            timeoutArmed = true;
+            loop.at(awaited.peek().sentUs + timeoutUs, this::handleTimeout);
         }
     }
 
     private void report(Call call, Outcome outcome, double total) {
         if (!call.reported) {
             call.reported = true;
-            owner.counted(call.name, outcome, total, loop.nowUs() - call.sentUs);
+            listener.callEnded(call.name, outcome, total, loop.nowUs() - call.sentUs);
         }
     }
 
     @Override
     protected void wrote(int count) {
-        written += count;
+        writtenBytes += count;
     }
 
     @Override
     protected void received() {
-        lastHeardUs = loop.nowUs();
+        lastReceivedUs = loop.nowUs();
         try {
             while (!isClosed() && reader.read(in)) {
                 Outcome outcome = CounterProtocol.outcome(reader);
                 double total = outcome == Outcome.OK ? CounterProtocol.total(in, reader) : 0;
-                Call call = unanswered.poll();
+                Call call = pending.poll();
                 if (call == null) {
                     close();
                     return;
                 }
                 awaited.remove(call);
-                boolean keeps = reader.keepAlive();
+                boolean keepAlive = reader.keepAlive();
                 reader.done(in);
                 report(call, outcome, total);
-                if ((!keeps || (leaves && unanswered.isEmpty())) && !isClosed()) {
+                if ((!keepAlive || (draining && pending.isEmpty())) && !isClosed()) {
                     endCalls();
                     close();
                 }
             }
             if (!isClosed() && !in.isEmpty()) {
-                halfUs = lastHeardUs;
-                loop.in(HALF_US, this::lookForRest);
+                partialResponseUs = lastReceivedUs;
+                loop.in(STALLED_RESPONSE_US, this::checkForStall);
             }
         } catch (MalformedMessageException e) {
-            unreadable();
+            responseUnreadable();
         }
     }
 
-    /** The call at the front was added, and its answer is spoilt; no other answer can be told on this connection. */
-    private void unreadable() {
-        Call call = unanswered.poll();
+    /** The first pending call was added. No later response on this connection can be matched to its call any more. */
+    private void responseUnreadable() {
+        Call call = pending.poll();
         if (call != null) {
             report(call, Outcome.UNREADABLE, 0);
         }
-        giveUp();
+        abandon();
     }
 
-    /** Guards against an answer that begins and does not go on: all behind it would wait, and time out. */
-    private void lookForRest() {
-        if (!isClosed() && !in.isEmpty() && halfUs == lastHeardUs) {
-            unreadable();
+    /** A response that begins and does not go on would let all calls behind it time out. */
+    private void checkForStall() {
+        if (!isClosed() && !in.isEmpty() && partialResponseUs == lastReceivedUs) {
+            responseUnreadable();
         }
     }
 
-    /** What was written whole may have been added, or may yet be; the rest never is. */
+    /** A call that was written completely may have been added, or may yet be; the others never are. */
     @Override
     protected void ended(Ending ending) {
         endCalls();
     }
 
     private void endCalls() {
-        while (!unanswered.isEmpty()) {
-            Call call = unanswered.poll();
-            report(call, call.writtenAt <= written ? Outcome.RESET : Outcome.CONNECT_FAILED, 0);
+        while (!pending.isEmpty()) {
+            Call call = pending.poll();
+            report(call, call.endOffset <= writtenBytes ? Outcome.RESET : Outcome.CONNECT_FAILED, 0);
         }
         awaited.clear();
     }
 
-    public void giveUp() {
+    /** Ends all pending calls and closes the connection. */
+    public void abandon() {
         if (!isClosed()) {
             endCalls();
             close();
@@ -197,6 +217,6 @@
 
     @Override
     protected void released() {
-        owner.released(this);
+        listener.connectionClosed(this);
     }
 }
--- a/src/main/java/hopdrum/frontdoor/connection/InFlightRequests.java
+++ b/src/main/java/hopdrum/frontdoor/connection/InFlightRequests.java
@@ -5,40 +5,46 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The RPCs under way, by the numbers that Policy knows them by. An entry goes when Policy says that it is over. */
+/** The requests in flight by the ids that Policy knows them by. An entry is removed when Policy is done with it. */
 public final class InFlightRequests {
-    private final Map<Long, InFlightRequest> open = new HashMap<>();
-    private final Set<String> traces = new HashSet<>(); // theirs
-    private long next = 1;
+    private final Map<Long, InFlightRequest> byId = new HashMap<>();
+    private final Set<String> traceIds = new HashSet<>(); // of the requests in byId
+    private long nextId = 1;
 
-    /** Null while another with that trace id is under way: guards against a client that takes over another's. */
-    public InFlightRequest open(ClientConnection client, String trace) {
-        if (!traces.add(trace)) {
+    /**
+     * Adds a request. Returns null while another one with that trace id is in flight, so that no client can take over
+     * another's request.
+     */
+    public InFlightRequest add(ClientConnection client, String traceId, long expiresAtUs, boolean forwardedByPartner) {
+        if (!traceIds.add(traceId)) {
             return null;
         }
-        InFlightRequest rpc = new InFlightRequest(next++, trace, client);
-        open.put(rpc.id, rpc);
-        return rpc;
+        InFlightRequest request = new InFlightRequest(nextId++, traceId, client, expiresAtUs, forwardedByPartner);
+        byId.put(request.id(), request);
+        return request;
     }
 
+    /** The request of that id; null if it is not in flight. */
     public InFlightRequest get(long id) {
-        return open.get(id);
+        return byId.get(id);
     }
 
-    public void closeIfOver(InFlightRequest rpc) {
-        if (rpc.handle.over()) {
-            drop(rpc);
+    /** Removes the request if Policy is done with it. */
+    public void removeIfDone(InFlightRequest request) {
+        if (request.handle().over()) {
+            remove(request);
         }
     }
 
-    /** The number was given out and Policy never took the RPC. */
-    public void drop(InFlightRequest rpc) {
-        if (open.remove(rpc.id) != null) {
-            traces.remove(rpc.trace);
+    /** Removes the request, also one that Policy never took. */
+    public void remove(InFlightRequest request) {
+        if (byId.remove(request.id()) != null) {
+            traceIds.remove(request.traceId());
         }
     }
 
+    /** How many requests are in flight. */
     public int size() {
-        return open.size();
+        return byId.size();
     }
 }
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Server.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Server.java
@@ -154,7 +154,7 @@
 
         public void follows(FrontDoor of) {
             door = of;
-            of.onLost(() -> loop.ask(this::readIfReplaced));
+            of.setDiscoveryLostListener(() -> loop.ask(this::readIfReplaced));
         }
 
         /**
@@ -171,7 +171,7 @@
         private void read() {
             writtenMs = file.toFile().lastModified();
             try {
-                door.follow(Config.read(file));
+                door.reload(Config.read(file));
             } catch (IllegalArgumentException e) {
                 LOG.warning("the new configuration cannot be used, the old one stands", e.getMessage());
             }
--- a/src/rig/java/hopdrum/rig/planted/Baseline.java
+++ b/src/rig/java/hopdrum/rig/planted/Baseline.java
@@ -41,7 +41,7 @@
             return new Server.Beside() {
                 @Override
                 public void serves(FrontDoor door) {
-                    door.knows(fleet, () -> distances);
+                    door.setFleet(fleet, () -> distances);
                 }
 
                 @Override
--- a/src/test/java/hopdrum/frontdoor/EndingPathsTest.java
+++ b/src/test/java/hopdrum/frontdoor/EndingPathsTest.java
@@ -560,7 +560,7 @@
         Config fresh = Config.parse(
                 config(host("b", backend.address(), "in_service")).replace(discovery.address(), moved.address()));
         goesDown(discovery);
-        loop.ask(() -> door.follow(fresh));
+        loop.ask(() -> door.reload(fresh));
         assertThat(secondsUntil(c)).as("4 s after SIGHUP it counts as told").isLessThan(3);
     }
 
--- a/src/test/java/hopdrum/frontdoor/FrontDoorStoryTest.java
+++ b/src/test/java/hopdrum/frontdoor/FrontDoorStoryTest.java
@@ -5,6 +5,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import hopdrum.frontdoor.connection.ClientConnection;
+import hopdrum.frontdoor.connection.DiscoveredBackend;
 import hopdrum.frontdoor.connection.ResourceBudget;
 import hopdrum.frontdoor.lifecycle.Config;
 import hopdrum.frontdoor.lifecycle.EventLoop;
@@ -111,9 +112,9 @@
                     addresses,
                     message -> heard.add(new String(message, StandardCharsets.ISO_8859_1)));
             thread(loop::run);
-            peers.tell(0, new byte[257]); // too long, and to a number that nobody has: neither is sent
-            peers.tell(1, new byte[1]);
-            peers.tell(0, new byte[] {42});
+            peers.send(0, new byte[257]); // too long, and to a number that nobody has: neither is sent
+            peers.send(1, new byte[1]);
+            peers.send(0, new byte[] {42});
             DatagramPacket got = new DatagramPacket(new byte[300], 300);
             peer.receive(got);
             assertThat(got.getLength()).isEqualTo(1);
@@ -166,14 +167,14 @@
                 loop,
                 new InetSocketAddress("127.0.0.1", 0),
                 new ResourceBudget(1024, 1 << 20, 50_000),
-                new ClientListener.Owner() {
+                new ClientListener.RequestListener() {
                     @Override
-                    public void take(ClientConnection client) {
+                    public void requestReceived(ClientConnection client) {
                         throw new AssertionError("nothing came whole");
                     }
 
                     @Override
-                    public void left(ClientConnection client) {
+                    public void clientDisconnected(ClientConnection client) {
                         throw new AssertionError("nothing was taken");
                     }
 
@@ -182,7 +183,7 @@
                         return true;
                     }
                 });
-        clients.open();
+        clients.startAccepting();
         thread(loop::run);
         try (Socket slow = new Socket()) {
             slow.connect(clients.address());
@@ -577,8 +578,9 @@
         start();
         assertThat(ask(rpc("t1", "order", ""))).endsWith("for t1");
         rest();
-        loop.ask(() -> door.told(
-                Map.of("hosts", List.of(Map.of("host", "b", "dial", backend.address(), "health", "in_service"))),
+        loop.ask(() -> door.endpointListReceived(
+                DiscoveredBackend.parseList(Map.of(
+                        "hosts", List.of(Map.of("host", "b", "dial", backend.address(), "health", "in_service")))),
                 true));
         assertThat(ask(rpc("t2", "order", ""))).endsWith("for t2");
         assertThat(backend.sockets).hasSize(1);
@@ -613,7 +615,7 @@
     private void shares(StandIn... doors) throws Exception {
         CompletableFuture<Void> told = new CompletableFuture<>();
         loop.ask(() -> {
-            door.shares(() -> new ShardOwnership() {
+            door.setShardOwnership(() -> new ShardOwnership() {
                 @Override
                 public long owner(long customer, boolean passedOn, long nowUs) {
                     return passedOn ? -200_000 : 1;
@@ -628,7 +630,7 @@
             for (StandIn d : doors) {
                 there.add(new ShardOwnership.PartnerEndpoint("door/" + d.address(), "z", d.address()));
             }
-            door.partners(1, there);
+            door.updatePartners(1, there);
             told.complete(null);
         });
         told.get(10, TimeUnit.SECONDS);
