--- a/src/main/java/hopdrum/benchlink/BenchLink.java
+++ b/src/main/java/hopdrum/benchlink/BenchLink.java
@@ -11,86 +11,98 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads the bench's batches, hands each record to its instance, and writes one reply a batch. */
+/** Reads the bench's batches, hands each event to its instance, and writes one reply per batch. */
 public final class BenchLink {
-    private static final int HEADER = 16;
-    private static final int MOST_FRAME = 1 << 30;
+    private static final int LENGTH_BYTES = 4;
+    private static final int MIN_FRAME_BYTES = 16; // the header alone
+    private static final int MAX_FRAME_BYTES = 1 << 30;
 
     private final DataInputStream in;
     private final OutputStream out;
-    private final Reply reply = new Reply();
-    private final Map<Integer, Instance> instances = new HashMap<>();
+    private final RecordWriter writer = new RecordWriter();
+    private final Map<Integer, GatewayInstance> instances = new HashMap<>();
 
+    /**
+     * A link on two streams, which it does not close.
+     *
+     * @param in the bench's frames
+     * @param out where replies are written; flushed after each
+     */
     public BenchLink(InputStream in, OutputStream out) {
         this.in = new DataInputStream(in);
         this.out = out;
     }
 
-    /** Runs until the input ends between two frames. */
+    /**
+     * Handles batches until the input ends between two frames.
+     *
+     * @throws IOException if a stream fails or a frame is malformed; the message names the frame, and the record and its
+     *     byte position where there is one
+     */
     public void run() throws IOException {
         for (long frame = 0; ; frame++) {
-            ByteBuffer batch = nextFrame(frame);
+            ByteBuffer batch = readFrame(frame);
             if (batch == null) {
                 return;
             }
             long nowUs = batch.getLong();
             long records = batch.getInt() & 0xffffffffL;
-            reply.start();
+            writer.startFrame();
             for (long record = 0; record < records; record++) {
-                int at = batch.position();
+                int position = batch.position();
                 try {
-                    oneRecord(batch, nowUs);
+                    handleRecord(batch, nowUs);
                 } catch (BufferUnderflowException e) {
                     throw new IOException(
-                            "frame " + frame + ": record " + record + " at byte " + at + " runs past the frame's end",
+                            "frame " + frame + ": record " + record + " at byte " + position
+                                    + " runs past the frame's end",
                             e);
-                } catch (MalformedRecord e) {
+                } catch (MalformedRecordException e) {
                     throw new IOException(
-                            "frame " + frame + ": record " + record + " at byte " + at + ": " + e.getMessage(), e);
+                            "frame " + frame + ": record " + record + " at byte " + position + ": " + e.getMessage(),
+                            e);
                 }
             }
             if (batch.hasRemaining()) {
                 throw new IOException("frame " + frame + ": " + batch.remaining() + " bytes after the last record");
             }
-            reply.writeTo(out);
+            writer.writeTo(out);
         }
     }
 
-    private ByteBuffer nextFrame(long frame) throws IOException {
-        byte[] head = in.readNBytes(4);
-        if (head.length == 0) {
+    /** The next frame after its length, or null at the end of input. */
+    private ByteBuffer readFrame(long frame) throws IOException {
+        byte[] length = in.readNBytes(LENGTH_BYTES);
+        if (length.length == 0) {
             return null;
         }
-        if (head.length < 4) {
+        if (length.length < LENGTH_BYTES) {
             throw new IOException("frame " + frame + ": input ends inside the length");
         }
-        int size = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt();
-        if (size < HEADER || size > MOST_FRAME) {
+        int size = ByteBuffer.wrap(length).order(ByteOrder.LITTLE_ENDIAN).getInt();
+        if (size < MIN_FRAME_BYTES || size > MAX_FRAME_BYTES) {
             throw new IOException("frame " + frame + ": a length of " + (size & 0xffffffffL) + " is not possible");
         }
-        byte[] body = in.readNBytes(size - 4);
-        if (body.length < size - 4) {
+        byte[] body = in.readNBytes(size - LENGTH_BYTES);
+        if (body.length < size - LENGTH_BYTES) {
             throw new EOFException(
-                    "frame " + frame + ": input ends after " + (body.length + 4) + " of " + size + " bytes");
+                    "frame " + frame + ": input ends after " + (body.length + LENGTH_BYTES) + " of " + size + " bytes");
         }
         return ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    private void oneRecord(ByteBuffer batch, long nowUs) throws MalformedRecord {
-        int code = batch.get() & 0xff;
-        if (code < 16 || code > 26) {
-            throw new MalformedRecord("unknown event code " + code);
-        }
+    private void handleRecord(ByteBuffer batch, long nowUs) throws MalformedRecordException {
+        EventType event = EventType.of(batch.get() & 0xff);
         int number = batch.getInt();
-        if (code == 17) {
+        if (event == EventType.INSTANCE_STOPPED) {
             instances.remove(number);
             return;
         }
-        if (code == 25) {
-            instances.put(number, new Instance(number, reply));
+        if (event == EventType.INSTANCE_ATTACHED) {
+            instances.put(number, new GatewayInstance(number, writer));
         }
         // An event for an instance that is not attached is read to its end by one that decides nothing.
-        Instance instance = instances.get(number);
-        (instance == null ? new Instance(number, reply) : instance).record(code, batch, nowUs);
+        GatewayInstance instance = instances.get(number);
+        (instance == null ? new GatewayInstance(number, writer) : instance).handle(event, batch, nowUs);
     }
 }
--- a/src/test/java/hopdrum/benchlink/WireTest.java
+++ b/src/test/java/hopdrum/benchlink/BenchLinkTest.java
@@ -9,7 +9,7 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
-class WireTest {
+class BenchLinkTest {
     private static final String CLOCK = "5a5c800000000000";
 
     private static String run(String... hex) throws IOException {
@@ -20,12 +20,12 @@
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
+    void emptyBatchGetsAnEmptyReply() throws IOException {
         assertThat(run("10000000", CLOCK, "00000000")).isEqualTo("0800000000000000");
     }
 
     @Test
-    void theDocumentedRecordsAreReadToTheirEnds() throws IOException {
+    void documentedRecordsAreReadToTheirEnds() throws IOException {
         assertThat(run(
                         "b2000000",
                         CLOCK,
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void whatIsMalformedEndsTheRunWithWhereAndWhat() {
+    void malformedInputEndsTheRunNamingPlaceAndCause() {
         assertThatThrownBy(() -> run("15000000", CLOCK, "01000000", "6303000000"))
                 .hasMessageContaining("frame 0")
                 .hasMessageContaining("unknown event code 99");
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void settingsThatLackAKeyAreNamedInTheFault() throws IOException {
+    void missingSettingsKeyIsNamedInTheReportedFault() throws IOException {
         String reply = run("26000000", CLOCK, "01000000", "19 03000000 0100000000000000 05000000 613d62", "0a0a");
         assertThat(new String(HexFormat.of().parseHex(reply), java.nio.charset.StandardCharsets.ISO_8859_1))
                 .contains("settings lack Lanes.count");
