--- a/src/main/java/hopdrum/frontdoor/ClientListener.java
+++ b/src/main/java/hopdrum/frontdoor/ClientListener.java
@@ -173,7 +173,7 @@
 
     @Override
     public void arrived(ClientConnection client) throws MalformedMessageException {
-        if (RequestHead.asksReady(client.bytes())) {
+        if (RequestHead.isReadinessCheck(client.bytes())) {
             client.answer(owner.isReady() && !stopping ? 200 : 503, 0, false);
         } else {
             owner.take(client);
--- a/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
+++ b/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
@@ -84,7 +84,7 @@
 
     private void look() {
         if (watch != null && loop.nowUs() - watch.readUs > CUT_US) {
-            watch.reader.endsOpenMessage(); // cut short: guards against waiting for the next line, 2 s, to see it
+            watch.reader.endOpenMessage(); // cut short: guards against waiting for the next line, 2 s, to see it
         }
         if (watch != null && loop.nowUs() - lastHeardUs > patienceUs()) {
             LOG.warning("the watch is silent and opened anew", null);
@@ -179,7 +179,7 @@
             super(DiscoveryClient.this.loop, address, MOST_BYTES, MOST_BYTES, budget);
             this.isWatch = isWatch;
             this.reader = new EndpointListReader(line -> line(line, this));
-            EndpointListReader.ask(
+            EndpointListReader.writeRequest(
                     isWatch, version, address.getAddress().getHostAddress() + ":" + address.getPort(), out);
             flush();
             if (!isWatch) {
--- a/src/main/java/hopdrum/frontdoor/FrontDoor.java
+++ b/src/main/java/hopdrum/frontdoor/FrontDoor.java
@@ -13,6 +13,7 @@
 import hopdrum.frontdoor.lifecycle.Log;
 import hopdrum.frontdoor.wire.HttpReader;
 import hopdrum.frontdoor.wire.MalformedMessageException;
+import hopdrum.frontdoor.wire.RequestForwarder;
 import hopdrum.frontdoor.wire.RequestHead;
 import hopdrum.frontdoor.wire.RingBuffer;
 import hopdrum.host.Endpoint;
@@ -258,16 +259,16 @@
     @Override
     public void take(ClientConnection client) throws MalformedMessageException {
         head.read(client.bytes(), client.message());
-        InFlightRequest rpc = rpcs.open(client, head.trace);
+        InFlightRequest rpc = rpcs.open(client, head.traceId);
         if (rpc == null) {
             throw new MalformedMessageException(409, "the X-Trace-Id is another RPC's that is open");
         }
         client.took(rpc);
         tally.taken++;
-        long leftUs = Math.max(1, head.leftMs * 1000 - client.ageUs());
+        long leftUs = Math.max(1, head.timeLeftMs * 1000 - client.ageUs());
         rpc.expiresAtUs = nowUs() + leftUs;
         if (shards != null) { // any front door takes any customer: its gateways are all that its shard's owner has
-            rpc.passedOn = RequestHead.isPassedOn(client.bytes(), client.message());
+            rpc.passedOn = RequestForwarder.isForwarded(client.bytes(), client.message());
             head.firstGateway = 0;
             head.gateways = config.settings().gateways();
         }
--- a/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
@@ -7,7 +7,7 @@
 import hopdrum.frontdoor.wire.HttpReader;
 import hopdrum.frontdoor.wire.HttpWriter;
 import hopdrum.frontdoor.wire.MalformedMessageException;
-import hopdrum.frontdoor.wire.RequestHead;
+import hopdrum.frontdoor.wire.RequestForwarder;
 import hopdrum.frontdoor.wire.RingBuffer;
 import hopdrum.host.Outcome;
 import java.io.IOException;
@@ -47,7 +47,7 @@
             ResourceBudget budget,
             Owner owner)
             throws IOException {
-        super(loop, pool.address(), HttpReader.MOST_ANSWER_RING, MOST_BYTES, budget);
+        super(loop, pool.address(), HttpReader.RESPONSE_RING_BYTES, MOST_BYTES, budget);
         this.pool = pool;
         this.owner = owner;
         this.reportFields = reportFields;
@@ -88,7 +88,7 @@
         // soft deadline.
         long endsAtUs = pool.isDoor ? attempt.rpc.expiresAtUs : attempt.endsAtUs;
         long leftMs = Math.max(1, (endsAtUs - loop.nowUs()) / 1000);
-        if (!RequestHead.forward(client.bytes(), client.message(), leftMs, pool.isDoor, out)) {
+        if (!RequestForwarder.forward(client.bytes(), client.message(), leftMs, pool.isDoor, out)) {
             return false;
         }
         flush();
@@ -181,9 +181,9 @@
     /** The client first, then the connection's next use, then the news of it, upon which that use may come. */
     private void whole(boolean keeps) {
         Attempt over = detach();
-        Outcome outcome = pool.isDoor ? BackendResponse.outcomeOfDoor(reader) : BackendResponse.outcome(in, reader);
-        float[] report = BackendResponse.report(in, reader, reportFields);
-        if (outcome == Outcome.OK || (pool.isDoor && HttpWriter.isAnswer(reader.status()))) {
+        Outcome outcome = pool.isDoor ? BackendResponse.partnerOutcome(reader) : BackendResponse.outcome(in, reader);
+        float[] report = BackendResponse.loadReport(in, reader, reportFields);
+        if (outcome == Outcome.OK || (pool.isDoor && HttpWriter.isFinalStatus(reader.status()))) {
             owner.pass(over, in, reader);
         }
         if (keeps) {
--- a/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
@@ -56,7 +56,7 @@
 
     public ClientConnection(EventLoop loop, SocketChannel channel, ResourceBudget budget, Owner owner)
             throws IOException {
-        super(loop, channel, MOST_BYTES, HttpReader.MOST_ANSWER_RING, budget);
+        super(loop, channel, MOST_BYTES, HttpReader.RESPONSE_RING_BYTES, budget);
         this.owner = owner;
         this.slowUs = budget.slowUs();
         slow = loop.in(SILENT_US, this::saysNothing);
@@ -131,7 +131,7 @@
             arrivedUs = 0;
             goesIdle();
         } else {
-            if (reader.awaitsLeave() && HttpWriter.leaveToSend(out)) {
+            if (reader.takeExpectContinue() && HttpWriter.continueResponse(out)) {
                 flush();
             }
             if (in.isFull()) {
@@ -183,7 +183,7 @@
     /** A backend's whole answer, which is still in that backend's ring; false if it could not be held. */
     public boolean answer(RingBuffer from, HttpReader answer) {
         boolean last = !reader.keepAlive() || owner.closesWithAnswer(in.size() > reader.end());
-        if (!HttpWriter.answer(from, answer, last, out)) {
+        if (!HttpWriter.forwardResponse(from, answer, last, out)) {
             return false;
         }
         answered(last);
@@ -193,7 +193,7 @@
     /** An answer of this program's own. */
     public void answer(int status, long retryAfterUs, boolean close) {
         boolean last = close || !reader.keepAlive() || owner.closesWithAnswer(in.size() > reader.end());
-        if (!HttpWriter.plain(status, retryAfterUs, last, out)) {
+        if (!HttpWriter.emptyResponse(status, retryAfterUs, last, out)) {
             loop.soon(this::close);
             return;
         }
--- a/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
@@ -62,7 +62,7 @@
     /** False if the call cannot be written. */
     public boolean call(long name, double amount, long lifeMs) {
         int before = out.size();
-        if (!CounterProtocol.call(name, amount, lifeMs, out)) {
+        if (!CounterProtocol.writeCall(name, amount, lifeMs, out)) {
             return false;
         }
         if (unanswered.isEmpty()) {
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Warmup.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Warmup.java
@@ -1,12 +1,13 @@
 package hopdrum.frontdoor.lifecycle;
 
-import static hopdrum.frontdoor.wire.HttpReader.ascii;
+import static hopdrum.frontdoor.wire.Ascii.ascii;
 
 import hopdrum.frontdoor.wire.BackendResponse;
 import hopdrum.frontdoor.wire.CounterProtocol;
 import hopdrum.frontdoor.wire.HttpReader;
 import hopdrum.frontdoor.wire.HttpWriter;
 import hopdrum.frontdoor.wire.MalformedMessageException;
+import hopdrum.frontdoor.wire.RequestForwarder;
 import hopdrum.frontdoor.wire.RequestHead;
 import hopdrum.frontdoor.wire.RingBuffer;
 import hopdrum.host.Endpoint;
@@ -96,7 +97,7 @@
                 head.units,
                 head.firstGateway,
                 head.gateways,
-                head.leftMs * 1000);
+                head.timeLeftMs * 1000);
         open.put(id, rpc);
         for (int i = 0; i < 4; i++) {
             nowUs += 500;
@@ -156,7 +157,7 @@
 
     @Override
     public void startAttempt(long id, long to, long timeOutUs, long beginWithinUs) {
-        RequestHead.forward(client, request, timeOutUs / 1000, false, backend);
+        RequestForwarder.forward(client, request, timeOutUs / 1000, false, backend);
         backend.skip(backend.size());
         later.add(() -> {
             Policy.Rpc rpc = open.get(id);
@@ -168,8 +169,8 @@
                     throw new IllegalStateException(e);
                 }
                 Outcome outcome = BackendResponse.outcome(backend, answer);
-                HttpWriter.answer(backend, answer, false, toClient);
-                float[] report = BackendResponse.report(
+                HttpWriter.forwardResponse(backend, answer, false, toClient);
+                float[] report = BackendResponse.loadReport(
                         backend, answer, config.settings().reportFields());
                 answer.done(backend);
                 rpc.attemptEnded(0, outcome, 500, true, 0, report);
@@ -184,17 +185,17 @@
 
     @Override
     public void reject(long id, long retryAfterUs) {
-        HttpWriter.plain(429, retryAfterUs, false, toClient);
+        HttpWriter.emptyResponse(429, retryAfterUs, false, toClient);
     }
 
     @Override
     public void abort(long id) {
-        HttpWriter.plain(500, 0, false, toClient);
+        HttpWriter.emptyResponse(500, 0, false, toClient);
     }
 
     @Override
     public void addToCounter(long name, double units, long timeToLiveUs) {
-        CounterProtocol.call(name, units, timeToLiveUs / 1000, counter);
+        CounterProtocol.writeCall(name, units, timeToLiveUs / 1000, counter);
         counter.skip(counter.size());
         later.add(() -> {
             put(counter, TOTAL);
--- a/src/main/java/hopdrum/frontdoor/wire/ChunkedDecoder.java
+++ b/src/main/java/hopdrum/frontdoor/wire/ChunkedDecoder.java
@@ -14,82 +14,88 @@
         END
     }
 
-    private static final int MOST_LINE = 1024;
+    private static final int MAX_LINE_BYTES = 1024;
+    private static final int MAX_SIZE_DIGITS = 8;
+
     private State state = State.SIZE;
-    private long left;
-    private int digits;
+    private long remaining; // bytes of the chunk's data that are still to come
+    private int sizeDigits;
     private int lineLength;
 
-    boolean ended() {
+    /** True once the last chunk and the trailer have been read. */
+    boolean isEnded() {
         return state == State.END;
     }
 
     /** Takes the next byte; true if it belongs to the body. */
-    boolean data(byte b) throws MalformedMessageException {
+    boolean accept(byte next) throws MalformedMessageException {
         switch (state) {
-            case SIZE -> {
-                int digit = Character.digit(b, 16);
-                if (digit >= 0 && digits < 8) {
-                    left = left * 16 + digit;
-                    digits++;
-                } else if (digits > 0 && b == '\r') {
-                    state = State.SIZE_LF;
-                } else if (digits > 0 && (b == ';' || b == ' ' || b == '\t')) {
-                    state = State.EXTENSION;
-                } else {
-                    throw new MalformedMessageException(400, "a chunk's size is malformed");
-                }
-            }
+            case SIZE -> size(next);
             case EXTENSION -> {
-                tooLong();
-                state = b == '\r' ? State.SIZE_LF : State.EXTENSION;
+                countLineByte();
+                state = next == '\r' ? State.SIZE_LF : State.EXTENSION;
             }
             case SIZE_LF -> {
-                lineFeed(b);
+                requireLineFeed(next);
                 lineLength = 0;
-                digits = 0;
-                state = left == 0 ? State.TRAILER : State.DATA;
+                sizeDigits = 0;
+                state = remaining == 0 ? State.TRAILER : State.DATA;
             }
             case DATA -> {
-                if (--left == 0) {
+                if (--remaining == 0) {
                     state = State.DATA_CR;
                 }
                 return true;
             }
             case DATA_CR -> {
-                if (b != '\r') {
+                if (next != '\r') {
                     throw new MalformedMessageException(400, "a chunk is longer than its size");
                 }
                 state = State.DATA_LF;
             }
             case DATA_LF -> {
-                lineFeed(b);
+                requireLineFeed(next);
                 state = State.SIZE;
             }
             case TRAILER -> {
-                tooLong();
-                if (b == '\r') {
-                    state = State.TRAILER_LF;
-                }
-            }
-            case TRAILER_LF -> {
-                lineFeed(b);
-                state = lineLength == 1 ? State.END : State.TRAILER; // the carriage return alone: the last line
-                lineLength = 0;
+                countLineByte();
+                state = next == '\r' ? State.TRAILER_LF : State.TRAILER;
             }
+            case TRAILER_LF -> trailerLineEnds(next);
             case END -> throw new IllegalStateException("fed past the end");
         }
         return false;
     }
 
-    private void tooLong() throws MalformedMessageException {
-        if (++lineLength > MOST_LINE) {
+    private void size(byte next) throws MalformedMessageException {
+        int digit = Character.digit(next, 16);
+        if (digit >= 0 && sizeDigits < MAX_SIZE_DIGITS) {
+            remaining = remaining * 16 + digit;
+            sizeDigits++;
+        } else if (sizeDigits > 0 && next == '\r') {
+            state = State.SIZE_LF;
+        } else if (sizeDigits > 0 && (next == ';' || next == ' ' || next == '\t')) {
+            state = State.EXTENSION;
+        } else {
+            throw new MalformedMessageException(400, "a chunk's size is malformed");
+        }
+    }
+
+    /** An empty line, of which the carriage return alone has been counted, ends the body. */
+    private void trailerLineEnds(byte next) throws MalformedMessageException {
+        requireLineFeed(next);
+        state = lineLength == 1 ? State.END : State.TRAILER;
+        lineLength = 0;
+    }
+
+    private void countLineByte() throws MalformedMessageException {
+        if (++lineLength > MAX_LINE_BYTES) {
             throw new MalformedMessageException(400, "a line among the chunks is too long");
         }
     }
 
-    private static void lineFeed(byte b) throws MalformedMessageException {
-        if (b != '\n') {
+    private static void requireLineFeed(byte next) throws MalformedMessageException {
+        if (next != '\n') {
             throw new MalformedMessageException(400, "a carriage return stands alone");
         }
     }
--- a/src/main/java/hopdrum/frontdoor/wire/CounterProtocol.java
+++ b/src/main/java/hopdrum/frontdoor/wire/CounterProtocol.java
@@ -1,55 +1,75 @@
 package hopdrum.frontdoor.wire;
 
-import static hopdrum.frontdoor.wire.HttpReader.ascii;
+import static hopdrum.frontdoor.wire.Ascii.ascii;
 
 import hopdrum.host.Outcome;
 
-/** Calls on the counter, and what its answers say. */
+/** Calls to the shared counter, and what its responses say. */
 public final class CounterProtocol {
     private static final byte[] CALL = ascii("POST /v2/numbers/");
     private static final byte[] DELTA = ascii("?delta=");
-    private static final byte[] LIFE = ascii("&life_ms=");
+    private static final byte[] TIME_TO_LIVE = ascii("&life_ms=");
     private static final byte[] REST = ascii(" HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n");
-    private static final double MOST = 1e9;
+    private static final int MAX_CALL_BYTES = 192;
+    private static final double MAX_AMOUNT = 1e9;
+    private static final long MILLIONTHS = 1_000_000;
 
     private CounterProtocol() {}
 
-    /** Writes one call; false without room. */
-    public static boolean call(long name, double amount, long lifeMs, RingBuffer to) {
-        if (!to.reserve(192)) {
+    /**
+     * Writes one call, which adds an amount to a number.
+     *
+     * @param name the number's name
+     * @param amount units to add, rounded to a millionth and bounded to a thousand million either way
+     * @param timeToLiveMs how long a number that is new is kept; 1 at least is written
+     * @return false, and nothing is written, without room
+     */
+    public static boolean writeCall(long name, double amount, long timeToLiveMs, RingBuffer out) {
+        if (!out.reserve(MAX_CALL_BYTES)) {
             return false;
         }
-        to.put(CALL);
-        to.put(ascii(Long.toHexString(name)));
-        to.put(DELTA);
-        to.put(ascii(decimal(amount)));
-        to.put(LIFE);
-        HttpWriter.number(to, Math.max(1, lifeMs));
-        to.put(REST);
+        out.put(CALL);
+        out.put(ascii(Long.toHexString(name)));
+        out.put(DELTA);
+        out.put(ascii(decimal(amount)));
+        out.put(TIME_TO_LIVE);
+        Ascii.putDecimal(out, Math.max(1, timeToLiveMs));
+        out.put(REST);
         return true;
     }
 
     /** Without an exponent, to a millionth. */
     static String decimal(double amount) {
-        long millionths = Math.round(Math.max(-MOST, Math.min(MOST, amount)) * 1e6);
-        long part = Math.abs(millionths % 1_000_000);
-        String whole = (millionths < 0 ? "-" : "") + Math.abs(millionths / 1_000_000);
-        return part == 0 ? whole : whole + "." + Long.toString(1_000_000 + part).substring(1);
+        long millionths = Math.round(Math.max(-MAX_AMOUNT, Math.min(MAX_AMOUNT, amount)) * 1e6);
+        long fraction = Math.abs(millionths % MILLIONTHS);
+        String whole = (millionths < 0 ? "-" : "") + Math.abs(millionths / MILLIONTHS);
+        return fraction == 0
+                ? whole
+                : whole + "." + Long.toString(MILLIONTHS + fraction).substring(1);
     }
 
-    public static Outcome outcome(HttpReader in) throws MalformedMessageException {
-        return switch (in.status()) {
+    /**
+     * How a call ended by the status of its response.
+     *
+     * @throws MalformedMessageException if the counter gives no such status
+     */
+    public static Outcome outcome(HttpReader response) throws MalformedMessageException {
+        return switch (response.status()) {
             case 200 -> Outcome.OK;
             case 400, 404, 503 -> Outcome.AT_CAPACITY;
-            default -> throw new MalformedMessageException(400, "the counter answers " + in.status());
+            default -> throw new MalformedMessageException(400, "the counter answers " + response.status());
         };
     }
 
-    /** The total of an answer of 200. */
-    public static double total(RingBuffer ring, HttpReader in) throws MalformedMessageException {
+    /**
+     * The number's total in units, from a response of status 200.
+     *
+     * @throws MalformedMessageException if the body is no finite number
+     */
+    public static double total(RingBuffer ring, HttpReader response) throws MalformedMessageException {
         try {
-            double total =
-                    Double.parseDouble(ring.text(in.bodyFrom(), in.bodyTo()).strip());
+            double total = Double.parseDouble(
+                    ring.text(response.bodyFrom(), response.bodyTo()).strip());
             if (Double.isFinite(total)) {
                 return total;
             }
--- a/src/main/java/hopdrum/frontdoor/wire/EndpointListReader.java
+++ b/src/main/java/hopdrum/frontdoor/wire/EndpointListReader.java
@@ -1,42 +1,63 @@
 package hopdrum.frontdoor.wire;
 
-import static hopdrum.frontdoor.wire.HttpReader.ascii;
+import static hopdrum.frontdoor.wire.Ascii.ascii;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.function.Consumer;
 
-/** Discovery's answer, a watch or a whole list: bytes to messages, a line of JSON each or one indented over lines. */
+/**
+ * Discovery's response, a watch or a whole list: bytes to messages of JSON, each on a line of its own or indented over
+ * several lines.
+ */
 public final class EndpointListReader {
-    private static final int MOST_LINE = 8 << 20;
+    private static final int MAX_MESSAGE_BYTES = 8 << 20;
+    private static final int INITIAL_BYTES = 1024;
+    private static final int MAX_REQUEST_BYTES = 256;
+
     private final HttpReader head = new HttpReader(HttpReader.Kind.RESPONSE);
-    private final Consumer<String> lines;
-    private ChunkedDecoder chunks;
+    private final Consumer<String> listener;
+    private ChunkedDecoder chunks; // null for a body without chunks
     private boolean inBody;
-    private long left; // of a body with a length; below 0: until the connection ends
-    private byte[] line = new byte[1024];
-    private int length;
-    private int lineFrom; // where in it the present line began: an indented message has many
-    private int depth; // of braces and brackets that are open at this point
-    private boolean inText;
+    private long remaining; // of a body with a length; below 0 if the connection's end is the body's
+    private byte[] message = new byte[INITIAL_BYTES];
+    private int length; // of the message so far
+    private int lineFrom; // where in it the present line begins
+    private int openBrackets; // braces and brackets that are open at this point
+    private boolean inString;
     private boolean escaped;
     private boolean ended;
 
-    /** A message is handed on whole; an empty line says that nothing has changed. */
-    public EndpointListReader(Consumer<String> lines) {
-        this.lines = lines;
+    /**
+     * A reader for one response.
+     *
+     * @param listener gets each message once it is complete; an empty one says that nothing has changed
+     */
+    public EndpointListReader(Consumer<String> listener) {
+        this.listener = listener;
     }
 
-    public static void ask(boolean watch, long after, String host, RingBuffer to) {
-        to.reserve(256);
-        to.put(ascii("GET /registry/instances" + (watch ? "?watch=1" + (after >= 0 ? "&after=" + after : "") : "")
+    /**
+     * Writes the request to an empty ring.
+     *
+     * @param watch whether changes are asked for, in place of one complete list
+     * @param after the version from which a watch goes on; below 0 if none is known
+     * @param host the value of the Host field
+     */
+    public static void writeRequest(boolean watch, long after, String host, RingBuffer out) {
+        out.reserve(MAX_REQUEST_BYTES);
+        out.put(ascii("GET /registry/instances" + (watch ? "?watch=1" + (after >= 0 ? "&after=" + after : "") : "")
                 + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n"));
     }
 
-    /** Takes all bytes off the ring; true once the answer is whole. */
+    /**
+     * Takes all bytes off the ring; true once the response is complete.
+     *
+     * @throws MalformedMessageException if it is not a list, or a message is too long
+     */
     public boolean read(RingBuffer ring) throws MalformedMessageException {
         if (!inBody) {
-            if (!head.headOnly(ring)) {
+            if (!head.readHead(ring)) {
                 return false;
             }
             if (head.status() != 200) {
@@ -44,17 +65,17 @@
             }
             inBody = true;
             chunks = head.isChunked() ? new ChunkedDecoder() : null;
-            left = head.lengthOrNone();
+            remaining = head.lengthOrNone();
             ring.skip(head.bodyFrom());
         }
         while (!ring.isEmpty() && !ended) {
-            byte b = ring.at(0);
+            byte next = ring.at(0);
             ring.skip(1);
-            if (chunks == null || chunks.data(b)) {
-                data(b);
-                left--;
+            if (chunks == null || chunks.accept(next)) {
+                accept(next);
+                remaining--;
             }
-            ended = chunks == null ? left == 0 : chunks.ended();
+            ended = chunks == null ? remaining == 0 : chunks.isEnded();
         }
         if (ended && length > 0) {
             messageEnds(length);
@@ -62,68 +83,68 @@
         return ended;
     }
 
-    private void data(byte b) throws MalformedMessageException {
-        if (b == '\n') {
+    private void accept(byte next) throws MalformedMessageException {
+        if (next == '\n') {
             lineEnds();
             return;
         }
-        put(b);
+        append(next);
         if (escaped) {
             escaped = false;
-        } else if (inText && b == '\\') {
+        } else if (inString && next == '\\') {
             escaped = true;
-        } else if (b == '"') {
-            inText = !inText;
-        } else if (!inText && (b == '{' || b == '[')) {
-            depth++;
-        } else if (!inText && (b == '}' || b == ']')) {
-            depth--;
+        } else if (next == '"') {
+            inString = !inString;
+        } else if (!inString && (next == '{' || next == '[')) {
+            openBrackets++;
+        } else if (!inString && (next == '}' || next == ']')) {
+            openBrackets--;
         }
     }
 
-    private void put(byte b) throws MalformedMessageException {
-        if (length == MOST_LINE) {
+    private void append(byte next) throws MalformedMessageException {
+        if (length == MAX_MESSAGE_BYTES) {
             throw new MalformedMessageException(413, "a line from discovery is too long");
         }
-        if (length == line.length) {
-            line = Arrays.copyOf(line, 2 * length);
+        if (length == message.length) {
+            message = Arrays.copyOf(message, 2 * length);
         }
-        line[length++] = b;
+        message[length++] = next;
     }
 
     /**
-     * A message whose braces are still open goes on with the next line. Guards against one that was cut short taking
-     * along those that follow: an empty line, or one that begins a message of its own, ends it as it stands.
+     * A message whose brackets are still open goes on with the next line. Guards against a truncated one taking along
+     * those that follow: an empty line, or one that begins a message of its own, ends it as it stands.
      */
     private void lineEnds() throws MalformedMessageException {
-        String present = new String(line, lineFrom, length - lineFrom, StandardCharsets.UTF_8).strip();
-        if (lineFrom > 0 && (present.isEmpty() || (present.startsWith("{") && present.contains("\"seq\"")))) {
+        String line = new String(message, lineFrom, length - lineFrom, StandardCharsets.UTF_8).strip();
+        if (lineFrom > 0 && (line.isEmpty() || (line.startsWith("{") && line.contains("\"seq\"")))) {
             messageEnds(lineFrom);
-            for (byte b : (present + "\n").getBytes(StandardCharsets.UTF_8)) {
-                data(b);
+            for (byte b : (line + "\n").getBytes(StandardCharsets.UTF_8)) {
+                accept(b);
             }
-        } else if (depth <= 0 || present.isEmpty()) {
+        } else if (openBrackets <= 0 || line.isEmpty()) {
             messageEnds(length);
         } else {
-            put((byte) ' ');
+            append((byte) ' ');
             lineFrom = length;
         }
     }
 
     /** Ends a message of several lines that nothing has been added to for too long: what there is of it is handed on. */
-    public void endsOpenMessage() {
+    public void endOpenMessage() {
         if (lineFrom > 0) {
             messageEnds(length);
         }
     }
 
-    private void messageEnds(int at) {
-        String text = new String(line, 0, at, StandardCharsets.UTF_8).strip();
+    private void messageEnds(int to) {
+        String text = new String(message, 0, to, StandardCharsets.UTF_8).strip();
         length = 0;
         lineFrom = 0;
-        depth = 0;
-        inText = false;
+        openBrackets = 0;
+        inString = false;
         escaped = false;
-        lines.accept(text);
+        listener.accept(text);
     }
 }
--- a/src/main/java/hopdrum/frontdoor/wire/HttpWriter.java
+++ b/src/main/java/hopdrum/frontdoor/wire/HttpWriter.java
@@ -1,20 +1,23 @@
 package hopdrum.frontdoor.wire;
 
-import static hopdrum.frontdoor.wire.HttpReader.ascii;
+import static hopdrum.frontdoor.wire.Ascii.ascii;
 
 import java.util.List;
 import java.util.Map;
 
-/** Writes the answers that clients get. */
+/** Writes the responses that clients get. */
 public final class HttpWriter {
     private static final byte[] OK = ascii("HTTP/1.1 200 OK\r\n");
     private static final byte[] LENGTH = ascii("Content-Length: ");
     private static final byte[] CLOSE = ascii("Connection: close\r\n");
     private static final byte[] CONTINUE = ascii("HTTP/1.1 100 Continue\r\n\r\n");
     private static final byte[] HEAD_END = ascii("\r\n\r\n");
-    private static final byte[] RETRY = ascii("Retry-After: ");
+    private static final byte[] RETRY_AFTER = ascii("Retry-After: ");
     private static final byte[] LINE_END = ascii("\r\n");
-    private static final List<byte[]> NOT_PASSED = List.of(
+    private static final int MAX_ADDED_BYTES = 128; // status line and fields beside those that are forwarded
+    private static final int MAX_EMPTY_RESPONSE_BYTES = 256;
+    // Hop-by-hop fields, those that this program writes itself, and those that a backend means for it alone.
+    private static final List<byte[]> NOT_FORWARDED = List.of(
             ascii("connection"),
             ascii("keep-alive"),
             ascii("trailer"),
@@ -46,68 +49,78 @@
 
     private HttpWriter() {}
 
-    /** Whether this is a final answer to an RPC, as a front door gives it. */
-    public static boolean isAnswer(int status) {
+    /** Whether a status is that of a final response to an RPC, as a front door gives it. */
+    public static boolean isFinalStatus(int status) {
         return status == 200 || status == 429 || status == 503 || status == 500;
     }
 
-    /** The backend's whole answer, its body unchanged; false without room. */
-    public static boolean answer(RingBuffer from, HttpReader in, boolean close, RingBuffer to) {
-        if (!to.reserve(in.bodyTo() + 128)) {
+    /**
+     * Writes the complete response of a backend, its body unchanged.
+     *
+     * @param from the ring with the response at its front
+     * @param response the reader that has read it
+     * @param close whether the connection ends with this response
+     * @return false, and nothing is written, without room
+     */
+    public static boolean forwardResponse(RingBuffer from, HttpReader response, boolean close, RingBuffer out) {
+        if (!out.reserve(response.bodyTo() + MAX_ADDED_BYTES)) {
             return false;
         }
-        if (in.status() == 200) {
-            to.put(OK);
+        if (response.status() == 200) {
+            out.put(OK);
         } else {
-            statusLine(in.status(), to);
+            statusLine(response.status(), out);
         }
-        RequestHead.passFields(from, in, NOT_PASSED, to);
+        FieldForwarder.forward(from, response, NOT_FORWARDED, out);
         if (close) {
-            to.put(CLOSE);
+            out.put(CLOSE);
         }
-        int length = in.bodyTo() - in.bodyFrom();
-        to.put(LENGTH);
-        number(to, length);
-        to.put(HEAD_END);
-        to.put(from, in.bodyFrom(), length);
+        int length = response.bodyTo() - response.bodyFrom();
+        out.put(LENGTH);
+        Ascii.putDecimal(out, length);
+        out.put(HEAD_END);
+        out.put(from, response.bodyFrom(), length);
         return true;
     }
 
-    /** An answer without a body; a wait of 0 names no time to come back. */
-    public static boolean plain(int status, long retryAfterUs, boolean close, RingBuffer to) {
-        if (!to.reserve(256)) {
+    /**
+     * Writes a response without a body.
+     *
+     * @param retryAfterUs the time for Retry-After, in microseconds, rounded up to a millisecond; 0 for none
+     * @param close whether the connection ends with this response
+     * @return false, and nothing is written, without room
+     */
+    public static boolean emptyResponse(int status, long retryAfterUs, boolean close, RingBuffer out) {
+        if (!out.reserve(MAX_EMPTY_RESPONSE_BYTES)) {
             return false;
         }
-        statusLine(status, to);
+        statusLine(status, out);
         if (retryAfterUs > 0) {
-            to.put(RETRY);
+            out.put(RETRY_AFTER);
             long ms = (retryAfterUs + 999) / 1000;
-            number(to, ms / 1000);
-            to.put(ascii("." + (char) ('0' + ms / 100 % 10) + (char) ('0' + ms / 10 % 10) + (char) ('0' + ms % 10)));
-            to.put(LINE_END);
+            Ascii.putDecimal(out, ms / 1000);
+            out.put(ascii("." + (char) ('0' + ms / 100 % 10) + (char) ('0' + ms / 10 % 10) + (char) ('0' + ms % 10)));
+            out.put(LINE_END);
         }
         if (close) {
-            to.put(CLOSE);
+            out.put(CLOSE);
         }
-        to.put(LENGTH);
-        number(to, 0);
-        to.put(HEAD_END);
+        out.put(LENGTH);
+        Ascii.putDecimal(out, 0);
+        out.put(HEAD_END);
         return true;
     }
 
-    private static void statusLine(int status, RingBuffer to) {
-        to.put(ascii("HTTP/1.1 " + status + " " + REASONS.getOrDefault(status, "Error") + "\r\n"));
+    private static void statusLine(int status, RingBuffer out) {
+        out.put(ascii("HTTP/1.1 " + status + " " + REASONS.getOrDefault(status, "Error") + "\r\n"));
     }
 
-    public static boolean leaveToSend(RingBuffer to) {
-        if (!to.reserve(CONTINUE.length)) {
+    /** Writes the interim response upon which a client sends its body; false, and nothing is written, without room. */
+    public static boolean continueResponse(RingBuffer out) {
+        if (!out.reserve(CONTINUE.length)) {
             return false;
         }
-        to.put(CONTINUE);
+        out.put(CONTINUE);
         return true;
     }
-
-    static void number(RingBuffer to, long value) {
-        to.put(ascii(Long.toString(value)));
-    }
 }
--- a/src/main/java/hopdrum/frontdoor/wire/JsonReader.java
+++ b/src/main/java/hopdrum/frontdoor/wire/JsonReader.java
@@ -5,160 +5,164 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON text to maps, lists, strings, doubles, booleans and null. */
+/** Reads JSON text into maps, lists, strings, doubles, booleans and null. */
 public final class JsonReader {
-    private static final int MOST_DEPTH = 64;
+    private static final int MAX_DEPTH = 64;
     private final String text;
-    private int at;
+    private int position;
 
     private JsonReader(String text) {
         this.text = text;
     }
 
-    /** Throws IllegalArgumentException, with the place, where the text is no JSON. */
+    /**
+     * The one value that a text holds.
+     *
+     * @throws MalformedJsonException if the text is no JSON, or is nested more than 64 deep
+     */
     public static Object parse(String text) {
         JsonReader json = new JsonReader(text);
         Object value = json.value(0);
-        json.blank();
-        if (json.at < text.length()) {
-            throw json.wrong("more after the end");
+        json.skipBlanks();
+        if (json.position < text.length()) {
+            throw json.malformed("more after the end");
         }
         return value;
     }
 
     private Object value(int depth) {
-        if (depth > MOST_DEPTH) {
-            throw wrong("nested too deep");
+        if (depth > MAX_DEPTH) {
+            throw malformed("nested too deep");
         }
-        blank();
+        skipBlanks();
         return switch (peek()) {
             case '{' -> object(depth);
-            case '[' -> list(depth);
+            case '[' -> array(depth);
             case '"' -> string();
-            case 't' -> word("true", true);
-            case 'f' -> word("false", false);
-            case 'n' -> word("null", null);
+            case 't' -> literal("true", true);
+            case 'f' -> literal("false", false);
+            case 'n' -> literal("null", null);
             default -> number();
         };
     }
 
     private Map<String, Object> object(int depth) {
         Map<String, Object> object = new LinkedHashMap<>();
-        at++;
-        if (next('}')) {
+        position++;
+        if (takeIf('}')) {
             return object;
         }
         do {
-            blank();
+            skipBlanks();
             String name = string();
-            if (!next(':')) {
-                throw wrong("no colon");
+            if (!takeIf(':')) {
+                throw malformed("no colon");
             }
             object.put(name, value(depth + 1));
-        } while (next(','));
-        if (!next('}')) {
-            throw wrong("no end of an object");
+        } while (takeIf(','));
+        if (!takeIf('}')) {
+            throw malformed("no end of an object");
         }
         return object;
     }
 
-    private List<Object> list(int depth) {
+    private List<Object> array(int depth) {
         List<Object> list = new ArrayList<>();
-        at++;
-        if (next(']')) {
+        position++;
+        if (takeIf(']')) {
             return list;
         }
         do {
             list.add(value(depth + 1));
-        } while (next(','));
-        if (!next(']')) {
-            throw wrong("no end of a list");
+        } while (takeIf(','));
+        if (!takeIf(']')) {
+            throw malformed("no end of a list");
         }
         return list;
     }
 
     private String string() {
         if (peek() != '"') {
-            throw wrong("no string");
+            throw malformed("no string");
         }
         StringBuilder out = new StringBuilder();
-        for (at++; peek() != '"'; at++) {
+        for (position++; peek() != '"'; position++) {
             char c = peek();
             if (c < ' ') {
-                throw wrong("a control character in a string");
+                throw malformed("a control character in a string");
             }
             out.append(c == '\\' ? escaped() : c);
         }
-        at++;
+        position++;
         return out.toString();
     }
 
     private char escaped() {
-        at++;
+        position++;
         char c = peek();
-        if (c == 'u' && at + 4 < text.length()) {
+        if (c == 'u' && position + 4 < text.length()) {
             int code = 0;
             for (int i = 1; i <= 4; i++) {
-                int digit = Character.digit(text.charAt(at + i), 16);
+                int digit = Character.digit(text.charAt(position + i), 16);
                 if (digit < 0) {
-                    throw wrong("a malformed escape");
+                    throw malformed("a malformed escape");
                 }
                 code = code * 16 + digit;
             }
-            at += 4;
+            position += 4;
             return (char) code;
         }
         int known = "\"\\/bfnrt".indexOf(c);
         if (known < 0) {
-            throw wrong("an unknown escape");
+            throw malformed("an unknown escape");
         }
         return "\"\\/\b\f\n\r\t".charAt(known);
     }
 
     private Object number() {
-        int from = at;
-        while (at < text.length() && "+-.eE0123456789".indexOf(text.charAt(at)) >= 0) {
-            at++;
+        int from = position;
+        while (position < text.length() && "+-.eE0123456789".indexOf(text.charAt(position)) >= 0) {
+            position++;
         }
         try {
-            return Double.valueOf(text.substring(from, at));
+            return Double.valueOf(text.substring(from, position));
         } catch (NumberFormatException e) {
-            at = from;
-            throw wrong("no value");
+            position = from;
+            throw malformed("no value");
         }
     }
 
-    private Object word(String word, Object value) {
-        if (!text.startsWith(word, at)) {
-            throw wrong("no value");
+    private Object literal(String literal, Object value) {
+        if (!text.startsWith(literal, position)) {
+            throw malformed("no value");
         }
-        at += word.length();
+        position += literal.length();
         return value;
     }
 
-    private boolean next(char c) {
-        blank();
-        if (at < text.length() && text.charAt(at) == c) {
-            at++;
+    private boolean takeIf(char c) {
+        skipBlanks();
+        if (position < text.length() && text.charAt(position) == c) {
+            position++;
             return true;
         }
         return false;
     }
 
-    private void blank() {
-        while (at < text.length() && " \t\r\n".indexOf(text.charAt(at)) >= 0) {
-            at++;
+    private void skipBlanks() {
+        while (position < text.length() && " \t\r\n".indexOf(text.charAt(position)) >= 0) {
+            position++;
         }
     }
 
     private char peek() {
-        if (at >= text.length()) {
-            throw wrong("it ends too soon");
+        if (position >= text.length()) {
+            throw malformed("it ends too soon");
         }
-        return text.charAt(at);
+        return text.charAt(position);
     }
 
-    private IllegalArgumentException wrong(String what) {
-        return new IllegalArgumentException("JSON, character " + at + ": " + what);
+    private MalformedJsonException malformed(String what) {
+        return new MalformedJsonException(position, what);
     }
 }
--- a/src/main/java/hopdrum/frontdoor/wire/RequestHead.java
+++ b/src/main/java/hopdrum/frontdoor/wire/RequestHead.java
@@ -1,164 +1,183 @@
 package hopdrum.frontdoor.wire;
 
-import static hopdrum.frontdoor.wire.HttpReader.ascii;
+import static hopdrum.frontdoor.wire.Ascii.ascii;
 
 import hopdrum.host.Method;
 import java.util.List;
 
-/** What a client's head says of its RPC: read from the fields of a whole HTTP request, and written for a backend. */
+/**
+ * What the head of a client's request says of its RPC. One object is used for all requests of an event loop, so that
+ * none is made for each: the public fields stand from one {@link #read} to the next.
+ */
 public final class RequestHead {
-    private static final byte[] TRACE = ascii("x-trace-id");
+    private static final byte[] TRACE_ID = ascii("x-trace-id");
     private static final byte[] QOS = ascii("x-qos");
     private static final byte[] PLAN = ascii("plan");
     private static final byte[] COOKIE = ascii("cookie");
+    private static final byte[] COOKIE_KEY = ascii("key=");
     private static final byte[] EXPIRES = ascii("x-expires-in-ms");
-    private static final byte[] KEY = ascii("idempotency-key");
-    private static final byte[] QUOTA = ascii("quota-info");
+    private static final byte[] IDEMPOTENCY_KEY = ascii("idempotency-key");
+    private static final byte[] QUOTA_INFO = ascii("quota-info");
     private static final byte[] GET = ascii("GET");
     private static final byte[] POST = ascii("POST");
     private static final byte[] RPC_PATH = ascii("/api");
-    private static final byte[] READY = ascii("GET /health/ready ");
-    // Fields that are spoken between two neighbours only, and those that this program writes itself.
-    private static final List<byte[]> NOT_PASSED = List.of(
-            ascii("connection"),
-            ascii("keep-alive"),
-            ascii("te"),
-            ascii("trailer"),
-            ascii("transfer-encoding"),
-            ascii("upgrade"),
-            ascii("proxy-connection"),
-            ascii("expect"),
-            ascii("content-length"),
-            EXPIRES);
-    private static final byte[] EXPIRES_LINE = ascii("X-Expires-In-Ms: ");
-    private static final byte[] LENGTH_LINE = ascii("\r\nContent-Length: ");
-    private static final byte[] HEAD_END = ascii("\r\n\r\n");
-    private static final byte[] PASSED_ON = ascii("x-passed-on");
-    private static final byte[] PASSED_ON_LINE = ascii("X-Passed-On: 1\r\n");
-    private static final long MOST_CUSTOMER = 1L << 33;
-
-    private static final double MOST_UNITS = 1e6; // where the settings name no most
-    private static final int MOST_TRACE = 64;
-
-    private final byte[][] methods;
-    private final byte[][] plans;
-    private final List<Method> rows;
-    private final int mostGateways;
-    private final double mostUnits;
-    public String trace;
+    private static final byte[] READINESS_CHECK = ascii("GET /health/ready ");
+    private static final List<String> QUOTA_NAMES = List.of("units", "spread", "first");
+
+    private static final int CUSTOMER_DIGITS = 16;
+    private static final long CUSTOMER_LIMIT = 1L << 33;
+    private static final double DEFAULT_MAX_UNITS = 1e6;
+    private static final int MAX_TRACE_ID_BYTES = 64;
+    private static final int MAX_QUOTA_DIGITS = 9;
+
+    private final byte[][] methodNames;
+    private final byte[][] planNames;
+    private final List<Method> methods;
+    private final int maxGateways;
+    private final double maxUnits;
+    /** The request's id, as its client has chosen it. */
+    public String traceId;
+    /** The method's number in the settings. */
     public int method;
+    /** The plan's number in the settings. */
     public int plan;
+    /** The customer's key. */
     public long customer;
+    /** What the RPC draws from the quota, in units; above 0. */
     public double units;
+    /** How many gateways the customer's RPCs may come in at. */
     public int gateways;
+    /** The number of the first of them. */
     public int firstGateway;
-    public long leftMs;
+    /** How long the client waits, in milliseconds; 0 or more. */
+    public long timeLeftMs;
 
-    /** A most of 0 units is none. */
+    /**
+     * A head for the methods and plans of some settings.
+     *
+     * @param methodNames the names that X-Qos may hold, in the order of the settings
+     * @param planNames the names that Plan may hold, in the order of the settings
+     * @param methods the methods, in the same order as their names
+     * @param gateways how many gateways there are
+     * @param maxUnits the most units that an RPC may draw; 0 if the settings name no bound
+     */
     public RequestHead(
-            List<String> methods, List<String> plans, List<Method> rows, int mostGateways, double mostUnits) {
-        this.rows = rows;
-        this.mostGateways = mostGateways;
-        this.mostUnits = mostUnits > 0 ? mostUnits : MOST_UNITS;
-        this.methods = methods.stream().map(HttpReader::ascii).toArray(byte[][]::new);
-        this.plans = plans.stream().map(HttpReader::ascii).toArray(byte[][]::new);
+            List<String> methodNames, List<String> planNames, List<Method> methods, int gateways, double maxUnits) {
+        this.methods = methods;
+        this.maxGateways = gateways;
+        this.maxUnits = maxUnits > 0 ? maxUnits : DEFAULT_MAX_UNITS;
+        this.methodNames = methodNames.stream().map(Ascii::ascii).toArray(byte[][]::new);
+        this.planNames = planNames.stream().map(Ascii::ascii).toArray(byte[][]::new);
     }
 
-    public static boolean asksReady(RingBuffer ring) {
-        return ring.size() > READY.length && ring.matches(0, READY.length, READY);
+    /** Whether the request at the front of a ring asks for the front door's readiness. */
+    public static boolean isReadinessCheck(RingBuffer ring) {
+        return ring.size() > READINESS_CHECK.length && ring.matches(0, READINESS_CHECK.length, READINESS_CHECK);
     }
 
-    /** Reads the fields of an RPC; a MalformedMessageException's status is the answer to what cannot be taken. */
-    public void read(RingBuffer ring, HttpReader in) throws MalformedMessageException {
-        int pathFrom = in.verbTo() + 1;
-        int pathTo = pathFrom;
-        while (pathTo < in.targetTo() && ring.at(pathTo) != '?') {
-            pathTo++;
-        }
-        if (!ring.matches(pathFrom, pathTo, RPC_PATH)) {
-            throw new MalformedMessageException(404, "unknown path");
-        }
-        int id = needed(ring, in, TRACE, "X-Trace-Id");
-        if (in.valueFrom(id) == in.valueTo(id) || in.valueTo(id) - in.valueFrom(id) > MOST_TRACE) {
+    /**
+     * Reads the fields of an RPC.
+     *
+     * @param request the reader that has read the message at the front of the ring
+     * @throws MalformedMessageException if the request is no RPC that can be taken; its status is the response to it
+     */
+    public void read(RingBuffer ring, HttpReader request) throws MalformedMessageException {
+        requireRpcPath(ring, request);
+        HeaderFields fields = request.fields();
+        int id = require(ring, fields, TRACE_ID, "X-Trace-Id");
+        int idLength = fields.valueTo(id) - fields.valueFrom(id);
+        if (idLength == 0 || idLength > MAX_TRACE_ID_BYTES) {
             throw new MalformedMessageException(400, "X-Trace-Id is empty or too long");
         }
-        trace = ring.text(in.valueFrom(id), in.valueTo(id));
-        method = choice(ring, in, needed(ring, in, QOS, "X-Qos"), methods, "X-Qos");
-        plan = choice(ring, in, needed(ring, in, PLAN, "Plan"), plans, "Plan");
-        customer = customer(ring, in);
-        int expires = needed(ring, in, EXPIRES, "X-Expires-In-Ms");
-        leftMs = HttpReader.number(ring, in.valueFrom(expires), in.valueTo(expires));
-        if (leftMs < 0 || leftMs > Integer.MAX_VALUE) {
+        traceId = ring.text(fields.valueFrom(id), fields.valueTo(id));
+        method = choice(ring, fields, QOS, methodNames, "X-Qos");
+        plan = choice(ring, fields, PLAN, planNames, "Plan");
+        customer = readCustomer(ring, fields);
+        int expires = require(ring, fields, EXPIRES, "X-Expires-In-Ms");
+        timeLeftMs = Ascii.parseDecimal(ring, fields.valueFrom(expires), fields.valueTo(expires));
+        if (timeLeftMs == Ascii.NOT_A_NUMBER || timeLeftMs > Integer.MAX_VALUE) {
             throw new MalformedMessageException(400, "X-Expires-In-Ms is malformed");
         }
-        quota(ring, in, needed(ring, in, QUOTA, "Quota-Info"));
-        verb(ring, in);
+        readQuotaInfo(ring, fields);
+        checkVerb(ring, request);
     }
 
-    /** What may be repeated is got, without a body; the rest is posted, and what is deduplicated needs its key. */
-    private void verb(RingBuffer ring, HttpReader in) throws MalformedMessageException {
-        Method.RetrySafety repeat = rows.get(method).retrySafety();
-        boolean gets = repeat == Method.RetrySafety.IDEMPOTENT;
-        if (!ring.matches(0, in.verbTo(), gets ? GET : POST)) {
+    private static void requireRpcPath(RingBuffer ring, HttpReader request) throws MalformedMessageException {
+        int from = request.verbTo() + 1;
+        int to = from;
+        while (to < request.targetTo() && ring.at(to) != '?') {
+            to++;
+        }
+        if (!ring.matches(from, to, RPC_PATH)) {
+            throw new MalformedMessageException(404, "unknown path");
+        }
+    }
+
+    /** An idempotent RPC is a GET without a body; all others are a POST, and a deduplicated one needs its key. */
+    private void checkVerb(RingBuffer ring, HttpReader request) throws MalformedMessageException {
+        Method.RetrySafety safety = methods.get(method).retrySafety();
+        boolean isGet = safety == Method.RetrySafety.IDEMPOTENT;
+        if (!ring.matches(0, request.verbTo(), isGet ? GET : POST)) {
             throw new MalformedMessageException(405, "the verb does not fit the method");
         }
-        if (gets && in.bodyTo() > in.bodyFrom()) {
+        if (isGet && request.bodyTo() > request.bodyFrom()) {
             throw new MalformedMessageException(400, "a body where there is none");
         }
-        if (repeat == Method.RetrySafety.DEDUPLICATED) {
-            int key = needed(ring, in, KEY, "Idempotency-Key");
-            if (in.valueFrom(key) == in.valueTo(key)) {
+        if (safety == Method.RetrySafety.DEDUPLICATED) {
+            HeaderFields fields = request.fields();
+            int key = require(ring, fields, IDEMPOTENCY_KEY, "Idempotency-Key");
+            if (fields.valueFrom(key) == fields.valueTo(key)) {
                 throw new MalformedMessageException(400, "Idempotency-Key is empty");
             }
         }
     }
 
-    private static int needed(RingBuffer ring, HttpReader in, byte[] name, String shown)
+    /** The one field of a name. With more than one, two readers of the message could each take another. */
+    private static int require(RingBuffer ring, HeaderFields fields, byte[] lowerCaseName, String name)
             throws MalformedMessageException {
-        int field = in.field(ring, name);
+        int field = fields.find(ring, lowerCaseName);
         if (field < 0) {
-            throw new MalformedMessageException(400, "no " + shown);
+            throw new MalformedMessageException(400, "no " + name);
         }
-        for (int i = field + 1; i < in.fields(); i++) {
-            if (in.isNamed(ring, i, name)) {
-                throw new MalformedMessageException(
-                        400, "more than one " + shown); // two readers could each take another
+        for (int i = field + 1; i < fields.count(); i++) {
+            if (fields.isNamed(ring, i, lowerCaseName)) {
+                throw new MalformedMessageException(400, "more than one " + name);
             }
         }
         return field;
     }
 
-    private static int choice(RingBuffer ring, HttpReader in, int field, byte[][] names, String shown)
+    private static int choice(RingBuffer ring, HeaderFields fields, byte[] lowerCaseName, byte[][] choices, String name)
             throws MalformedMessageException {
-        for (int i = 0; i < names.length; i++) {
-            if (ring.matches(in.valueFrom(field), in.valueTo(field), names[i])) {
+        int field = require(ring, fields, lowerCaseName, name);
+        for (int i = 0; i < choices.length; i++) {
+            if (ring.matches(fields.valueFrom(field), fields.valueTo(field), choices[i])) {
                 return i;
             }
         }
-        throw new MalformedMessageException(400, "unknown " + shown);
+        throw new MalformedMessageException(400, "unknown " + name);
     }
 
-    private static long customer(RingBuffer ring, HttpReader in) throws MalformedMessageException {
-        int cookie = needed(ring, in, COOKIE, "Cookie");
+    /** The cookie named key among those of the field. */
+    private static long readCustomer(RingBuffer ring, HeaderFields fields) throws MalformedMessageException {
+        int cookie = require(ring, fields, COOKIE, "Cookie");
+        int end = fields.valueTo(cookie);
         long customer = -1;
-        int from = in.valueFrom(cookie);
-        while (from < in.valueTo(cookie)) {
+        int from = fields.valueFrom(cookie);
+        while (from < end) {
             int to = from;
-            while (to < in.valueTo(cookie) && ring.at(to) != ';') {
+            while (to < end && ring.at(to) != ';') {
                 to++;
             }
-            if (to - from >= 4
-                    && ring.at(from) == 'k'
-                    && ring.at(from + 1) == 'e'
-                    && ring.at(from + 2) == 'y'
-                    && ring.at(from + 3) == '=') {
-                if (customer >= 0 || to - from != 20) {
+            int valueFrom = from + COOKIE_KEY.length;
+            if (valueFrom <= to && ring.matches(from, valueFrom, COOKIE_KEY)) {
+                if (customer >= 0 || to - valueFrom != CUSTOMER_DIGITS) {
                     throw new MalformedMessageException(400, "the cookie's key is malformed, or there are two");
                 }
-                customer = hex(ring, from + 4, to);
+                customer = parseCustomer(ring, valueFrom, to);
             }
             from = to + 1;
-            while (from < in.valueTo(cookie) && ring.at(from) == ' ') {
+            while (from < end && ring.at(from) == ' ') {
                 from++;
             }
         }
@@ -168,11 +187,11 @@
         return customer;
     }
 
-    private static long hex(RingBuffer ring, int from, int to) throws MalformedMessageException {
+    private static long parseCustomer(RingBuffer ring, int from, int to) throws MalformedMessageException {
         long value = 0;
         for (int i = from; i < to; i++) {
             int digit = Character.digit(ring.at(i), 16);
-            if (digit < 0 || (value >= MOST_CUSTOMER >> 4 && value * 16 + digit >= MOST_CUSTOMER)) {
+            if (digit < 0 || (value >= CUSTOMER_LIMIT >> 4 && value * 16 + digit >= CUSTOMER_LIMIT)) {
                 throw new MalformedMessageException(400, "the cookie's key is malformed");
             }
             value = value * 16 + digit;
@@ -181,35 +200,39 @@
     }
 
     /** units=2,spread=3,first=1 in any order, further names skipped; each is held against the settings. */
-    private void quota(RingBuffer ring, HttpReader in, int field) throws MalformedMessageException {
+    private void readQuotaInfo(RingBuffer ring, HeaderFields fields) throws MalformedMessageException {
+        int field = require(ring, fields, QUOTA_INFO, "Quota-Info");
         units = -1;
         gateways = -1;
         firstGateway = -1;
-        for (String part : ring.text(in.valueFrom(field), in.valueTo(field)).split(",")) {
-            int eq = part.indexOf('=');
-            String name = eq < 0 ? "" : part.substring(0, eq).strip();
-            String value = part.substring(eq + 1).strip();
+        for (String element :
+                ring.text(fields.valueFrom(field), fields.valueTo(field)).split(",", -1)) {
+            int equals = element.indexOf('=');
+            String name = equals < 0 ? "" : element.substring(0, equals).strip();
+            String value = element.substring(equals + 1).strip();
             if (name.equals("units") && units < 0) {
                 units = decimal(value);
             } else if (name.equals("spread") && gateways < 0) {
                 gateways = (int) whole(value);
             } else if (name.equals("first") && firstGateway < 0) {
                 firstGateway = (int) whole(value);
-            } else if (List.of("units", "spread", "first").contains(name)) {
+            } else if (QUOTA_NAMES.contains(name)) {
                 throw new MalformedMessageException(400, "Quota-Info says one thing twice");
             }
         }
-        if (!(units > 0 && units <= mostUnits)
+        if (!(units > 0 && units <= maxUnits)
                 || gateways < 1
-                || gateways > mostGateways
+                || gateways > maxGateways
                 || firstGateway < 0
-                || firstGateway >= mostGateways) {
+                || firstGateway >= maxGateways) {
             throw new MalformedMessageException(400, "Quota-Info is malformed or out of range");
         }
     }
 
     private static long whole(String value) throws MalformedMessageException {
-        if (value.isEmpty() || value.length() > 9 || !value.chars().allMatch(c -> c >= '0' && c <= '9')) {
+        if (value.isEmpty()
+                || value.length() > MAX_QUOTA_DIGITS
+                || !value.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new MalformedMessageException(400, "Quota-Info holds no number");
         }
         return Long.parseLong(value);
@@ -223,58 +246,4 @@
                 : whole(value.substring(0, point))
                         + whole(value.substring(point + 1)) / Math.pow(10, value.length() - point - 1);
     }
-
-    /** The mark of an RPC that a front door of another tier has passed on to here. */
-    public static boolean isPassedOn(RingBuffer ring, HttpReader in) {
-        return in.field(ring, PASSED_ON) >= 0;
-    }
-
-    /**
-     * Writes the RPC for a backend: all that the client sent but what is between neighbours; false without room. For a front
-     * door of another tier it is marked, so that it goes no further.
-     */
-    public static boolean forward(RingBuffer from, HttpReader in, long waitMs, boolean toDoor, RingBuffer to) {
-        if (!to.reserve(in.bodyTo() + 128)) {
-            return false;
-        }
-        int line = in.fields() > 0 ? in.nameFrom(0) : in.bodyFrom() - 2;
-        to.put(from, 0, line);
-        passFields(from, in, NOT_PASSED, to);
-        if (toDoor) {
-            to.put(PASSED_ON_LINE);
-        }
-        to.put(EXPIRES_LINE);
-        HttpWriter.number(to, waitMs);
-        int length = in.bodyTo() - in.bodyFrom();
-        if (length > 0 || from.at(0) != 'G') {
-            to.put(LENGTH_LINE);
-            HttpWriter.number(to, length);
-        }
-        to.put(HEAD_END);
-        to.put(from, in.bodyFrom(), length);
-        return true;
-    }
-
-    /** Copies the lines of the fields that pass on; neighbours in one piece. */
-    static void passFields(RingBuffer from, HttpReader in, List<byte[]> notPassed, RingBuffer to) {
-        int start = -1;
-        for (int i = 0; i < in.fields(); i++) {
-            boolean passes = true;
-            for (byte[] name : notPassed) {
-                if (in.isNamed(from, i, name)) {
-                    passes = false;
-                    break;
-                }
-            }
-            if (passes && start < 0) {
-                start = in.nameFrom(i);
-            } else if (!passes && start >= 0) {
-                to.put(from, start, in.nameFrom(i) - start);
-                start = -1;
-            }
-        }
-        if (start >= 0) {
-            to.put(from, start, in.bodyFrom() - 2 - start);
-        }
-    }
 }
--- a/src/main/java/hopdrum/frontdoor/wire/RingBuffer.java
+++ b/src/main/java/hopdrum/frontdoor/wire/RingBuffer.java
@@ -1,53 +1,69 @@
 package hopdrum.frontdoor.wire;
 
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 
 /**
- * The bytes of one connection in one direction. Starts small, doubles up to its most, and goes back to small when
+ * The bytes of one connection in one direction. Starts small, doubles up to its limit, and goes back to small when
  * empty. Positions are counted from the front, so they stay as they are while bytes come in behind.
  */
 public final class RingBuffer {
-    private static final int FIRST = 1 << 10;
-    private final int most;
+    private static final int INITIAL_CAPACITY = 1 << 10;
+    private final int limit;
     private final Account account;
-    private byte[] bytes;
+    private byte[] bytes; // its length is a power of two, so that a mask wraps positions
     private int front;
     private int size;
 
-    /** Told of every change in what rings hold, so that all of them together can be bounded. */
+    /** Notified of every change in the memory that rings hold, so that all of them together can be bounded. */
     public interface Account {
+        /** A ring holds this many bytes more than before, or fewer if below 0. */
         void changed(int byBytes);
     }
 
-    public RingBuffer(int most, Account account) {
-        this.most = most;
+    /**
+     * An empty ring.
+     *
+     * @param limit the most bytes that it may hold
+     * @param account notified of this ring's memory, from now on
+     */
+    public RingBuffer(int limit, Account account) {
+        this.limit = limit;
         this.account = account;
-        this.bytes = new byte[FIRST];
-        account.changed(FIRST);
+        this.bytes = new byte[INITIAL_CAPACITY];
+        account.changed(INITIAL_CAPACITY);
     }
 
+    /** How many bytes are in the ring. */
     public int size() {
         return size;
     }
 
+    /** Whether there are no bytes in the ring. */
     public boolean isEmpty() {
         return size == 0;
     }
 
+    /** Whether the ring holds as much as it ever may. */
     public boolean isFull() {
-        return size == most;
+        return size == limit;
     }
 
+    /** The byte at a position, which is below the size. */
     public byte at(int position) {
-        return bytes[front + position & bytes.length - 1];
+        return bytes[wrapped(position)];
     }
 
-    /** Makes room for more bytes; false if the ring would pass its most. */
+    private int wrapped(int position) {
+        return (front + position) & (bytes.length - 1);
+    }
+
+    /** Makes room for more bytes; false, and nothing changes, if the ring would pass its limit. */
     public boolean reserve(int more) {
         if (size + more <= bytes.length) {
             return true;
         }
-        if (size + more > most) {
+        if (size + more > limit) {
             return false;
         }
         resize(Integer.highestOneBit(size + more - 1) << 1);
@@ -56,12 +72,12 @@
 
     /** Gives memory back once the ring is empty; the owner calls it when the connection goes idle. */
     public void shrink() {
-        if (size == 0 && bytes.length > FIRST) {
-            resize(FIRST);
+        if (size == 0 && bytes.length > INITIAL_CAPACITY) {
+            resize(INITIAL_CAPACITY);
         }
     }
 
-    /** The owner's connection is closed: all memory goes back, and the ring is not used again. */
+    /** Gives all memory back as the owner's connection closes; the ring is not used again. */
     public void free() {
         account.changed(-bytes.length);
         bytes = new byte[1];
@@ -70,97 +86,103 @@
     }
 
     private void resize(int capacity) {
-        byte[] larger = new byte[capacity];
-        copyOut(0, size, larger, 0);
+        byte[] resized = new byte[capacity];
+        copyOut(0, size, resized, 0);
         account.changed(capacity - bytes.length);
-        bytes = larger;
+        bytes = resized;
         front = 0;
     }
 
-    /** The free part that can be read into in one piece; filled() tells how much of it was. */
+    /** The free part that can be read into in one piece; {@link #filled} says how much of it was. */
     public ByteBuffer space() {
         if (size == 0) {
             front = 0;
         }
-        int end = front + size & bytes.length - 1;
+        int end = wrapped(size);
         int length = size == bytes.length ? 0 : end < front ? front - end : bytes.length - end;
         return ByteBuffer.wrap(bytes, end, length);
     }
 
+    /** Adds the first bytes that were read into {@link #space}. */
     public void filled(int count) {
         size += count;
     }
 
-    /** The bytes from the front that lie in one piece. */
+    /** The bytes from the front that lie in one piece; {@link #skip} takes them off. */
     public ByteBuffer content() {
         return ByteBuffer.wrap(bytes, front, Math.min(size, bytes.length - front));
     }
 
+    /** Takes bytes off the front. */
     public void skip(int count) {
         size -= count;
-        front = size == 0 ? 0 : front + count & bytes.length - 1;
+        front = size == 0 ? 0 : wrapped(count);
     }
 
+    /** Appends bytes; the caller has reserved room. */
     public void put(byte[] from) {
         put(from, 0, from.length);
     }
 
-    /** The caller has reserved room. */
-    public void put(byte[] from, int at, int count) {
-        int end = front + size & bytes.length - 1;
-        int first = Math.min(count, bytes.length - end);
-        System.arraycopy(from, at, bytes, end, first);
-        System.arraycopy(from, at + first, bytes, 0, count - first);
+    /** Appends a part of an array; the caller has reserved room. */
+    public void put(byte[] from, int offset, int count) {
+        int end = wrapped(size);
+        int untilWrap = Math.min(count, bytes.length - end);
+        System.arraycopy(from, offset, bytes, end, untilWrap);
+        System.arraycopy(from, offset + untilWrap, bytes, 0, count - untilWrap);
         size += count;
     }
 
+    /** Appends a part of another ring; the caller has reserved room. */
     public void put(RingBuffer from, int position, int count) {
-        int start = from.front + position & from.bytes.length - 1;
-        int first = Math.min(count, from.bytes.length - start);
-        put(from.bytes, start, first);
-        if (count > first) {
-            put(from.bytes, 0, count - first);
+        int start = from.wrapped(position);
+        int untilWrap = Math.min(count, from.bytes.length - start);
+        put(from.bytes, start, untilWrap);
+        if (count > untilWrap) {
+            put(from.bytes, 0, count - untilWrap);
         }
     }
 
-    public void copyOut(int position, int count, byte[] to, int at) {
-        int start = front + position & bytes.length - 1;
-        int first = Math.min(count, bytes.length - start);
-        System.arraycopy(bytes, start, to, at, first);
-        System.arraycopy(bytes, 0, to, at + first, count - first);
+    private void copyOut(int position, int count, byte[] to, int offset) {
+        int start = wrapped(position);
+        int untilWrap = Math.min(count, bytes.length - start);
+        System.arraycopy(bytes, start, to, offset, untilWrap);
+        System.arraycopy(bytes, 0, to, offset + untilWrap, count - untilWrap);
     }
 
-    /** Moves one byte towards the front; chunk framing is closed up this way. */
+    /** Copies one byte to a position nearer to the front: the framing of chunks is closed up this way. */
     void move(int from, int to) {
-        bytes[front + to & bytes.length - 1] = at(from);
+        bytes[wrapped(to)] = at(from);
     }
 
+    /** The text of a range, one character a byte. */
     public String text(int from, int to) {
         byte[] copy = new byte[to - from];
         copyOut(from, copy.length, copy, 0);
-        return new String(copy, java.nio.charset.StandardCharsets.ISO_8859_1);
+        return new String(copy, StandardCharsets.ISO_8859_1);
     }
 
-    public boolean matches(int from, int to, byte[] what) {
-        if (to - from != what.length) {
+    /** Whether a range holds exactly the given bytes. */
+    public boolean matches(int from, int to, byte[] expected) {
+        if (to - from != expected.length) {
             return false;
         }
-        for (int i = 0; i < what.length; i++) {
-            if (at(from + i) != what[i]) {
+        for (int i = 0; i < expected.length; i++) {
+            if (at(from + i) != expected[i]) {
                 return false;
             }
         }
         return true;
     }
 
-    /** As matches(), but letters of either case are the same; what is given in lower case. */
-    public boolean matchesIgnoringCase(int from, int to, byte[] what) {
-        if (to - from != what.length) {
+    /** As {@link #matches}, but ASCII letters of either case are the same. */
+    public boolean matchesIgnoringCase(int from, int to, byte[] expectedInLowerCase) {
+        if (to - from != expectedInLowerCase.length) {
             return false;
         }
-        for (int i = 0; i < what.length; i++) {
+        for (int i = 0; i < expectedInLowerCase.length; i++) {
             byte b = at(from + i);
-            if ((b >= 'A' && b <= 'Z' ? b + 32 : b) != what[i]) {
+            if ((b >= 'A' && b <= 'Z' ? b + 32 : b) != expectedInLowerCase[i]) {
                 return false;
             }
         }
--- a/src/test/java/hopdrum/frontdoor/wire/WireStoryTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/WireStoryTest.java
@@ -70,7 +70,7 @@
                             head.units,
                             head.gateways,
                             head.firstGateway,
-                            head.leftMs))
+                            head.timeLeftMs))
                     .isEqualTo(List.of(0, 1, 0xb4d65521L, 2.0, 3, 1, 480L));
             assertThat(cutRing.text(reader.bodyFrom(), reader.bodyTo())).isEqualTo("hello");
         }
@@ -151,7 +151,7 @@
                 HttpReader.Kind.RESPONSE,
                 "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT " + figures + "\r\nContent-Length: 0\r\n\r\n");
         assertThat(BackendResponse.outcome(ring, reader)).isEqualTo(Outcome.OK);
-        assertThat(BackendResponse.report(ring, reader, List.of("depth", "load_share")))
+        assertThat(BackendResponse.loadReport(ring, reader, List.of("depth", "load_share")))
                 .isEmpty();
     }
 
@@ -183,7 +183,7 @@
 
     @Test
     void aHeadOrABodyThatIsTooLongIsNamed() {
-        put(ring, "GET /api HTTP/1.1\r\nLong: " + "x".repeat(HttpReader.MOST_HEAD));
+        put(ring, "GET /api HTTP/1.1\r\nLong: " + "x".repeat(HttpReader.MAX_HEAD_BYTES));
         assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(ring))
                 .hasFieldOrPropertyWithValue("status", 431);
         RingBuffer other = ring();
@@ -243,7 +243,7 @@
     void anRpcPassesOnButForWhatIsBetweenNeighbours() throws MalformedMessageException {
         HttpReader reader = whole(HttpReader.Kind.REQUEST, RPC.replace("Host:", "Connection: keep-alive\r\nHost:"));
         RingBuffer out = ring();
-        assertThat(RequestHead.forward(ring, reader, 321, false, out)).isTrue();
+        assertThat(RequestForwarder.forward(ring, reader, 321, false, out)).isTrue();
         assertThat(all(out))
                 .isEqualTo(
                         "POST /api?area=7 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: 9b1f\r\n"
@@ -268,9 +268,9 @@
                 "HTTP/1.1 " + status + "\r\n" + field
                         + "\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61\r\nContent-Length: 0\r\n\r\n");
         assertThat(BackendResponse.outcome(ring, reader)).isEqualTo(outcome);
-        assertThat(BackendResponse.report(ring, reader, List.of("depth", "load_share")))
+        assertThat(BackendResponse.loadReport(ring, reader, List.of("depth", "load_share")))
                 .containsExactly(2f, 0.61f);
-        assertThat(BackendResponse.report(ring, reader, List.of("tps"))).isEmpty();
+        assertThat(BackendResponse.loadReport(ring, reader, List.of("tps"))).isEmpty();
     }
 
     @Test
@@ -279,12 +279,12 @@
                 HttpReader.Kind.RESPONSE,
                 "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc");
         RingBuffer out = ring();
-        assertThat(HttpWriter.answer(ring, reader, true, out)).isTrue();
+        assertThat(HttpWriter.forwardResponse(ring, reader, true, out)).isTrue();
         assertThat(all(out))
                 .isEqualTo(
                         "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: 3\r\n\r\nabc");
         out.skip(out.size());
-        assertThat(HttpWriter.plain(429, 1_234_567, false, out)).isTrue();
+        assertThat(HttpWriter.emptyResponse(429, 1_234_567, false, out)).isTrue();
         assertThat(all(out))
                 .isEqualTo("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 1.235\r\nContent-Length: 0\r\n\r\n");
     }
@@ -292,7 +292,7 @@
     @Test
     void aCallOnTheCounterHasNoExponentAndItsTotalIsANumber() throws MalformedMessageException {
         RingBuffer out = ring();
-        assertThat(CounterProtocol.call(0x1fL, -2.5, 4000, out)).isTrue();
+        assertThat(CounterProtocol.writeCall(0x1fL, -2.5, 4000, out)).isTrue();
         assertThat(all(out)).startsWith("POST /v2/numbers/1f?delta=-2.500000&life_ms=4000 HTTP/1.1\r\n");
         assertThat(CounterProtocol.decimal(1e-5)).isEqualTo("0.000010");
         assertThat(CounterProtocol.decimal(-0.25)).isEqualTo("-0.250000");
