--- /dev/null
+++ b/src/test/java/hopdrum/frontdoor/wire/HttpReaderTest.java
@@ -0,0 +1,112 @@
+package hopdrum.frontdoor.wire;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** HTTP messages: fed byte by byte and cut anywhere, without a socket. */
+class HttpReaderTest {
+    private final RingBuffer ring = WireFixture.ring();
+
+    @Test
+    void pipelinedRequestsAreReadOneAfterAnother() throws MalformedMessageException {
+        HttpReader reader = WireFixture.readMessage(
+                ring,
+                HttpReader.Kind.REQUEST,
+                WireFixture.RPC + "\r\nGET /api HTTP/1.1\r\nConnection: x, close\r\n\r\n");
+        assertThat(reader.keepAlive()).isTrue();
+        reader.done(ring);
+        assertThat(reader.read(ring)).isTrue();
+        assertThat(ring.text(0, reader.targetTo())).isEqualTo("GET /api");
+        assertThat(reader.keepAlive()).isFalse();
+        reader.done(ring);
+        assertThat(ring.isEmpty()).isTrue();
+    }
+
+    @Test
+    void chunkedResponseFedByteByByteIsJoined() throws MalformedMessageException {
+        HttpReader reader = new HttpReader(HttpReader.Kind.RESPONSE);
+        String answer = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                + "3;x=y\r\nabc\r\n0A\r\n0123456789\r\n0\r\nTrailer: t\r\n\r\n";
+        for (int i = 0; i < answer.length(); i++) {
+            WireFixture.put(ring, answer.substring(i, i + 1));
+            assertThat(reader.read(ring)).isEqualTo(i == answer.length() - 1);
+        }
+        assertThat(ring.text(reader.bodyFrom(), reader.bodyTo())).isEqualTo("abc0123456789");
+        reader.done(ring);
+        assertThat(ring.isEmpty()).isTrue();
+    }
+
+    @Test
+    void responseWithoutLengthIsNeverComplete() throws MalformedMessageException {
+        HttpReader reader = new HttpReader(HttpReader.Kind.RESPONSE);
+        WireFixture.put(ring, "HTTP/1.1 200 OK\r\n\r\nall of it, or not");
+        assertThat(reader.read(ring)).isFalse();
+        assertThat(reader.isUntilClose()).isTrue();
+        reader.endAtHead();
+        assertThat(reader.read(ring)).as("its head alone").isTrue();
+        assertThat(reader.bodyTo()).isEqualTo(reader.bodyFrom());
+    }
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "noise without a line's end",
+                "HTTP/1x",
+                "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+                "HTTP/1.1 101 Other\r\n\r\n"
+            })
+    void malformedResponseIsRejectedAtOnce(String text) {
+        WireFixture.put(ring, text);
+        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.RESPONSE).read(ring))
+                .isInstanceOf(MalformedMessageException.class);
+    }
+
+    @Test
+    void endlessInterimResponsesAreRejected() {
+        WireFixture.put(ring, "HTTP/1.1 102 Wait\r\n\r\n".repeat(5000));
+        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.RESPONSE).read(ring))
+                .isInstanceOf(MalformedMessageException.class);
+    }
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "GET  HTTP/1.1\r\n\r\n",
+                "GET /api\r\n\r\n",
+                "GET /api HTTP/2.0\r\n\r\n",
+                "GET /api HTTP/1.1\n\n",
+                "GET /api HTTP/1.1\r\nNo colon\r\n\r\n",
+                "GET /api HTTP/1.1\r\nA : b\r\n\r\n",
+                "GET /api HTTP/1.1\r\n folded\r\n\r\n",
+                "GET /api HTTP/1.1\r\nContent-Length: x\r\n\r\n",
+                "GET /api HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+                "GET /api HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+                "GET /a\u0001 HTTP/1.1\r\n\r\n",
+                "GET /api HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
+                "GET /api HTTP/1.1\r\nA: b\rc\r\n\r\n",
+                "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+                "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab"
+            })
+    void malformedRequestIsABadRequest(String text) {
+        WireFixture.put(ring, text);
+        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(ring))
+                .isInstanceOf(MalformedMessageException.class)
+                .hasFieldOrPropertyWithValue("status", 400);
+    }
+
+    @Test
+    void tooLongHeadOrBodyHasItsOwnStatus() {
+        WireFixture.put(ring, "GET /api HTTP/1.1\r\nLong: " + "x".repeat(HttpReader.MAX_HEAD_BYTES));
+        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(ring))
+                .hasFieldOrPropertyWithValue("status", 431);
+        RingBuffer other = WireFixture.ring();
+        WireFixture.put(other, "POST /api HTTP/1.1\r\nContent-Length: 65537\r\n\r\n");
+        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(other))
+                .hasFieldOrPropertyWithValue("status", 413);
+    }
+}
