--- a/src/main/java/hopdrum/frontdoor/ClientListener.java
+++ b/src/main/java/hopdrum/frontdoor/ClientListener.java
@@ -185,7 +185,7 @@
 
     @Override
     public void messageReceived(ClientConnection client) throws MalformedMessageException {
-        if (RequestHead.asksReady(client.receiveBuffer())) {
+        if (RequestHead.isReadinessCheck(client.receiveBuffer())) {
             client.respond(requests.isReady() && !draining ? 200 : 503, 0, false);
         } else {
             requests.requestReceived(client);
--- a/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
+++ b/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
@@ -112,7 +112,7 @@
 
     private void check() {
         if (watch != null && loop.nowUs() - watch.lastReadUs > TRUNCATED_MESSAGE_US) {
-            watch.reader.endsOpenMessage(); // truncated: else only the next line, up to 2 s later, would show it
+            watch.reader.endOpenMessage(); // truncated: else only the next line, up to 2 s later, would show it
         }
         if (watch != null && loop.nowUs() - lastLineUs > silenceLimitUs()) {
             LOG.warning("the watch is silent and is reopened", null);
@@ -206,7 +206,7 @@
             super(DiscoveryClient.this.loop, address, MAX_BUFFER_BYTES, MAX_BUFFER_BYTES, budget);
             this.isWatch = isWatch;
             this.reader = new EndpointListReader(line -> lineReceived(line, this));
-            EndpointListReader.ask(
+            EndpointListReader.writeRequest(
                     isWatch, version, address.getAddress().getHostAddress() + ":" + address.getPort(), out);
             flush();
             if (!isWatch) {
--- a/src/main/java/hopdrum/frontdoor/RequestHandler.java
+++ b/src/main/java/hopdrum/frontdoor/RequestHandler.java
@@ -6,6 +6,7 @@
 import hopdrum.frontdoor.lifecycle.Config;
 import hopdrum.frontdoor.lifecycle.EventLoop;
 import hopdrum.frontdoor.wire.MalformedMessageException;
+import hopdrum.frontdoor.wire.RequestForwarder;
 import hopdrum.frontdoor.wire.RequestHead;
 import hopdrum.policy.Policy;
 
@@ -47,13 +48,13 @@
     @Override
     public void requestReceived(ClientConnection client) throws MalformedMessageException {
         head.read(client.receiveBuffer(), client.message());
-        long remainingUs = Math.max(1, head.leftMs * 1000 - client.messageAgeUs());
+        long remainingUs = Math.max(1, head.timeLeftMs * 1000 - client.messageAgeUs());
         boolean hasPartners = fleet.hasPartners();
         InFlightRequest request = requests.add(
                 client,
-                head.trace,
+                head.traceId,
                 loop.nowUs() + remainingUs,
-                hasPartners && RequestHead.isPassedOn(client.receiveBuffer(), client.message()));
+                hasPartners && RequestForwarder.isForwarded(client.receiveBuffer(), client.message()));
         if (request == null) {
             throw new MalformedMessageException(409, "the X-Trace-Id is another RPC's that is open");
         }
--- a/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
@@ -7,7 +7,7 @@
 import hopdrum.frontdoor.wire.HttpReader;
 import hopdrum.frontdoor.wire.HttpWriter;
 import hopdrum.frontdoor.wire.MalformedMessageException;
-import hopdrum.frontdoor.wire.RequestHead;
+import hopdrum.frontdoor.wire.RequestForwarder;
 import hopdrum.frontdoor.wire.RingBuffer;
 import hopdrum.host.Outcome;
 import java.io.IOException;
@@ -65,7 +65,7 @@
             ResourceBudget budget,
             Listener listener)
             throws IOException {
-        super(loop, pool.address(), HttpReader.MOST_ANSWER_RING, MAX_REQUEST_BYTES, budget);
+        super(loop, pool.address(), HttpReader.RESPONSE_RING_BYTES, MAX_REQUEST_BYTES, budget);
         this.pool = pool;
         this.listener = listener;
         this.reportFields = reportFields;
@@ -102,7 +102,7 @@
         // A partner's front door derives its soft deadline from the time that the client waits, not from the attempt's.
         long deadlineUs = pool.isPartner() ? attempt.request().expiresAtUs() : attempt.deadlineUs();
         long remainingMs = Math.max(1, (deadlineUs - loop.nowUs()) / 1000);
-        if (!RequestHead.forward(client.receiveBuffer(), client.message(), remainingMs, pool.isPartner(), out)) {
+        if (!RequestForwarder.forward(client.receiveBuffer(), client.message(), remainingMs, pool.isPartner(), out)) {
             return false;
         }
         flush();
@@ -196,9 +196,9 @@
     private void completeResponse(boolean reusable) {
         Attempt ended = detach();
         Outcome outcome =
-                pool.isPartner() ? BackendResponse.outcomeOfDoor(reader) : BackendResponse.outcome(in, reader);
-        float[] report = BackendResponse.report(in, reader, reportFields);
-        if (outcome == Outcome.OK || (pool.isPartner() && HttpWriter.isAnswer(reader.status()))) {
+                pool.isPartner() ? BackendResponse.partnerOutcome(reader) : BackendResponse.outcome(in, reader);
+        float[] report = BackendResponse.loadReport(in, reader, reportFields);
+        if (outcome == Outcome.OK || (pool.isPartner() && HttpWriter.isFinalStatus(reader.status()))) {
             listener.forwardResponse(ended, in, reader);
         }
         if (reusable) {
--- a/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
@@ -68,7 +68,7 @@
      */
     public ClientConnection(EventLoop loop, SocketChannel channel, ResourceBudget budget, Listener listener)
             throws IOException {
-        super(loop, channel, MAX_MESSAGE_BYTES, HttpReader.MOST_ANSWER_RING, budget);
+        super(loop, channel, MAX_MESSAGE_BYTES, HttpReader.RESPONSE_RING_BYTES, budget);
         this.listener = listener;
         this.messageTimeoutUs = budget.transferTimeoutUs();
         timeout = loop.in(FIRST_MESSAGE_TIMEOUT_US, this::firstMessageTimedOut);
@@ -146,7 +146,7 @@
             messageSinceUs = 0;
             becomeIdle();
         } else {
-            if (reader.awaitsLeave() && HttpWriter.leaveToSend(out)) {
+            if (reader.takeExpectContinue() && HttpWriter.continueResponse(out)) {
                 flush();
             }
             if (in.isFull()) {
@@ -205,7 +205,7 @@
      */
     public boolean forwardResponse(RingBuffer from, HttpReader response) {
         boolean last = !reader.keepAlive() || listener.closesAfterResponse(in.size() > reader.end());
-        if (!HttpWriter.answer(from, response, last, out)) {
+        if (!HttpWriter.forwardResponse(from, response, last, out)) {
             return false;
         }
         responseBuffered(last);
@@ -220,7 +220,7 @@
      */
     public void respond(int status, long retryAfterUs, boolean close) {
         boolean last = close || !reader.keepAlive() || listener.closesAfterResponse(in.size() > reader.end());
-        if (!HttpWriter.plain(status, retryAfterUs, last, out)) {
+        if (!HttpWriter.emptyResponse(status, retryAfterUs, last, out)) {
             loop.soon(this::close);
             return;
         }
--- a/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
@@ -81,7 +81,7 @@
      */
     public boolean call(long name, double amount, long timeToLiveMs) {
         int before = out.size();
-        if (!CounterProtocol.call(name, amount, timeToLiveMs, out)) {
+        if (!CounterProtocol.writeCall(name, amount, timeToLiveMs, out)) {
             return false;
         }
         if (pending.isEmpty()) {
