--- a/src/main/java/hopdrum/fleet/Fleet.java
+++ b/src/main/java/hopdrum/fleet/Fleet.java
@@ -62,7 +62,8 @@
                 return objection;
             }
             synchronized (Fleet.this) {
-                Member known = membership.failureDetector().known(hello.who().name());
+                Member known =
+                        membership.failureDetector().latestStart(hello.who().name());
                 boolean sameStart =
                         known != null && known.start() == hello.who().start();
                 return sameStart && !known.equals(hello.who()) ? "the name is another's" : null;
@@ -301,7 +302,7 @@
     /** On the vote writer's thread, once a vote is on disk. */
     private synchronized void voteWritten(Runnable then) {
         if (!closed) {
-            membership.viewConsensus().kept(then, nowUs());
+            membership.viewConsensus().onDurable(then, nowUs());
             publishAndSend();
         }
     }
--- a/src/main/java/hopdrum/fleet/FleetFile.java
+++ b/src/main/java/hopdrum/fleet/FleetFile.java
@@ -2,6 +2,7 @@
 
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.ShardAssignment;
+import hopdrum.fleet.view.FleetTiming;
 import java.io.IOException;
 import java.io.StringReader;
 import java.nio.file.Files;
--- a/src/main/java/hopdrum/fleet/FleetStatusLog.java
+++ b/src/main/java/hopdrum/fleet/FleetStatusLog.java
@@ -55,7 +55,7 @@
         }
         statusUs = nowUs;
         View view = membership.viewConsensus().view();
-        long alive = membership.failureDetector().believed().values().stream()
+        long alive = membership.failureDetector().states().values().stream()
                 .filter(s -> s == State.ALIVE)
                 .count();
         log.event(
--- a/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
@@ -1,6 +1,5 @@
 package hopdrum.fleet.shards;
 
-import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.message.AgreementProposal;
 import hopdrum.fleet.message.GossipUpdate.State;
 import hopdrum.fleet.message.Member;
@@ -10,9 +9,10 @@
 import hopdrum.fleet.message.View;
 import hopdrum.fleet.view.DecisionLog;
 import hopdrum.fleet.view.FailureDetector;
+import hopdrum.fleet.view.FleetTiming;
 import hopdrum.fleet.view.Leases;
 import hopdrum.fleet.view.MessageSender;
-import hopdrum.fleet.view.ShardAssigner;
+import hopdrum.fleet.view.ShardProtocol;
 import hopdrum.host.ShardOwnership;
 import java.util.ArrayList;
 import java.util.List;
@@ -28,7 +28,7 @@
  * who owns what, and says what this front door may act on. Not thread-safe. Times are microseconds of one monotonic clock;
  * agreements alone are by the wall clock.
  */
-public final class ShardCoordinator implements ShardAssigner {
+public final class ShardCoordinator implements ShardProtocol {
     private static final int TOLD = 3; // peers that are told of offers, each period
     private static final int OPENED_PERIODS = 5;
     private static final int TELL_TAKERS_PERIODS = 3;
@@ -74,7 +74,8 @@
     }
 
     /** Whom this member believes to be there. */
-    public void watches(FailureDetector who) {
+    @Override
+    public void setFailureDetector(FailureDetector who) {
         reach = who;
     }
 
@@ -85,7 +86,7 @@
     // ---- What the council asks ----
 
     @Override
-    public ShardAssignment next(View before, List<Member> members) {
+    public ShardAssignment nextAssignment(View before, List<Member> members) {
         Set<String> present = new TreeSet<>();
         members.forEach(m -> present.add(m.operator()));
         long now = wallMs.getAsLong();
@@ -112,7 +113,7 @@
     }
 
     @Override
-    public void settled(View now, long nowUs) {
+    public void onViewSettled(View now, long nowUs) {
         View before = view;
         view = now;
         ownership.adopted(now, nowUs);
@@ -165,15 +166,18 @@
 
     // ---- What peers say ----
 
-    public void heard(Member from, long era, long number) {
+    @Override
+    public void onPeerView(Member from, long era, long number) {
         ownership.heard(from, era, number);
     }
 
-    public void heard(Member from, Message.AgreementProposals said, long nowUs) {
+    @Override
+    public void onAgreementProposals(Member from, Message.AgreementProposals said, long nowUs) {
         negotiation.heard(from, said, nowUs);
     }
 
-    public void heard(Member from, Message.ShardsHandedOver said, long nowUs) {
+    @Override
+    public void onShardsHandedOver(Member from, Message.ShardsHandedOver said, long nowUs) {
         if (from.operator().equals(self.operator())) {
             ownership.heard(said, nowUs);
         }
@@ -181,6 +185,7 @@
 
     // ---- In the course of time ----
 
+    @Override
     public void tick(long nowUs) {
         for (Member m : reach.left()) {
             ownership.left(m);
--- a/src/main/java/hopdrum/fleet/shards/ShardLeases.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardLeases.java
@@ -1,6 +1,5 @@
 package hopdrum.fleet.shards;
 
-import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.message.PartnerAgreement;
@@ -8,6 +7,7 @@
 import hopdrum.fleet.message.ShardAssignment;
 import hopdrum.fleet.message.ShardAssignment.Move;
 import hopdrum.fleet.message.View;
+import hopdrum.fleet.view.FleetTiming;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -63,7 +63,7 @@
     /** How long after its last word to the fleet a front door may still act, and any clock's drift. */
     private long spanUs(long aloneUs) {
         long us = Math.max(timing.leaseUs(), aloneUs);
-        return us + us * 2 * FleetTiming.MOST_DRIFT / 100;
+        return us + us * 2 * FleetTiming.MAX_CLOCK_DRIFT_PERCENT / 100;
     }
 
     long aloneUs() {
--- a/src/main/java/hopdrum/fleet/view/DecisionLog.java
+++ b/src/main/java/hopdrum/fleet/view/DecisionLog.java
@@ -1,6 +1,12 @@
 package hopdrum.fleet.view;
 
-/** Who is told what was decided, for the log: an event and pairs of key and value. */
+/** Records what a member decided. Implementations must not block: events are logged under the lock of {@link Membership}. */
 public interface DecisionLog {
+    /**
+     * Records one decision.
+     *
+     * @param event the event's name
+     * @param pairs keys and values by turns; each key is a string
+     */
     void event(String event, Object... pairs);
 }
--- /dev/null
+++ b/src/main/java/hopdrum/fleet/view/FullStateExchanges.java
@@ -0,0 +1,106 @@
+package hopdrum.fleet.view;
+
+import hopdrum.fleet.message.GossipUpdate.State;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.SplittableRandom;
+
+/**
+ * Anti-entropy: exchanges of full state with random peers, which mend what gossip has missed, and with seeds and the dead,
+ * which join halves that have declared each other dead.
+ */
+final class FullStateExchanges {
+    private static final int EXCHANGE_PERIODS = 10;
+    private static final int FULL_RATE_MEMBERS = 16; // in larger fleets exchanges are rarer: their bytes stay flat
+    private static final int REJOIN_PERIODS = 3; // between two tries to reach a seed or one of the dead
+    private static final int LEAVE_FANOUT = 5; // peers that are told of a departure at once
+
+    private final String selfAddress;
+    private final List<String> seeds;
+    private final FleetTiming timing;
+    private final SplittableRandom random;
+    private final PeerTable peers;
+    private final LocalMember local;
+    private final SwimMessenger messenger;
+    private long nextExchangeUs;
+    private long nextRejoinUs;
+
+    FullStateExchanges(
+            MemberContext context,
+            List<String> seeds,
+            PeerTable peers,
+            LocalMember local,
+            SwimMessenger messenger,
+            long nowUs) {
+        this.selfAddress = context.self().address();
+        this.seeds = List.copyOf(seeds);
+        this.timing = context.timing();
+        this.random = context.random();
+        this.peers = peers;
+        this.local = local;
+        this.messenger = messenger;
+        this.nextExchangeUs = nowUs;
+        this.nextRejoinUs = nowUs;
+    }
+
+    void tick(long nowUs) {
+        if (nowUs >= nextExchangeUs) {
+            nextExchangeUs = nowUs + exchangeIntervalUs();
+            for (Peer peer : peers.sample(1, Peer::isPresent)) {
+                messenger.exchangeFullState(peer.address(), false);
+            }
+        }
+        if (nowUs >= nextRejoinUs) {
+            nextRejoinUs = nowUs + randomAround(REJOIN_PERIODS * timing.periodUs());
+            tryRejoin();
+        }
+    }
+
+    private long exchangeIntervalUs() {
+        int slowdown = Math.max(1, peers.presentCount() / FULL_RATE_MEMBERS);
+        return randomAround(EXCHANGE_PERIODS * timing.periodUs() * slowdown);
+    }
+
+    /** From half to one and a half times the mean: members do not fall into step. */
+    private long randomAround(long meanUs) {
+        return meanUs / 2 + random.nextLong(meanUs);
+    }
+
+    /** Never given up: a cut between two halves may last long, and so may the wait for the first seed. */
+    private void tryRejoin() {
+        List<String> missing = missingAddresses();
+        if (!missing.isEmpty() && !local.isLeaving()) {
+            messenger.exchangeFullState(missing.get(random.nextInt(missing.size())), false);
+        }
+    }
+
+    private List<String> missingAddresses() {
+        Set<String> present = new HashSet<>();
+        for (Peer peer : peers.all()) {
+            if (peer.isPresent()) {
+                present.add(peer.address());
+            }
+        }
+        List<String> missing = new ArrayList<>();
+        for (String seed : seeds) {
+            if (!present.contains(seed) && !seed.equals(selfAddress)) {
+                missing.add(seed);
+            }
+        }
+        for (Peer peer : peers.all()) {
+            if (peer.is(State.DEAD) && !present.contains(peer.address())) {
+                missing.add(peer.address());
+            }
+        }
+        return missing;
+    }
+
+    /** Tells some peers at once that this member leaves; gossip tells the others. */
+    void announceDeparture() {
+        for (Peer peer : peers.sample(LEAVE_FANOUT, Peer::isPresent)) {
+            messenger.exchangeFullState(peer.address(), true);
+        }
+    }
+}
--- a/src/main/java/hopdrum/fleet/view/Leases.java
+++ b/src/main/java/hopdrum/fleet/view/Leases.java
@@ -1,6 +1,5 @@
 package hopdrum.fleet.view;
 
-import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.message.View;
@@ -54,9 +53,10 @@
     void settled(View now, long nowUs, boolean follows) {
         boolean wasIn = view.has(self);
         if (follows && wasIn) {
-            former.add(new Claim(view, nowUs + timing.lapseUs()));
+            former.add(new Claim(view, nowUs + timing.leaseLapseUs()));
         } else {
-            gapUntilUs = nowUs + timing.lapseUs(); // in the views not seen others may have had more than is known here
+            gapUntilUs =
+                    nowUs + timing.leaseLapseUs(); // in the views not seen others may have had more than is known here
             former.clear();
         }
         if (!follows || !wasIn || !now.has(self)) {
--- a/src/main/java/hopdrum/fleet/view/Membership.java
+++ b/src/main/java/hopdrum/fleet/view/Membership.java
@@ -1,10 +1,8 @@
 package hopdrum.fleet.view;
 
-import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.latency.LatencyMap;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
-import hopdrum.fleet.shards.ShardCoordinator;
 import hopdrum.fleet.store.Store.DurableState;
 import java.util.Collections;
 import java.util.List;
@@ -26,7 +24,7 @@
     private final ViewConsensus viewConsensus;
     private final LatencyMap latency;
     private final MessageSender out;
-    private final ShardCoordinator partners; // null where nothing is divided
+    private final ShardProtocol partners; // null where nothing is divided
     private long nextLatencyUs;
     private long tickedUs;
     private long outUntilUs = Long.MIN_VALUE / 2;
@@ -41,8 +39,8 @@
             FleetTiming timing,
             SplittableRandom random,
             MessageSender out,
-            ViewConsensus.DurableStateWriter keeper,
-            ShardCoordinator partners,
+            DurableStateWriter keeper,
+            ShardProtocol partners,
             DecisionLog log,
             long nowUs) {
         this.self = self;
@@ -51,10 +49,11 @@
         this.log = log;
         this.out = out;
         latency = new LatencyMap(self, timing.periodUs());
-        failureDetector = new FailureDetector(self, seeds, timing, random, out, log, latency::sampled, nowUs);
+        failureDetector =
+                new FailureDetector(new MemberContext(self, timing, random, out, log), seeds, latency::sampled, nowUs);
         this.partners = partners;
         if (partners != null) {
-            partners.watches(failureDetector);
+            partners.setFailureDetector(failureDetector);
         }
         viewConsensus = new ViewConsensus(
                 self,
@@ -65,7 +64,7 @@
                 out,
                 failureDetector,
                 keeper,
-                partners == null ? ShardAssigner.NONE : partners,
+                partners == null ? ShardProtocol.NONE : partners,
                 log,
                 nowUs);
     }
@@ -141,13 +140,13 @@
             return;
         }
         if (message instanceof Message.Ping m) {
-            failureDetector.heard(from, m, nowUs);
+            failureDetector.onPing(from, m, nowUs);
             has(from, m.era(), m.number(), nowUs);
         } else if (message instanceof Message.Ack m) {
-            failureDetector.heard(from, m, nowUs);
+            failureDetector.onAck(from, m, nowUs);
             has(from, m.era(), m.number(), nowUs);
         } else if (message instanceof Message.PingRequest m) {
-            failureDetector.heard(from, m, nowUs);
+            failureDetector.onPingRequest(from, m, nowUs);
         } else if (message instanceof Message.LatencyExchange m) {
             latency.heard(m.readings(), nowUs);
             if (m.answer() && nowUs - tickedUs < timing.periodUs()) { // no pause of ours in it
@@ -156,9 +155,9 @@
                 out.send(from.address(), new Message.LatencyExchange(m.seq(), true, latency.readings(nowUs)));
             }
         } else if (message instanceof Message.Nack m) {
-            failureDetector.heard(from, m, nowUs);
+            failureDetector.onNack(from, m, nowUs);
         } else if (message instanceof Message.FullStateExchange m) {
-            failureDetector.heard(from, m, nowUs);
+            failureDetector.onFullStateExchange(from, m, nowUs);
             has(from, m.era(), m.number(), nowUs);
         } else if (message instanceof Message.NameTaken m) {
             taken(m, nowUs);
@@ -175,12 +174,12 @@
         } else if (message instanceof Message.ViewSettled m) {
             viewConsensus.heard(from, m, nowUs);
             if (partners != null) {
-                partners.heard(from, m.view().era(), m.view().number()); // who tells of a view holds it
+                partners.onPeerView(from, m.view().era(), m.view().number()); // who tells of a view holds it
             }
         } else if (message instanceof Message.AgreementProposals m && partners != null) {
-            partners.heard(from, m, nowUs);
+            partners.onAgreementProposals(from, m, nowUs);
         } else if (message instanceof Message.ShardsHandedOver m && partners != null) {
-            partners.heard(from, m, nowUs);
+            partners.onShardsHandedOver(from, m, nowUs);
         } else if (message instanceof Message.SettledViewRequest m) {
             viewConsensus.heard(from, m, nowUs);
         } else if (message instanceof Message.Renew m) {
@@ -196,7 +195,7 @@
     private void has(Member from, long era, long number, long nowUs) {
         viewConsensus.peerHas(from, era, number, nowUs);
         if (partners != null) {
-            partners.heard(from, era, number);
+            partners.onPeerView(from, era, number);
         }
     }
 
--- /dev/null
+++ b/src/main/java/hopdrum/fleet/view/Peer.java
@@ -0,0 +1,114 @@
+package hopdrum.fleet.view;
+
+import hopdrum.fleet.message.GossipUpdate;
+import hopdrum.fleet.message.GossipUpdate.State;
+import hopdrum.fleet.message.Member;
+import java.util.HashSet;
+import java.util.Set;
+
+/** The failure detector's state of one other member: its latest known start, incarnation and suspicion. */
+final class Peer {
+    private static final long NEVER = Long.MIN_VALUE / 2;
+
+    private Member member;
+    private long incarnation;
+    private State state;
+    private long stateSinceUs;
+    private long lastHeardUs = NEVER;
+    private long nextCheckUs;
+    private final Set<String> accusers = new HashSet<>(2); // of the present suspicion; cleared with each state change
+
+    Peer(GossipUpdate first, long nowUs) {
+        member = first.about();
+        apply(first, nowUs);
+    }
+
+    /** Takes over an update's incarnation and state; the caller has checked that it supersedes the present ones. */
+    void apply(GossipUpdate update, long nowUs) {
+        incarnation = update.incarnation();
+        state = update.state();
+        stateSinceUs = nowUs;
+        nextCheckUs = nowUs;
+        accusers.clear();
+        if (state == State.SUSPECT) {
+            accusers.add(update.by());
+        }
+    }
+
+    /** The name has been started anew: nothing has been heard from that start yet. */
+    void replaceStart(Member laterStart) {
+        member = laterStart;
+        lastHeardUs = NEVER;
+    }
+
+    /** Counts another accuser of the present suspicion; false if it is known, or if enough have confirmed. */
+    boolean addAccuser(String name) {
+        return accusers.size() <= SuspicionTimeout.MAX_CONFIRMATIONS && accusers.add(name);
+    }
+
+    /** How many others have confirmed the present suspicion, beside the first accuser. */
+    int confirmations() {
+        return accusers.size() - 1;
+    }
+
+    /** The present state as gossip; of a suspicion, by one of its accusers, else by the observer itself. */
+    GossipUpdate toUpdate(String observer) {
+        return toUpdateBy(accusers.isEmpty() ? observer : accusers.iterator().next());
+    }
+
+    GossipUpdate toUpdateBy(String by) {
+        return new GossipUpdate(member, incarnation, state, by);
+    }
+
+    Member member() {
+        return member;
+    }
+
+    String address() {
+        return member.address();
+    }
+
+    long incarnation() {
+        return incarnation;
+    }
+
+    State state() {
+        return state;
+    }
+
+    boolean is(State other) {
+        return state == other;
+    }
+
+    /** Alive or suspected: not yet dropped. */
+    boolean isPresent() {
+        return state == State.ALIVE || state == State.SUSPECT;
+    }
+
+    long stateSinceUs() {
+        return stateSinceUs;
+    }
+
+    /** A suspicion's timeout begins anew. */
+    void restartSuspicion(long nowUs) {
+        stateSinceUs = nowUs;
+    }
+
+    /** When this start last sent a message to this member itself. */
+    long lastHeardUs() {
+        return lastHeardUs;
+    }
+
+    void heard(long nowUs) {
+        lastHeardUs = nowUs;
+    }
+
+    /** When a suspect may be checked by this member again. */
+    long nextCheckUs() {
+        return nextCheckUs;
+    }
+
+    void scheduleCheck(long atUs) {
+        nextCheckUs = atUs;
+    }
+}
--- /dev/null
+++ b/src/main/java/hopdrum/fleet/view/PeerUpdates.java
@@ -0,0 +1,192 @@
+package hopdrum.fleet.view;
+
+import hopdrum.fleet.message.GossipUpdate;
+import hopdrum.fleet.message.GossipUpdate.State;
+import hopdrum.fleet.message.Member;
+import hopdrum.fleet.message.View;
+import java.util.List;
+
+/**
+ * Decides which updates about peers are taken over: by SWIM's precedence of incarnations and states, and by the rule that a
+ * name belongs to one process at a time. What is taken over is logged and disseminated.
+ */
+final class PeerUpdates {
+    private static final int NAME_HELD_ROUNDS = 2; // rounds of probes in which a live holder of its name is heard from
+
+    /** Is notified before a known peer changes its state. */
+    interface StateChangeListener {
+        void onStateChange(Peer peer, State next);
+    }
+
+    private final Member self;
+    private final FleetTiming timing;
+    private final DecisionLog log;
+    private final PeerTable peers;
+    private final LocalMember local;
+    private final GossipQueue gossip;
+    private final SuspicionTimeout suspicionTimeout;
+    private final StateChangeListener listener;
+
+    PeerUpdates(
+            MemberContext context,
+            PeerTable peers,
+            LocalMember local,
+            GossipQueue gossip,
+            StateChangeListener listener) {
+        this.self = context.self();
+        this.timing = context.timing();
+        this.log = context.log();
+        this.peers = peers;
+        this.local = local;
+        this.gossip = gossip;
+        this.suspicionTimeout = new SuspicionTimeout(timing);
+        this.listener = listener;
+    }
+
+    /** A message came from that start itself; null if the name is this member's own, or if another start holds it. */
+    Peer onMessageFrom(Member from, long nowUs) {
+        apply(new GossipUpdate(from, 0, State.ALIVE, from.name()), nowUs);
+        Peer peer = peers.get(from.name());
+        if (peer != null && peer.member().is(from)) {
+            peer.heard(nowUs);
+        }
+        return peer;
+    }
+
+    /** Members of a settled view are known even if no gossip has named them. */
+    void addMembers(View settled, long nowUs) {
+        for (Member member : settled.members()) {
+            if (!peers.contains(member.name())) {
+                apply(new GossipUpdate(member, 0, State.ALIVE, self.name()), nowUs);
+            }
+        }
+    }
+
+    void applyAll(List<GossipUpdate> updates, long nowUs) {
+        for (GossipUpdate update : updates) {
+            apply(update, nowUs);
+        }
+    }
+
+    private void apply(GossipUpdate update, long nowUs) {
+        Member about = update.about();
+        if (about.name().equals(self.name())) {
+            local.onUpdate(update);
+            return;
+        }
+        Peer peer = peers.get(about.name());
+        if (peer == null) {
+            addUnknown(update, nowUs);
+        } else if (about.start() != peer.member().start()) {
+            applyToOtherStart(peer, update, nowUs);
+        } else if (peer.is(State.LEFT) || !about.is(peer.member())) {
+            return; // who left does not come back under the same start; the same start cannot be two voters
+        } else if (supersedes(update, peer)) {
+            changeState(peer, update, nowUs);
+        } else if (accusesAgain(update, peer) && peer.addAccuser(update.by())) {
+            gossip.enqueue(update);
+        }
+    }
+
+    private void addUnknown(GossipUpdate update, long nowUs) {
+        if (update.state() == State.ALIVE || update.state() == State.SUSPECT) { // else a forgotten one would come back
+            Peer peer = new Peer(update, nowUs);
+            peers.add(peer);
+            announce(peer, update.by());
+        }
+    }
+
+    private void applyToOtherStart(Peer peer, GossipUpdate update, long nowUs) {
+        boolean later = update.about().start() > peer.member().start();
+        if (later && !holdsItsName(peer, update, nowUs)) {
+            peer.replaceStart(update.about());
+            changeState(peer, update, nowUs);
+        }
+    }
+
+    /** Guards against two processes of one name: while the first is heard from, a later start elsewhere is no restart. */
+    private boolean holdsItsName(Peer holder, GossipUpdate later, long nowUs) {
+        boolean elsewhere = !later.about().address().equals(holder.address());
+        long roundUs = timing.periodUs() * Math.max(1, peers.presentCount());
+        boolean heardFrom = holder.is(State.ALIVE) && nowUs - holder.lastHeardUs() < NAME_HELD_ROUNDS * roundUs;
+        return elsewhere && heardFrom && later.state() != State.LEFT;
+    }
+
+    private static boolean supersedes(GossipUpdate update, Peer peer) {
+        return update.incarnation() > peer.incarnation()
+                || (update.incarnation() == peer.incarnation()
+                        && precedence(update.state()) > precedence(peer.state()));
+    }
+
+    /** Of two updates of one incarnation the one of higher precedence holds. */
+    private static int precedence(State state) {
+        return switch (state) {
+            case ALIVE -> 0;
+            case SUSPECT -> 1;
+            case DEAD -> 2;
+            case LEFT -> 3;
+        };
+    }
+
+    private static boolean accusesAgain(GossipUpdate update, Peer peer) {
+        return update.incarnation() == peer.incarnation() && update.state() == State.SUSPECT && peer.is(State.SUSPECT);
+    }
+
+    /** This member's own probes of the peer have failed: accuses it, or confirms an accusation. */
+    void suspect(Peer peer, long nowUs) {
+        GossipUpdate accusation = new GossipUpdate(peer.member(), peer.incarnation(), State.SUSPECT, self.name());
+        if (peer.is(State.ALIVE)) {
+            changeState(peer, accusation, nowUs);
+        } else if (peer.addAccuser(self.name())) {
+            gossip.enqueue(accusation);
+        }
+    }
+
+    /** Declares suspects dead whose timeout has passed, and forgets those long dead or departed. */
+    void tick(long nowUs) {
+        for (Peer peer : peers.snapshot()) {
+            if (peer.is(State.SUSPECT) && nowUs >= suspicionTimeout.deadlineUs(peer, peers.presentCount())) {
+                GossipUpdate death = new GossipUpdate(peer.member(), peer.incarnation(), State.DEAD, self.name());
+                changeState(peer, death, nowUs);
+            } else if (!peer.isPresent() && nowUs - peer.stateSinceUs() > timing.forgetUs()) {
+                peers.remove(peer);
+                gossip.remove(peer.member().name());
+            }
+        }
+    }
+
+    /** This member was paused: a suspect may have refuted meanwhile, and gets its time again. */
+    void restartSuspicions(long nowUs) {
+        for (Peer peer : peers.all()) {
+            if (peer.is(State.SUSPECT)) {
+                peer.restartSuspicion(nowUs);
+            }
+        }
+    }
+
+    private void changeState(Peer peer, GossipUpdate update, long nowUs) {
+        listener.onStateChange(peer, update.state());
+        boolean wasSuspect = peer.is(State.SUSPECT);
+        peer.apply(update, nowUs);
+        boolean ownWord = update.by().equals(self.name());
+        if (!(wasSuspect && update.state() == State.ALIVE && ownWord)) {
+            announce(peer, update.by());
+        }
+    }
+
+    private void announce(Peer peer, String by) {
+        log.event(
+                "member",
+                "who",
+                peer.member().name(),
+                "its_start",
+                peer.member().start(),
+                "state",
+                peer.state().name(),
+                "by",
+                by,
+                "incarnation",
+                peer.incarnation());
+        gossip.enqueue(peer.toUpdateBy(by));
+    }
+}
--- a/src/main/java/hopdrum/fleet/view/ShardAssigner.java
+++ b/src/main/java/hopdrum/fleet/view/ShardAssigner.java
@@ -5,30 +5,34 @@
 import hopdrum.fleet.message.View;
 import java.util.List;
 
-/** What is settled along with a view's members, by a rule that is the same at all of them. */
+/**
+ * Decides the shard assignment that is settled along with a view's members, by a rule that all members share. Called under
+ * the lock of {@link Membership}.
+ */
 public interface ShardAssigner {
-    /** What goes along with the next view of these members; null where nothing is divided. */
-    ShardAssignment next(View before, List<Member> members);
+    /**
+     * The assignment to propose along with the next view.
+     *
+     * @param before the present settled view
+     * @param members the next view's members, sorted by name
+     * @return the assignment; null in a fleet without shards
+     */
+    ShardAssignment nextAssignment(View before, List<Member> members);
 
-    /** Null if a view that is proposed divides by the rule, else what does not. */
+    /**
+     * Checks a proposed view's assignment against the rule, before this member votes for it.
+     *
+     * @param before the present settled view
+     * @param proposed the view that is to follow it
+     * @return null if the assignment follows the rule, else what is wrong with it, for the log
+     */
     String objection(View before, View proposed);
 
-    /** A view is settled here from now on. */
-    void settled(View view, long nowUs);
-
-    /** Where nothing is divided. */
-    ShardAssigner NONE = new ShardAssigner() {
-        @Override
-        public ShardAssignment next(View before, List<Member> members) {
-            return null;
-        }
-
-        @Override
-        public String objection(View before, View proposed) {
-            return proposed.division() == null ? null : "nothing is divided in this fleet";
-        }
-
-        @Override
-        public void settled(View view, long nowUs) {}
-    };
+    /**
+     * A view has been settled.
+     *
+     * @param view the view that this member holds from now on
+     * @param nowUs monotonic time, microseconds
+     */
+    void onViewSettled(View view, long nowUs);
 }
--- a/src/main/java/hopdrum/fleet/view/ViewConsensus.java
+++ b/src/main/java/hopdrum/fleet/view/ViewConsensus.java
@@ -1,6 +1,5 @@
 package hopdrum.fleet.view;
 
-import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.message.Ballot;
 import hopdrum.fleet.message.GossipUpdate.State;
 import hopdrum.fleet.message.Member;
@@ -27,11 +26,6 @@
  * others 2018). A vote is kept before it is given. Not thread-safe. Times are microseconds of one monotonic clock.
  */
 public final class ViewConsensus {
-    /** Keeps what must outlast a restart, in the order given; what is to be done then is done once it is kept, or never. */
-    public interface DurableStateWriter {
-        void write(DurableState kept, Runnable then);
-    }
-
     private static final int STILL_PERIODS = 1; // before a change is proposed
     private static final int BATCH_PERIODS = 6; // the longest that a change waits for suspicions to be decided
     private static final int LEAST_PATIENCE =
@@ -102,10 +96,10 @@
         this.accepted = kept == null ? null : kept.accepted();
         this.highestRound = promised.round();
         this.leases = new Leases(self, timing, out, log, nowUs);
-        failureDetector.learn(view, nowUs);
+        failureDetector.onViewSettled(view, nowUs);
         leases.settled(view, nowUs, false);
         if (view.era() > 0) {
-            dividing.settled(view, nowUs);
+            dividing.onViewSettled(view, nowUs);
             logView("kept");
         }
     }
@@ -141,7 +135,7 @@
             founders.forEach(name -> addKnown(voters, name));
         } else {
             for (Member m : view.members()) {
-                Member known = failureDetector.known(m.name());
+                Member known = failureDetector.latestStart(m.name());
                 voters.add(known != null && known.voter() == m.voter() ? known : m);
             }
         }
@@ -149,7 +143,7 @@
     }
 
     private void addKnown(List<Member> to, String name) {
-        Member known = failureDetector.known(name);
+        Member known = failureDetector.latestStart(name);
         if (known != null) {
             to.add(known);
         }
@@ -190,7 +184,7 @@
      */
     private boolean isChair() {
         for (Member m : voters()) {
-            if (failureDetector.state(m.name()) == State.ALIVE && m.is(failureDetector.known(m.name()))) {
+            if (failureDetector.state(m.name()) == State.ALIVE && m.is(failureDetector.latestStart(m.name()))) {
                 return m.name().equals(self.name());
             }
         }
@@ -201,7 +195,7 @@
     private void look(long nowUs) {
         List<Member> now = view.era() == 0 ? founding() : wantedNow(nowUs);
         boolean chair = isChair();
-        ShardAssignment next = chair && now != null ? dividing.next(view, now) : view.division();
+        ShardAssignment next = chair && now != null ? dividing.nextAssignment(view, now) : view.division();
         boolean divides = next != null && !next.isLike(view.division());
         if (now == null || (sameStarts(now, view.members()) && !divides)) {
             wanted = null;
@@ -228,7 +222,7 @@
     private List<Member> founding() {
         List<Member> all = new ArrayList<>();
         for (String name : founders) {
-            Member known = failureDetector.known(name);
+            Member known = failureDetector.latestStart(name);
             if (known == null || failureDetector.state(name) != State.ALIVE) {
                 return null;
             }
@@ -240,7 +234,7 @@
     private List<Member> wantedNow(long nowUs) {
         List<Member> next = new ArrayList<>();
         for (Member m : view.members()) {
-            Member known = failureDetector.known(m.name());
+            Member known = failureDetector.latestStart(m.name());
             State state = failureDetector.state(m.name());
             boolean later = known != null && known.start() > m.start();
             if (later && state == State.ALIVE) {
@@ -252,7 +246,8 @@
         for (Member m : failureDetector.present()) {
             if (view.named(m.name()) == null
                     && failureDetector.state(m.name()) == State.ALIVE
-                    && (m.is(self) || nowUs - failureDetector.sinceUs(m.name()) >= STILL_PERIODS * timing.periodUs())) {
+                    && (m.is(self)
+                            || nowUs - failureDetector.stateSinceUs(m.name()) >= STILL_PERIODS * timing.periodUs())) {
                 next.add(m);
             }
         }
@@ -443,7 +438,7 @@
     }
 
     /** Goes on with what waited for a write of this member's own: its own vote may be the one that was missing. */
-    public void kept(Runnable then, long nowUs) {
+    public void onDurable(Runnable then, long nowUs) {
         then.run();
         drain(nowUs);
     }
@@ -465,7 +460,7 @@
     /** A peer has named its settled view: one that is behind asks, and one that is ahead tells. */
     public void peerHas(Member from, long era, long number, long nowUs) {
         boolean ahead = era > view.era() || (era == view.era() && number > view.number());
-        if (ahead && nowUs - askedUs > timing.pingUs()) {
+        if (ahead && nowUs - askedUs > timing.ackTimeoutUs()) {
             askedUs = nowUs;
             reply(from, new Message.SettledViewRequest(view.era(), view.number()));
         } else if (view.era() > 0 && (era < view.era() || number < view.number()) && !ahead) {
@@ -502,9 +497,9 @@
             superseded = true;
             log.event("superseded", "by", mine.start());
         }
-        failureDetector.learn(view, nowUs);
+        failureDetector.onViewSettled(view, nowUs);
         leases.settled(view, nowUs, follows);
-        dividing.settled(view, nowUs);
+        dividing.onViewSettled(view, nowUs);
     }
 
     private void logView(String how) {
--- a/src/rig/java/hopdrum/rig/swarm/Measure.java
+++ b/src/rig/java/hopdrum/rig/swarm/Measure.java
@@ -1,6 +1,6 @@
 package hopdrum.rig.swarm;
 
-import hopdrum.fleet.FleetTiming;
+import hopdrum.fleet.view.FleetTiming;
 import hopdrum.rig.swarm.Swarm.Node;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/rig/java/hopdrum/rig/swarm/MeasureMap.java
+++ b/src/rig/java/hopdrum/rig/swarm/MeasureMap.java
@@ -1,9 +1,9 @@
 package hopdrum.rig.swarm;
 
-import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.latency.LatencyMap.Way;
 import hopdrum.fleet.message.LatencyReading;
 import hopdrum.fleet.message.Message;
+import hopdrum.fleet.view.FleetTiming;
 import hopdrum.rig.swarm.Swarm.Node;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/rig/java/hopdrum/rig/swarm/MeasureShards.java
+++ b/src/rig/java/hopdrum/rig/swarm/MeasureShards.java
@@ -1,10 +1,10 @@
 package hopdrum.rig.swarm;
 
-import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.message.PartnerAgreement;
 import hopdrum.fleet.message.PartnerAgreement.Party;
 import hopdrum.fleet.message.ShardAssignment;
 import hopdrum.fleet.shards.Terms;
+import hopdrum.fleet.view.FleetTiming;
 import hopdrum.rig.swarm.Swarm.Node;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/rig/java/hopdrum/rig/swarm/Swarm.java
+++ b/src/rig/java/hopdrum/rig/swarm/Swarm.java
@@ -1,6 +1,5 @@
 package hopdrum.rig.swarm;
 
-import hopdrum.fleet.FleetTiming;
 import hopdrum.fleet.message.Codec;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
@@ -9,8 +8,9 @@
 import hopdrum.fleet.shards.ShardTable;
 import hopdrum.fleet.shards.Terms;
 import hopdrum.fleet.store.Store.DurableState;
+import hopdrum.fleet.view.DurableStateWriter;
+import hopdrum.fleet.view.FleetTiming;
 import hopdrum.fleet.view.Membership;
-import hopdrum.fleet.view.ViewConsensus;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -173,7 +173,7 @@
         Member self = node.self;
         node.lastNumber = 0;
         node.lastEra = 0;
-        ViewConsensus.DurableStateWriter keeper = (k, then) ->
+        DurableStateWriter keeper = (k, then) ->
                 writes.add(new Write(nowUs + diskUs.applyAsLong(node.name), node, node.membership, k, then));
         node.kept = kept == null
                 ? new DurableState(voter, start, View.NONE, null, null, null)
@@ -232,7 +232,9 @@
         }
         if (event.equals("member") && pairs[5].equals("DEAD") && pairs[7].equals(node.name)) {
             Node of = nodes.get((String) pairs[1]);
-            if (of.isUp() && of.self.start() == (long) pairs[3] && of.pausedUntilUs + timing.suspectUs() <= nowUs) {
+            if (of.isUp()
+                    && of.self.start() == (long) pairs[3]
+                    && of.pausedUntilUs + timing.minSuspicionUs() <= nowUs) {
                 wronglyDropped.merge(of.name, 1, Integer::sum);
             }
         }
@@ -374,7 +376,7 @@
                 continue;
             }
             w.node.kept = w.kept;
-            w.of.viewConsensus().kept(w.then, nowUs);
+            w.of.viewConsensus().onDurable(w.then, nowUs);
         }
     }
 
--- a/src/test/java/hopdrum/fleet/SettledViewsTest.java
+++ b/src/test/java/hopdrum/fleet/SettledViewsTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import hopdrum.fleet.message.View;
+import hopdrum.fleet.view.FleetTiming;
 import hopdrum.rig.swarm.Swarm;
 import hopdrum.rig.swarm.Swarm.Node;
 import java.util.SplittableRandom;
--- a/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
+++ b/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
@@ -9,6 +9,7 @@
 import hopdrum.fleet.message.View;
 import hopdrum.fleet.shards.ShardAssignmentRule;
 import hopdrum.fleet.shards.Terms;
+import hopdrum.fleet.view.FleetTiming;
 import hopdrum.rig.swarm.Swarm;
 import hopdrum.rig.swarm.Swarm.Node;
 import java.util.ArrayList;
