--- a/src/main/java/hopdrum/FleetServer.java
+++ b/src/main/java/hopdrum/FleetServer.java
@@ -1,9 +1,10 @@
 package hopdrum;
 
 import hopdrum.fleet.Fleet;
-import hopdrum.fleet.FleetFile;
-import hopdrum.fleet.TermsFile;
-import hopdrum.fleet.shards.Terms;
+import hopdrum.fleet.config.FleetFile;
+import hopdrum.fleet.config.InvalidFileException;
+import hopdrum.fleet.config.TermsFile;
+import hopdrum.fleet.shards.AgreementTerms;
 import hopdrum.frontdoor.FrontDoor;
 import hopdrum.frontdoor.lifecycle.Server;
 import java.io.IOException;
@@ -15,13 +16,13 @@
 
     static int serve(String configFile, String fleetFile) {
         FleetFile file;
-        Terms terms;
+        AgreementTerms terms;
         long termsMs;
         try {
             file = FleetFile.read(Path.of(fleetFile));
             termsMs = file.terms() == null ? 0 : file.terms().toFile().lastModified(); // before it is read
-            terms = file.terms() == null ? Terms.NONE : TermsFile.read(file.terms());
-        } catch (FleetFile.InvalidFileException | IllegalArgumentException e) {
+            terms = file.terms() == null ? AgreementTerms.NONE : TermsFile.read(file.terms());
+        } catch (InvalidFileException | IllegalArgumentException e) {
             System.err.println("hopdrum serve: the fleet's file cannot be used\n" + e.getMessage());
             return 1;
         }
@@ -35,7 +36,7 @@
                     door.knows(fleet, fleet::zoneLatencies);
                     if (fleet.sharesCustomers()) {
                         door.shares(fleet::shards);
-                        fleet.setDoorListener((tier, there) -> loop.ask(() -> door.partners(tier, there)));
+                        fleet.setPartnerEndpointListener((tier, there) -> loop.ask(() -> door.partners(tier, there)));
                     }
                 }
 
--- a/src/main/java/hopdrum/fleet/Fleet.java
+++ b/src/main/java/hopdrum/fleet/Fleet.java
@@ -1,11 +1,13 @@
 package hopdrum.fleet;
 
+import hopdrum.fleet.config.FleetFile;
 import hopdrum.fleet.link.PeerConnections;
+import hopdrum.fleet.log.FleetLog;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.message.View;
+import hopdrum.fleet.shards.AgreementTerms;
 import hopdrum.fleet.shards.ShardCoordinator;
-import hopdrum.fleet.shards.Terms;
 import hopdrum.fleet.store.Store;
 import hopdrum.fleet.view.Membership;
 import hopdrum.host.QuotaLease;
@@ -16,18 +18,19 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 
 /**
- * This front door's part in its fleet, from start to end: it owns the peer connections, the store and the thread that
- * keeps time, and hands out what was settled as one immutable snapshot. Nothing here waits on the front door's loop, nor
- * that on anything here. Public methods may be called from any thread.
+ * This front door's part in its fleet, from start to end: it owns the peer connections, the store and the timer thread,
+ * and publishes what was settled as immutable snapshots. Nothing here waits on the front door's event loop, nor that on
+ * anything here. Public methods may be called from any thread.
  */
 public final class Fleet implements AutoCloseable, Supplier<QuotaLease> {
-    private static final int TICKS_A_PERIOD = 10;
+    private static final int TICKS_PER_PERIOD = 10;
+    private static final int STACK_BYTES = 256 << 10;
 
     private final FleetFile file;
     private final Member self;
@@ -35,20 +38,16 @@
     private final Store store;
     private final PeerConnections connections;
     private final Membership membership; // under this object's lock
-    private final ShardCoordinator shardCoordinator; // the same; null where no shards are divided
-    private final Deque<PendingSend> pendingSends = new ArrayDeque<>(); // the same; emptied once changes are handed out
-    private final long loopOffsetUs;
+    private final ShardCoordinator shardCoordinator; // the same; null where no shards are shared
+    private final ShardTablePublisher shardTables; // the same
+    private final TermsFileReloader termsReloader; // the same; null also where there is no terms file
+    private final Deque<PendingSend> pendingSends = new ArrayDeque<>(); // the same; emptied by publishAndSend()
     private final Thread tickThread;
     private final VoteWriter voteWriter;
-    private final ZoneLatencyPublisher zoneDistances;
+    private final ZoneLatencyPublisher zoneLatencies;
     private final FleetStatusLog statusLog;
-    private final QuotaLeasePublisher claims;
-    private volatile ShardOwnership shards; // null: nothing is divided yet
-    private Map<String, List<ShardOwnership.PartnerEndpoint>> doors = Map.of();
-    private BiConsumer<Integer, List<ShardOwnership.PartnerEndpoint>> doorListener = (tier, there) -> {};
+    private final QuotaLeasePublisher quotaLeases;
     private boolean leaving;
-    private long termsMs; // when the terms that are followed were written
-    private long termsCheckedUs;
     private volatile boolean closed;
 
     private record PendingSend(String to, Message message) {}
@@ -56,21 +55,22 @@
     /** Admits peers by their hello and takes their messages under the fleet's lock. */
     private final class PeerMessageHandler implements PeerConnections.MessageHandler {
         @Override
-        public String objection(Message.Hello hello) {
-            String objection = PeerAdmission.objectionToFleet(file, hello);
-            if (objection != null) {
-                return objection;
-            }
-            synchronized (Fleet.this) {
-                Member known = membership.failureDetector().known(hello.who().name());
-                boolean sameStart =
-                        known != null && known.start() == hello.who().start();
-                return sameStart && !known.equals(hello.who()) ? "the name is another's" : null;
-            }
+        public Optional<String> rejectionReason(Message.Hello hello) {
+            return PeerAdmission.rejectionReason(file, hello).or(() -> {
+                synchronized (Fleet.this) {
+                    Member known =
+                            membership.failureDetector().known(hello.who().name());
+                    boolean isSameStart =
+                            known != null && known.start() == hello.who().start();
+                    return isSameStart && !known.equals(hello.who())
+                            ? Optional.of("the name is another's")
+                            : Optional.empty();
+                }
+            });
         }
 
         @Override
-        public void heard(Member from, Message message) {
+        public void received(Member from, Message message) {
             synchronized (Fleet.this) {
                 if (!closed) {
                     membership.heard(from, message, nowUs());
@@ -80,45 +80,37 @@
         }
 
         @Override
-        public void turnedDown(String address, String why) {
-            log.limited("refused_by", address + ": " + why);
+        public void rejectedBy(String address, String reason) {
+            log.limited("refused_by", address + ": " + reason);
         }
     }
 
-    private Fleet(FleetFile file, int gateway, long seed, long loopOffsetUs) throws IOException {
+    private Fleet(FleetFile file, long termsMs, int gateway, long seed, long loopOffsetUs) throws IOException {
         this.file = file;
-        this.loopOffsetUs = loopOffsetUs;
         store = new Store(file.store());
         try {
-            Store.DurableState kept = store.read();
-            long start = Math.max(System.currentTimeMillis() * 1000, kept == null ? 0 : kept.lastStart() + 1);
+            Store.DurableState stored = store.read();
+            long start = Math.max(System.currentTimeMillis() * 1000, stored == null ? 0 : stored.lastStart() + 1);
             SplittableRandom random = new SplittableRandom(seed ^ start); // the seed may be another member's too
-            long voter = kept == null ? random.nextLong() | 1 : kept.voter();
+            long voter = stored == null ? random.nextLong() | 1 : stored.voter();
             self = new Member(
                     file.name(), start, voter, file.operator(), file.site(), gateway, file.advertise(), file.serves());
             log = new FleetLog(file.log(), self.name(), self.start());
-            logStart(gateway, kept != null);
-            store.write(stateAtStart(kept, voter, start));
+            logStart(gateway, stored != null);
+            store.write(stateAtStart(stored, voter, start));
             connections = openConnections(random.split());
             shardCoordinator = file.shards() == 0 ? null : newShardCoordinator(random.split());
+            shardTables = shardCoordinator == null
+                    ? null
+                    : new ShardTablePublisher(shardCoordinator, file.operators(), loopOffsetUs);
+            termsReloader = shardCoordinator == null || file.terms() == null ? null : newTermsReloader(termsMs);
             voteWriter = new VoteWriter(store, log, () -> closed, this::voteWritten);
-            membership = new Membership(
-                    self,
-                    file.seeds(),
-                    file.founders(),
-                    kept,
-                    file.timing(),
-                    random.split(),
-                    this::queueSend,
-                    voteWriter::queue,
-                    shardCoordinator,
-                    log::event,
-                    nowUs());
-            tickThread = new Thread(null, this::runTicks, "fleet-view", 256 << 10);
+            membership = newMembership(stored, random.split());
+            tickThread = new Thread(null, this::runTicks, "fleet-view", STACK_BYTES);
             tickThread.setDaemon(true);
-            zoneDistances = new ZoneLatencyPublisher(self.site());
+            zoneLatencies = new ZoneLatencyPublisher(self.site());
             statusLog = new FleetStatusLog(self, log, file.timing().periodUs());
-            claims = new QuotaLeasePublisher(self.operator(), log, loopOffsetUs);
+            quotaLeases = new QuotaLeasePublisher(self.operator(), log, loopOffsetUs);
         } catch (IOException | RuntimeException e) {
             store.close();
             throw e;
@@ -148,11 +140,11 @@
     }
 
     /** What the store holds from this start on: the state read, under this start's number. */
-    private static Store.DurableState stateAtStart(Store.DurableState kept, long voter, long start) {
-        return kept == null
+    private static Store.DurableState stateAtStart(Store.DurableState stored, long voter, long start) {
+        return stored == null
                 ? new Store.DurableState(voter, start, View.NONE, null, null, null)
                 : new Store.DurableState(
-                        voter, start, kept.view(), kept.promised(), kept.acceptedIn(), kept.accepted());
+                        voter, start, stored.view(), stored.promised(), stored.acceptedIn(), stored.accepted());
     }
 
     private PeerConnections openConnections(SplittableRandom random) throws IOException {
@@ -162,11 +154,7 @@
                         file.listen().substring(0, colon),
                         Integer.parseInt(file.listen().substring(colon + 1))),
                 new Message.Hello(
-                        Message.VERSION,
-                        file.fleet(),
-                        file.shards(),
-                        file.shards() == 0 ? 0 : file.mostAloneMs(),
-                        self),
+                        Message.VERSION, file.fleet(), file.shards(), file.shards() == 0 ? 0 : file.maxAloneMs(), self),
                 random,
                 new PeerMessageHandler(),
                 log);
@@ -176,7 +164,7 @@
         return new ShardCoordinator(
                 self,
                 file.shards(),
-                file.mostAloneMs(),
+                file.maxAloneMs(),
                 file.timing(),
                 random,
                 this::queueSend,
@@ -184,24 +172,44 @@
                 System::currentTimeMillis);
     }
 
+    private TermsFileReloader newTermsReloader(long termsMs) {
+        return new TermsFileReloader(
+                file.terms(), shardCoordinator, log, file.timing().periodUs(), termsMs);
+    }
+
+    private Membership newMembership(Store.DurableState stored, SplittableRandom random) {
+        return new Membership(
+                self,
+                file.seeds(),
+                file.founders(),
+                stored,
+                file.timing(),
+                random,
+                this::queueSend,
+                voteWriter::queue,
+                shardCoordinator,
+                log::event,
+                nowUs());
+    }
+
     /**
-     * Starts the fleet's threads. Throws IOException, with one line, where the store, the log or the address cannot be
-     * used.
+     * Starts a fleet member and its threads.
      *
-     * @param terms what this operator wants of its partners, as its file had it at termsMs
+     * @param file the fleet file
+     * @param terms what this operator proposes to its partners, as its terms file had it at termsMs
      * @param termsMs when the terms file was last written, milliseconds of the wall clock; 0 for none
      * @param gateway this front door's number in its operator's tier
      * @param seed seeds this member's random choices, mixed with its start
      * @param loopOffsetUs what the front door's clock is ahead of this machine's monotonic one, microseconds
      * @return the running fleet member; close it to end its threads
-     * @throws IOException where the store, the log or the listening address cannot be used
+     * @throws IOException with one line, where the store, the log or the listening address cannot be used
      */
-    public static Fleet start(FleetFile file, Terms terms, long termsMs, int gateway, long seed, long loopOffsetUs)
+    public static Fleet start(
+            FleetFile file, AgreementTerms terms, long termsMs, int gateway, long seed, long loopOffsetUs)
             throws IOException {
-        Fleet fleet = new Fleet(file, gateway, seed, loopOffsetUs);
-        fleet.termsMs = termsMs;
+        Fleet fleet = new Fleet(file, termsMs, gateway, seed, loopOffsetUs);
         if (fleet.shardCoordinator != null) {
-            fleet.shardCoordinator.follow(terms);
+            fleet.shardCoordinator.updateTerms(terms);
         }
         fleet.connections.start();
         fleet.tickThread.start();
@@ -213,28 +221,32 @@
         return System.nanoTime() / 1000;
     }
 
-    /** What Policy may know of who shares its customers' quotas; never waits. */
+    /**
+     * Returns which gateways share this operator's quotas, and until when this one may claim its share; never waits.
+     *
+     * @return the last quota lease
+     */
     @Override
     public QuotaLease get() {
-        return claims.current();
+        return quotaLeases.current();
     }
 
     /**
-     * Sets the zones that backends stand in, in the settings' order: from now on distances() tells how far they are.
+     * Sets the zones that backends stand in: from now on {@link #zoneLatencies} tells how far they are.
      *
      * @param names zone names, in the order of the settings' backends
      */
     public synchronized void setBackendZones(List<String> names) {
-        zoneDistances.setZones(names);
+        zoneLatencies.setZones(names);
     }
 
     /**
-     * Returns the distance from here to each backend zone; never waits.
+     * Returns the latency from here to each backend zone; never waits.
      *
-     * @return null where the map does not know all zones, or not surely: then nothing is gone by
+     * @return null where the map does not know all zones with confidence: then latency is to be left out of placement
      */
     public ZoneLatencies zoneLatencies() {
-        return zoneDistances.current();
+        return zoneLatencies.current();
     }
 
     /**
@@ -249,31 +261,22 @@
     /**
      * Returns what this front door knows of who owns which shard; never waits.
      *
-     * @return null until something is divided
+     * @return null until shards are assigned
      */
     public ShardOwnership shards() {
-        return shards;
+        return shardTables == null ? null : shardTables.current();
     }
 
     /**
-     * Sets who is told, from a thread of the fleet's, of the front doors that RPCs may be forwarded to: all of a tier's.
-     * It is told of all tiers at once, then of each tier whose front doors change.
+     * Sets who is told, from a thread of the fleet's, of the front doors that RPCs may be forwarded to: of all tiers now,
+     * then of each tier whose front doors change.
      *
-     * @param listener called with the tier (1 for the first operator) and its front doors
+     * @param listener called with the tier (1 for the first operator) and all its front doors
      */
-    public synchronized void setDoorListener(BiConsumer<Integer, List<ShardOwnership.PartnerEndpoint>> listener) {
-        doorListener = listener;
-        notifyChangedDoors(Map.of());
-    }
-
-    /** The tiers whose front doors are others than they were. */
-    private void notifyChangedDoors(Map<String, List<ShardOwnership.PartnerEndpoint>> before) {
-        for (int i = 0; i < file.operators().size(); i++) {
-            List<ShardOwnership.PartnerEndpoint> of =
-                    doors.getOrDefault(file.operators().get(i), List.of());
-            if (!of.equals(before.getOrDefault(file.operators().get(i), List.of()))) {
-                doorListener.accept(i + 1, of);
-            }
+    public synchronized void setPartnerEndpointListener(
+            BiConsumer<Integer, List<ShardOwnership.PartnerEndpoint>> listener) {
+        if (shardTables != null) {
+            shardTables.setListener(listener);
         }
     }
 
@@ -281,27 +284,29 @@
         while (!closed) {
             try {
                 synchronized (this) {
-                    reloadTermsIfChanged();
+                    if (termsReloader != null) {
+                        termsReloader.reloadIfChanged(nowUs());
+                    }
                     membership.tick(nowUs());
                     publishAndSend();
                     statusLog.logStatusIfDue(membership, connections, nowUs());
                     statusLog.logLatencyMapIfDue(membership, nowUs());
-                    if (file.places()) {
-                        zoneDistances.update(membership.latency(), nowUs());
+                    if (file.usesLatencyMap()) {
+                        zoneLatencies.update(membership.latency(), nowUs());
                     }
                 }
                 connections.cutStalled(nowUs());
             } catch (RuntimeException e) { // a fault in one tick must not end all others
                 log.limited("fault", e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?"));
             }
-            pause(file.timing().periodUs() / TICKS_A_PERIOD / 1000);
+            pause(file.timing().periodUs() / TICKS_PER_PERIOD / 1000);
         }
     }
 
     /** On the vote writer's thread, once a vote is on disk. */
-    private synchronized void voteWritten(Runnable then) {
+    private synchronized void voteWritten(Runnable continuation) {
         if (!closed) {
-            membership.viewConsensus().kept(then, nowUs());
+            membership.viewConsensus().kept(continuation, nowUs());
             publishAndSend();
         }
     }
@@ -318,51 +323,23 @@
         pendingSends.add(new PendingSend(to, message));
     }
 
-    /** What may be acted on first, then what peers are told: nobody hears that this member has stopped before it has. */
+    /** Publishes before it sends: no peer learns that this member has stopped before it has. */
     private void publishAndSend() {
-        claims.publishIfChanged(membership, nowUs());
+        quotaLeases.publishIfChanged(membership, nowUs());
         publishShardTable();
-        for (PendingSend s = pendingSends.poll(); s != null; s = pendingSends.poll()) {
-            connections.send(s.to, s.message);
+        for (PendingSend send = pendingSends.poll(); send != null; send = pendingSends.poll()) {
+            connections.send(send.to, send.message);
         }
     }
 
     private void publishShardTable() {
-        if (shardCoordinator == null) {
-            return;
-        }
-        long now = nowUs();
-        shards = shardCoordinator.table(
-                membership.viewConsensus().leases(),
-                file.operators(),
-                leaving || membership.isOut(now),
-                loopOffsetUs,
-                now);
-        Map<String, List<ShardOwnership.PartnerEndpoint>> before = doors;
-        doors = shardCoordinator.doors();
-        notifyChangedDoors(before);
-    }
-
-    /** The operator's terms, read anew once their file is another; one that cannot be used changes nothing. */
-    private void reloadTermsIfChanged() {
-        if (shardCoordinator == null
-                || file.terms() == null
-                || nowUs() - termsCheckedUs < file.timing().periodUs()) {
-            return;
-        }
-        termsCheckedUs = nowUs();
-        long writtenMs = file.terms().toFile().lastModified();
-        if (writtenMs != termsMs && writtenMs != 0) {
-            termsMs = writtenMs;
-            try {
-                shardCoordinator.follow(TermsFile.read(file.terms()));
-            } catch (FleetFile.InvalidFileException e) {
-                log.limited("terms_faulty", e.getMessage());
-            }
+        if (shardTables != null) {
+            long now = nowUs();
+            shardTables.publish(membership.viewConsensus().leases(), leaving || membership.isOut(now), now);
         }
     }
 
-    /** Graceful shutdown: peers are told at once, and nothing is claimed from here on. Any thread. */
+    /** Leaves the fleet gracefully: peers are told at once, and nothing is claimed from here on. */
     public void leave() {
         synchronized (this) {
             leaving = true;
--- a/src/main/java/hopdrum/fleet/FleetStatusLog.java
+++ b/src/main/java/hopdrum/fleet/FleetStatusLog.java
@@ -1,25 +1,27 @@
 package hopdrum.fleet;
 
 import hopdrum.fleet.link.PeerConnections;
+import hopdrum.fleet.log.FleetLog;
 import hopdrum.fleet.message.GossipUpdate.State;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.View;
 import hopdrum.fleet.view.Membership;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
 
 /** The periodic log lines of one member: its status and its latency map. Called under the fleet's lock. */
 final class FleetStatusLog {
-    private static final long STATUS_US = 10_000_000;
-    private static final int MAP_PERIODS = 2;
+    private static final long STATUS_INTERVAL_US = 10_000_000;
+    private static final int MAP_INTERVAL_PERIODS = 2;
 
     private final Member self;
     private final FleetLog log;
     private final long periodUs;
-    private long statusUs;
-    private long mapUs;
+    private long lastStatusUs;
+    private long lastMapUs;
 
     FleetStatusLog(Member self, FleetLog log, long periodUs) {
         this.self = self;
@@ -27,36 +29,36 @@
         this.periodUs = periodUs;
     }
 
-    /** The map from here, for the log: how far each site is, how sure that is and how it is known. */
+    /** Logs the latency estimate to each site, with its confidence and kind. */
     void logLatencyMapIfDue(Membership membership, long nowUs) {
-        if (nowUs - mapUs < MAP_PERIODS * periodUs) {
+        if (nowUs - lastMapUs < MAP_INTERVAL_PERIODS * periodUs) {
             return;
         }
-        mapUs = nowUs;
-        TreeSet<String> sites = new TreeSet<>();
-        membership.failureDetector().present().forEach(m -> sites.add(m.site()));
-        Map<String, Object> ways = new TreeMap<>();
+        lastMapUs = nowUs;
+        Set<String> sites = new TreeSet<>();
+        membership.failureDetector().present().forEach(member -> sites.add(member.site()));
+        Map<String, Object> estimates = new TreeMap<>();
         membership
                 .latency()
-                .fromHere(sites, nowUs)
-                .forEach((site, way) -> ways.put(
+                .estimatesFromHere(sites, nowUs)
+                .forEach((site, estimate) -> estimates.put(
                         site,
                         List.of(
-                                way.rttUs(),
-                                Math.round(way.sure() * 1000) / 1000.0,
-                                way.kind().name())));
-        log.event("map", "site", self.site(), "ways", ways);
+                                estimate.rttUs(),
+                                Math.round(estimate.confidence() * 1000) / 1000.0,
+                                estimate.kind().name())));
+        log.event("map", "site", self.site(), "ways", estimates);
     }
 
-    /** The view, who is alive and what was sent, every ten seconds. */
+    /** Logs the view, how many are alive and what was sent, every ten seconds. */
     void logStatusIfDue(Membership membership, PeerConnections connections, long nowUs) {
-        if (nowUs - statusUs < STATUS_US) {
+        if (nowUs - lastStatusUs < STATUS_INTERVAL_US) {
             return;
         }
-        statusUs = nowUs;
+        lastStatusUs = nowUs;
         View view = membership.viewConsensus().view();
         long alive = membership.failureDetector().believed().values().stream()
-                .filter(s -> s == State.ALIVE)
+                .filter(state -> state == State.ALIVE)
                 .count();
         log.event(
                 "status",
@@ -73,8 +75,8 @@
                 "cut_off",
                 membership.viewConsensus().leases().isCutOff(),
                 "bytes_out",
-                connections.bytesOut(),
+                connections.bytesSent(),
                 "messages_out",
-                connections.messagesOut());
+                connections.messagesSent());
     }
 }
--- a/src/main/java/hopdrum/fleet/PeerAdmission.java
+++ b/src/main/java/hopdrum/fleet/PeerAdmission.java
@@ -1,22 +1,24 @@
 package hopdrum.fleet;
 
+import hopdrum.fleet.config.FleetFile;
 import hopdrum.fleet.message.Message;
+import java.util.Optional;
 
-/** Whether a peer's hello fits this fleet's file: the checks that need no view. */
+/** Whether a peer's hello matches this fleet's file: the admission checks that need no view. */
 final class PeerAdmission {
     private PeerAdmission() {}
 
-    /** Null if the hello's fleet, shards and operator match the fleet file, else why the peer is refused. */
-    static String objectionToFleet(FleetFile file, Message.Hello hello) {
+    /** Why the peer is rejected; empty if the hello's fleet, shards and operator match the fleet file. */
+    static Optional<String> rejectionReason(FleetFile file, Message.Hello hello) {
         if (!hello.fleet().equals(file.fleet())) {
-            return "another fleet";
+            return Optional.of("another fleet");
         }
-        if (hello.shards() != file.shards() || (file.shards() > 0 && hello.mostAloneMs() != file.mostAloneMs())) {
-            return "other shards or most_alone_ms"; // a taker counts the time out that a giver may have
+        if (hello.shards() != file.shards() || (file.shards() > 0 && hello.mostAloneMs() != file.maxAloneMs())) {
+            return Optional.of("other shards or most_alone_ms"); // a receiver waits out the time that a giver may have
         }
         if (!file.operators().contains(hello.who().operator())) {
-            return "an unknown operator";
+            return Optional.of("an unknown operator");
         }
-        return null;
+        return Optional.empty();
     }
 }
--- a/src/main/java/hopdrum/fleet/QuotaLeasePublisher.java
+++ b/src/main/java/hopdrum/fleet/QuotaLeasePublisher.java
@@ -1,5 +1,6 @@
 package hopdrum.fleet;
 
+import hopdrum.fleet.log.FleetLog;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.View;
 import hopdrum.fleet.view.Leases;
@@ -10,14 +11,16 @@
 import java.util.List;
 
 /**
- * The snapshot that Policy reads of who shares this operator's quotas: replaced, never changed, when what this gateway
- * may claim changes. Published under the fleet's lock; {@link #current()} may be read from any thread.
+ * The quota lease that Policy reads: which gateways share this operator's quotas, and until when this one may claim its
+ * share. Replaced, never changed, when that changes. Published under the fleet's lock; {@link #current()} may be read from any thread.
  */
 final class QuotaLeasePublisher {
+    private static final long NO_LEASE_US = Long.MIN_VALUE / 2; // in the past
+
     private final String operator;
     private final FleetLog log;
     private final long loopOffsetUs;
-    private volatile QuotaLease sharers = new QuotaLease(Long.MIN_VALUE / 2, List.of());
+    private volatile QuotaLease current = new QuotaLease(NO_LEASE_US, List.of());
     private String lastClaim = "";
 
     /** @param loopOffsetUs what the front door's clock is ahead of this machine's monotonic one, microseconds */
@@ -27,33 +30,33 @@
         this.loopOffsetUs = loopOffsetUs;
     }
 
-    /** The last snapshot; never waits. */
+    /** The last lease; never waits. */
     QuotaLease current() {
-        return sharers;
+        return current;
     }
 
-    /** A new snapshot, if what may be claimed has changed; what it lets this gateway claim is logged first. */
+    /** Publishes a new lease if what may be claimed has changed; that is logged first. */
     void publishIfChanged(Membership membership, long nowUs) {
         Leases leases = membership.viewConsensus().leases();
-        long until = membership.isOut(nowUs) ? Long.MIN_VALUE / 2 : leases.untilUs(nowUs);
+        long untilUs = membership.isOut(nowUs) ? NO_LEASE_US : leases.untilUs(nowUs);
         List<BitSet> views = new ArrayList<>();
-        int most = 0;
+        int maxGateways = 0;
         for (View view : leases.live(nowUs)) {
             BitSet gateways = new BitSet();
-            for (Member m : view.members()) {
-                if (m.operator().equals(operator)) {
-                    gateways.set(m.gateway());
+            for (Member member : view.members()) {
+                if (member.operator().equals(operator)) {
+                    gateways.set(member.gateway());
                 }
             }
-            most = Math.max(most, gateways.cardinality());
+            maxGateways = Math.max(maxGateways, gateways.cardinality());
             views.add(gateways);
         }
-        String claim = until + "/" + most + "/" + views.size() + "/"
+        String claim = untilUs + "/" + maxGateways + "/" + views.size() + "/"
                 + membership.viewConsensus().view().number();
         if (!claim.equals(lastClaim)) {
             lastClaim = claim;
-            log.event("claim", "until_us", Math.max(0, until), "of", most, "operator", operator);
-            sharers = new QuotaLease(until + loopOffsetUs, List.copyOf(views));
+            log.event("claim", "until_us", Math.max(0, untilUs), "of", maxGateways, "operator", operator);
+            current = new QuotaLease(untilUs + loopOffsetUs, List.copyOf(views));
         }
     }
 }
--- a/src/main/java/hopdrum/fleet/VoteWriter.java
+++ b/src/main/java/hopdrum/fleet/VoteWriter.java
@@ -1,5 +1,6 @@
 package hopdrum.fleet;
 
+import hopdrum.fleet.log.FleetLog;
 import hopdrum.fleet.store.Store;
 import java.io.IOException;
 import java.util.concurrent.BlockingQueue;
@@ -8,14 +9,15 @@
 import java.util.function.Consumer;
 
 /**
- * Forces votes to disk on a thread of its own, one after another, so that a slow disk makes no slow member. What cannot
- * be written is not given: the continuation runs only after the write.
+ * Forces votes to disk on a thread of its own, one after another, so that a slow disk makes no slow member. A vote that
+ * cannot be written is not cast: its continuation runs only after the write.
  */
 final class VoteWriter {
-    /** What is to be written, and what is done then. */
-    private record Vote(Store.DurableState state, Runnable then) {}
+    private record PendingVote(Store.DurableState state, Runnable continuation) {}
 
-    private final BlockingQueue<Vote> votes = new LinkedBlockingQueue<>(); // a few for each view
+    private static final int STACK_BYTES = 256 << 10;
+
+    private final BlockingQueue<PendingVote> votes = new LinkedBlockingQueue<>(); // a few for each view
     private final Store store;
     private final FleetLog log;
     private final BooleanSupplier closed;
@@ -28,7 +30,7 @@
         this.log = log;
         this.closed = closed;
         this.written = written;
-        this.thread = new Thread(null, this::writeVotes, "fleet-store", 256 << 10);
+        this.thread = new Thread(null, this::writeVotes, "fleet-store", STACK_BYTES);
         thread.setDaemon(true);
     }
 
@@ -37,8 +39,8 @@
     }
 
     /** Queues a vote; never waits. */
-    void queue(Store.DurableState state, Runnable then) {
-        votes.add(new Vote(state, then));
+    void queue(Store.DurableState state, Runnable continuation) {
+        votes.add(new PendingVote(state, continuation));
     }
 
     /** Interrupts the writer and waits for it, so that the store is not closed under a write. */
@@ -54,13 +56,13 @@
     private void writeVotes() {
         while (!closed.getAsBoolean()) {
             try {
-                Vote vote = votes.take();
+                PendingVote vote = votes.take();
                 store.write(vote.state);
-                written.accept(vote.then);
+                written.accept(vote.continuation);
             } catch (IOException e) {
                 log.limited("store_failed", String.valueOf(e.getMessage()));
             } catch (InterruptedException e) {
-                return;
+                return; // stopAndJoin(): this thread ends
             }
         }
     }
--- a/src/main/java/hopdrum/fleet/ZoneLatencyPublisher.java
+++ b/src/main/java/hopdrum/fleet/ZoneLatencyPublisher.java
@@ -1,6 +1,7 @@
 package hopdrum.fleet;
 
 import hopdrum.fleet.latency.LatencyMap;
+import hopdrum.fleet.latency.LatencyMap.LatencyEstimate;
 import hopdrum.host.ZoneLatencies;
 import java.util.Arrays;
 import java.util.List;
@@ -11,51 +12,64 @@
  * fleet's lock; {@link #current()} may be read from any thread.
  */
 final class ZoneLatencyPublisher {
-    private static final double LEAST_SURE = 0.3; // below, a way is old, contradicted, or one member's word
-    private static final double SHORTER =
-            0.02; // of the difference, a tick: nobody turns to a site at once that has come near
+    private static final double MIN_CONFIDENCE = 0.3; // below, it is old, contradicted, or one member's word
+    private static final double DECREASE_PER_TICK = 0.02; // of the difference: a zone that came nearer fills slowly
 
     private final String homeSite;
     private List<String> zones = List.of();
-    private double[] shown = {}; // by zone, as last handed out
-    private volatile ZoneLatencies distances; // null: not to be gone by
+    private double[] publishedUs = {}; // by zone; empty where nothing is published
+    private volatile ZoneLatencies current; // null: not to be relied on
 
     ZoneLatencyPublisher(String homeSite) {
         this.homeSite = homeSite;
     }
 
-    /** The zones in the settings' order; from now on {@link #current()} tells how far they are. */
+    /** Sets the zones, in the settings' order, that {@link #current()} tells of from now on. */
     void setZones(List<String> names) {
         zones = List.copyOf(names);
     }
 
-    /** Null where the map does not know all zones, or not surely: then nothing is gone by. */
+    /** Null where the map does not know all zones with confidence: then latency is to be left out of placement. */
     ZoneLatencies current() {
-        return distances;
+        return current;
     }
 
-    /** Recomputes the distances from the map; a zone that has come nearer is approached slowly. */
+    /** Recomputes the latencies from the map; a zone that has come nearer is approached slowly. */
     void update(LatencyMap latency, long nowUs) {
         if (zones.isEmpty()) {
             return;
         }
-        Map<String, LatencyMap.Way> ways = latency.fromHere(zones, nowUs);
-        LatencyMap.Way home = ways.get(homeSite);
-        double[] next = new double[zones.size()];
-        for (int i = 0; i < next.length; i++) {
-            LatencyMap.Way way = ways.get(zones.get(i));
-            if (!zones.get(i).equals(homeSite) && (way == null || way.sure() <= LEAST_SURE)) {
-                distances = null;
-                shown = new double[0];
-                return;
+        double[] nextUs = extraLatencies(latency.estimatesFromHere(zones, nowUs));
+        if (nextUs.length == 0) {
+            current = null;
+            publishedUs = nextUs;
+            return;
+        }
+        for (int i = 0; i < nextUs.length && publishedUs.length == nextUs.length; i++) {
+            if (nextUs[i] < publishedUs[i]) {
+                nextUs[i] = publishedUs[i] + DECREASE_PER_TICK * (nextUs[i] - publishedUs[i]);
             }
-            next[i] = zones.get(i).equals(homeSite) ? 0 : Math.max(0, way.rttUs() - (home == null ? 0 : home.rttUs()));
         }
-        for (int i = 0; i < next.length && shown.length == next.length; i++) {
-            next[i] = next[i] < shown[i] ? shown[i] + SHORTER * (next[i] - shown[i]) : next[i];
+        publishedUs = nextUs;
+        current = new ZoneLatencies(
+                Arrays.stream(nextUs).mapToLong(us -> (long) us).toArray());
+    }
+
+    /** By zone, beyond the home site's own latency; empty where a zone's estimate is missing or not confident. */
+    private double[] extraLatencies(Map<String, LatencyEstimate> estimates) {
+        LatencyEstimate home = estimates.get(homeSite);
+        long homeUs = home == null ? 0 : home.rttUs();
+        double[] extraUs = new double[zones.size()];
+        for (int i = 0; i < extraUs.length; i++) {
+            if (zones.get(i).equals(homeSite)) {
+                continue;
+            }
+            LatencyEstimate estimate = estimates.get(zones.get(i));
+            if (estimate == null || estimate.confidence() <= MIN_CONFIDENCE) {
+                return new double[0];
+            }
+            extraUs[i] = Math.max(0, estimate.rttUs() - homeUs);
         }
-        shown = next;
-        distances =
-                new ZoneLatencies(Arrays.stream(next).mapToLong(d -> (long) d).toArray());
+        return extraUs;
     }
 }
--- a/src/main/java/hopdrum/fleet/latency/LatencyMap.java
+++ b/src/main/java/hopdrum/fleet/latency/LatencyMap.java
@@ -9,284 +9,358 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
 
 /**
- * How far sites are from each other, as seen by all. Each member measures the ways from its site; readings are shared and
- * merged by observer and site, the higher number standing, so that any order, loss or repeat of messages gives the same
- * map. Of a pair the weighted median over observers counts. Ages travel as ages: no clock is compared with another's.
- * Not thread-safe. Times are microseconds of one monotonic clock.
+ * Round-trip time estimates between sites, as seen by all members. Each member measures the latency from its own site;
+ * readings are shared by gossip and merged by observer and site, the higher sequence number winning, so that any order,
+ * loss or repeat of messages gives the same map. For each pair of sites the weighted median over observers counts. Ages
+ * travel as durations: no clock is compared with another member's. Not thread-safe. Times are microseconds of one
+ * monotonic clock.
  */
 public final class LatencyMap {
-    /** What is known of a way: SEEN by this member itself, MEASURED by others, TOLD by one alone, or ESTIMATED. */
+    /** How an estimate is known. */
     public enum Kind {
+        /** Measured by this member itself. */
         SEEN,
+        /** Measured by several other members. */
         MEASURED,
+        /** Reported by too few other members to outvote a wrong one. */
         TOLD,
+        /** Not measured by anybody: derived from the latencies over a third site. */
         ESTIMATED
     }
 
-    /** @param sure from 0, a guess, to 1 */
-    public record Way(long rttUs, double sure, Kind kind, long ageUs) {}
-
-    private static final int MOST_READINGS = 5_000;
-    private static final int READINGS_A_MESSAGE = 16;
-    private static final int MOST_ASKED = 64;
-    private static final long OLDEST_US = 60_000_000; // older ones are dropped
-    private static final int MANY = 3; // observers that one liar cannot outweigh
-    private static final double RUMOUR = 2; // how far one alone may move what is otherwise known: half to twice
-    private static final double TOLD_SURE = 0.3;
-
-    private static final class Own {
-        long lastUs; // the sample before
-        long lastAtUs = Long.MIN_VALUE / 2;
-        long leastUs = Long.MAX_VALUE; // ever seen: the way itself takes so long
+    /**
+     * The estimated latency between two sites.
+     *
+     * @param rttUs round-trip time, microseconds
+     * @param confidence from 0, a guess, to 1
+     * @param kind how it is known
+     * @param ageUs age of the youngest reading behind it, microseconds; 0 for one that nobody has measured
+     */
+    public record LatencyEstimate(long rttUs, double confidence, Kind kind, long ageUs) {}
+
+    private static final int MAX_READINGS = 5_000;
+    private static final int READINGS_PER_MESSAGE = 16;
+    private static final int MAX_OUTSTANDING_PROBES = 64;
+    private static final long MAX_AGE_US = 60_000_000; // older readings are dropped
+    private static final int QUORUM_OF_OBSERVERS = 3; // observers that one wrong one cannot outweigh
+    private static final double MAX_SINGLE_OBSERVER_FACTOR = 2; // how far one observer alone may move an estimate
+    private static final double SINGLE_OBSERVER_CONFIDENCE = 0.3;
+    private static final double DERIVED_CONFIDENCE = 0.5;
+    private static final int HALF_LIFE_PERIODS = 3; // by then there is a fresher reading
+
+    /** This member's own samples to one site. */
+    private static final class SiteSamples {
+        long previousUs;
+        long previousAtUs = Long.MIN_VALUE / 2;
+        long minUs = Long.MAX_VALUE; // ever measured: the network itself takes so long
         long seq;
     }
 
-    private record Key(String observer, String to) {}
+    private record ReadingKey(String observer, String to) {}
+
+    private record StoredReading(LatencyReading reading, long measuredAtUs) {}
 
-    private record Held(LatencyReading reading, long bornUs) {}
+    private record OutstandingProbe(Member peer, long sentAtUs) {}
 
-    private record Asked(Member peer, long atUs) {}
+    private record WeightedValue(double value, double weight) {}
 
     private final Member self;
     private final long halfLifeUs; // of a reading's weight
-    private final Map<String, Own> own = new HashMap<>(); // by site; as many as there are sites
-    private final Map<Key, Held> held = new HashMap<>(); // own ones too; emptied by age and its bound
-    private final Map<Long, Asked> asked = new LinkedHashMap<>(); // emptied by answers and its bound
-    private final Map<String, Long> askedAt = new HashMap<>(); // by site; as many as there are sites
-    private long asks;
+    private final Map<String, SiteSamples> samplesBySite = new HashMap<>(); // as many as there are sites
+    private final Map<ReadingKey, StoredReading> readings = new HashMap<>(); // bounded by age and MAX_READINGS
+    private final Map<Long, OutstandingProbe> outstanding = new LinkedHashMap<>(); // emptied by answers and its bound
+    private final Map<String, Long> lastProbeUsBySite = new HashMap<>(); // as many as there are sites
+    private long lastProbeSeq;
 
-    /** A reading weighs half after three periods: by then there is a fresher one. */
+    /**
+     * Makes an empty map.
+     *
+     * @param self the member whose site estimates start from
+     * @param periodUs the probe period, microseconds; a reading's weight halves in three of them
+     */
     public LatencyMap(Member self, long periodUs) {
         this.self = self;
-        this.halfLifeUs = 3 * periodUs;
+        this.halfLifeUs = HALF_LIFE_PERIODS * periodUs;
     }
 
-    // ---- What is measured and told ----
+    // ---- Measuring and sharing ----
 
-    /** A peer is asked now; the number is for its answer. */
-    public long asks(Member peer, long nowUs) {
-        if (asked.size() >= MOST_ASKED) {
-            asked.remove(asked.keySet().iterator().next());
+    /**
+     * Notes that a probe is sent to a peer now.
+     *
+     * @param peer the member that is probed
+     * @param nowUs the time, microseconds
+     * @return the probe's sequence number, for {@link #completeProbe}
+     */
+    public long startProbe(Member peer, long nowUs) {
+        if (outstanding.size() >= MAX_OUTSTANDING_PROBES) {
+            outstanding.remove(outstanding.keySet().iterator().next());
         }
-        asked.put(++asks, new Asked(peer, nowUs));
-        askedAt.put(peer.site(), nowUs);
-        return asks;
+        outstanding.put(++lastProbeSeq, new OutstandingProbe(peer, nowUs));
+        lastProbeUsBySite.put(peer.site(), nowUs);
+        return lastProbeSeq;
     }
 
-    /** When a member of this site was asked last. */
-    public long sampledAtUs(String site) {
-        return askedAt.getOrDefault(site, Long.MIN_VALUE / 2);
+    /**
+     * Tells when a member of a site was last probed.
+     *
+     * @param site the site
+     * @return the time, microseconds; far in the past where it was never probed
+     */
+    public long lastProbeUs(String site) {
+        return lastProbeUsBySite.getOrDefault(site, Long.MIN_VALUE / 2);
     }
 
-    public void answered(Member peer, long seq, long nowUs) {
-        Asked a = asked.remove(seq);
-        if (a != null && a.peer.is(peer)) {
-            sampled(peer, nowUs - a.atUs, nowUs);
+    /**
+     * Takes the answer to a probe as a sample; an answer to no outstanding probe of this peer is ignored.
+     *
+     * @param peer who answered
+     * @param seq the probe's number
+     * @param nowUs the time, microseconds
+     */
+    public void completeProbe(Member peer, long seq, long nowUs) {
+        OutstandingProbe probe = outstanding.remove(seq);
+        if (probe != null && probe.peer.is(peer)) {
+            addSample(peer, nowUs - probe.sentAtUs, nowUs);
         }
     }
 
-    /** Those asked before this process was paused answer nothing about the way. */
-    public void woke() {
-        asked.clear();
+    /** Forgets probes that were sent before this process was paused: their answers say nothing about the latency. */
+    public void discardOutstandingProbes() {
+        outstanding.clear();
     }
 
     /**
-     * A message to a member and its answer took so long. The lesser of the last two counts: what a sender, a receiver or
-     * a crowded link adds once is no distance, and nothing makes a way look shorter than it is.
+     * Adds a measured round-trip time to a peer. The lesser of the last two samples counts: a delay that a sender, a
+     * receiver or a congested link adds once is no distance, and nothing makes a path look shorter than it is.
+     *
+     * @param peer the member that answered
+     * @param rttUs the round-trip time, microseconds; one that cannot be is ignored
+     * @param nowUs the time, microseconds
      */
-    public void sampled(Member peer, long rttUs, long nowUs) {
-        if (rttUs <= 0 || rttUs > OLDEST_US) {
+    public void addSample(Member peer, long rttUs, long nowUs) {
+        if (rttUs <= 0 || rttUs > MAX_AGE_US) {
             return;
         }
-        Own o = own.computeIfAbsent(peer.site(), k -> new Own());
-        long reading = nowUs - o.lastAtUs < 2 * halfLifeUs ? Math.min(rttUs, o.lastUs) : rttUs;
-        o.lastUs = rttUs;
-        o.lastAtUs = nowUs;
-        o.leastUs = Math.min(o.leastUs, rttUs);
-        put(new LatencyReading(self.name(), self.start(), self.site(), peer.site(), ++o.seq, reading, 0), nowUs);
+        SiteSamples samples = samplesBySite.computeIfAbsent(peer.site(), site -> new SiteSamples());
+        long reading = nowUs - samples.previousAtUs < 2 * halfLifeUs ? Math.min(rttUs, samples.previousUs) : rttUs;
+        samples.previousUs = rttUs;
+        samples.previousAtUs = nowUs;
+        samples.minUs = Math.min(samples.minUs, rttUs);
+        store(
+                new LatencyReading(self.name(), self.start(), self.site(), peer.site(), ++samples.seq, reading, 0),
+                nowUs);
     }
 
-    /** What another has measured or heard of. */
-    public void heard(Collection<LatencyReading> readings, long nowUs) {
-        for (LatencyReading r : readings) {
-            if (!r.observer().equals(self.name())) { // of oneself one knows better
-                put(r, nowUs);
+    /**
+     * Merges what other members have measured or heard of; readings under this member's own name are ignored.
+     *
+     * @param received readings of a peer's message
+     * @param nowUs the time, microseconds
+     */
+    public void merge(Collection<LatencyReading> received, long nowUs) {
+        for (LatencyReading reading : received) {
+            if (!reading.observer().equals(self.name())) {
+                store(reading, nowUs);
             }
         }
     }
 
-    private void put(LatencyReading r, long nowUs) {
-        long born = nowUs - r.ageUs();
-        Key key = new Key(r.observer(), r.to());
-        Held before = held.get(key);
-        if (nowUs - born > OLDEST_US || (before == null && held.size() >= MOST_READINGS)) {
+    private void store(LatencyReading reading, long nowUs) {
+        long measuredAtUs = nowUs - reading.ageUs();
+        ReadingKey key = new ReadingKey(reading.observer(), reading.to());
+        StoredReading known = readings.get(key);
+        if (nowUs - measuredAtUs > MAX_AGE_US || (known == null && readings.size() >= MAX_READINGS)) {
             return;
         }
-        boolean later = before == null
-                || r.start() > before.reading.start()
-                || (r.start() == before.reading.start() && r.seq() > before.reading.seq());
-        boolean same = before != null && r.start() == before.reading.start() && r.seq() == before.reading.seq();
+        boolean sameStart = known != null && reading.start() == known.reading.start();
+        boolean later = known == null
+                || reading.start() > known.reading.start()
+                || (sameStart && reading.seq() > known.reading.seq());
         if (later) {
-            held.put(key, new Held(r, born));
-        } else if (same && born < before.bornUs) {
-            held.put(
-                    key,
-                    new Held(
-                            before.reading,
-                            born)); // a message's way makes a reading look younger: the older age is right
+            readings.put(key, new StoredReading(reading, measuredAtUs));
+        } else if (sameStart && reading.seq() == known.reading.seq() && measuredAtUs < known.measuredAtUs) {
+            // transit time is not in a reading's age, which makes it look younger: the older age is right
+            readings.put(key, new StoredReading(known.reading, measuredAtUs));
         }
     }
 
-    /** What to tell a peer: the youngest readings, with their ages now. */
-    public List<LatencyReading> readings(long nowUs) {
-        held.values().removeIf(h -> nowUs - h.bornUs > OLDEST_US);
-        return held.values().stream()
-                .sorted(Comparator.comparingLong((Held h) -> -h.bornUs))
-                .limit(READINGS_A_MESSAGE)
-                .map(h -> new LatencyReading(
-                        h.reading.observer(),
-                        h.reading.start(),
-                        h.reading.from(),
-                        h.reading.to(),
-                        h.reading.seq(),
-                        h.reading.rttUs(),
-                        Math.max(0, nowUs - h.bornUs)))
+    /**
+     * Returns what to tell a peer.
+     *
+     * @param nowUs the time, microseconds
+     * @return the youngest readings, with their ages now
+     */
+    public List<LatencyReading> readingsToShare(long nowUs) {
+        readings.values().removeIf(stored -> nowUs - stored.measuredAtUs > MAX_AGE_US);
+        return readings.values().stream()
+                .sorted(Comparator.comparingLong((StoredReading stored) -> -stored.measuredAtUs))
+                .limit(READINGS_PER_MESSAGE)
+                .map(stored -> new LatencyReading(
+                        stored.reading.observer(),
+                        stored.reading.start(),
+                        stored.reading.from(),
+                        stored.reading.to(),
+                        stored.reading.seq(),
+                        stored.reading.rttUs(),
+                        Math.max(0, nowUs - stored.measuredAtUs)))
                 .toList();
     }
 
-    // ---- What is known ----
+    // ---- Estimates ----
 
-    /** Null where nothing is known. */
-    public Way way(String from, String to, long nowUs) {
-        List<double[]> seen = new ArrayList<>(); // latency and weight, one an observer
+    /**
+     * Estimates the latency between two sites, in either direction.
+     *
+     * @param from one site
+     * @param to the other site
+     * @param nowUs the time, microseconds
+     * @return the estimate; null where nothing is known
+     */
+    public LatencyEstimate estimate(String from, String to, long nowUs) {
+        List<WeightedValue> seen = new ArrayList<>(); // one an observer
         long youngest = Long.MAX_VALUE;
-        Way mine = null;
-        for (Held h : held.values()) {
-            LatencyReading r = h.reading;
-            boolean ofPair =
-                    (r.from().equals(from) && r.to().equals(to)) || (r.from().equals(to) && r.to().equals(from));
-            long age = nowUs - h.bornUs;
-            if (ofPair && age <= OLDEST_US) {
-                seen.add(new double[] {r.rttUs(), weight(age)});
+        LatencyReading mine = null;
+        for (StoredReading stored : readings.values()) {
+            LatencyReading reading = stored.reading;
+            long age = nowUs - stored.measuredAtUs;
+            if (isOfPair(reading, from, to) && age <= MAX_AGE_US) {
+                seen.add(new WeightedValue(reading.rttUs(), weight(age)));
                 youngest = Math.min(youngest, age);
-                if (r.observer().equals(self.name())) {
-                    mine = new Way(r.rttUs(), seen.get(seen.size() - 1)[1], Kind.SEEN, age);
+                if (reading.observer().equals(self.name())) {
+                    mine = reading;
                 }
             }
         }
-        Map<String, Double> others = seen.size() >= MANY || mine != null ? new HashMap<>() : measured(nowUs);
-        others.remove(pair(from, to));
-        Way guess = others.isEmpty() ? null : estimate(from, to, others);
+        boolean derives = seen.size() < QUORUM_OF_OBSERVERS && mine == null;
+        LatencyEstimate derived = derives ? derive(from, to, nowUs) : null;
         if (seen.isEmpty()) {
-            return guess;
+            return derived;
         }
         double median = median(seen);
-        double apart = spread(seen, median);
-        double fresh = weight(youngest);
-        if (mine != null) { // never below what this member has seen at best: nobody's word shortens a way
-            long least = own.get(from.equals(self.site()) ? to : from).leastUs;
-            double value = seen.size() >= MANY ? median : within(median, (double) mine.rttUs);
-            return new Way(Math.max(least, (long) value), fresh / (1 + apart), Kind.SEEN, youngest);
+        double freshness = weight(youngest);
+        double agreement = 1 + relativeSpread(seen, median);
+        if (mine != null) { // never below this member's own minimum: no other member's reading shortens a path
+            long minUs = samplesBySite.get(from.equals(self.site()) ? to : from).minUs;
+            double value = seen.size() >= QUORUM_OF_OBSERVERS ? median : clampToKnown(median, (double) mine.rttUs());
+            return new LatencyEstimate(Math.max(minUs, (long) value), freshness / agreement, Kind.SEEN, youngest);
         }
-        if (seen.size() < MANY) {
-            double value = guess == null ? median : within(median, (double) guess.rttUs);
-            return new Way((long) value, TOLD_SURE * fresh, Kind.TOLD, youngest);
+        if (derives) {
+            double value = derived == null ? median : clampToKnown(median, (double) derived.rttUs);
+            return new LatencyEstimate((long) value, SINGLE_OBSERVER_CONFIDENCE * freshness, Kind.TOLD, youngest);
         }
-        return new Way((long) median, fresh / (1 + apart), Kind.MEASURED, youngest);
+        return new LatencyEstimate((long) median, freshness / agreement, Kind.MEASURED, youngest);
+    }
+
+    /**
+     * Estimates the latencies from this member's site.
+     *
+     * @param sites the sites to estimate for
+     * @param nowUs the time, microseconds
+     * @return the estimates by site, sorted; without sites that nothing is known of
+     */
+    public Map<String, LatencyEstimate> estimatesFromHere(Collection<String> sites, long nowUs) {
+        Map<String, LatencyEstimate> all = new TreeMap<>();
+        for (String site : sites) {
+            LatencyEstimate estimate = estimate(self.site(), site, nowUs);
+            if (estimate != null) {
+                all.put(site, estimate);
+            }
+        }
+        return all;
     }
 
-    /** A rumour alone neither makes a site best nor unusable. */
-    private static double within(double value, double known) {
-        return Math.max(known / RUMOUR, Math.min(known * RUMOUR, value));
+    private static boolean isOfPair(LatencyReading reading, String one, String other) {
+        return (reading.from().equals(one) && reading.to().equals(other))
+                || (reading.from().equals(other) && reading.to().equals(one));
     }
 
-    private static double median(List<double[]> seen) {
-        seen.sort(Comparator.comparingDouble(s -> s[0]));
-        double half = seen.stream().mapToDouble(s -> s[1]).sum() / 2;
+    /** One observer alone neither makes a site the best nor unusable. */
+    private static double clampToKnown(double value, double known) {
+        return Math.max(known / MAX_SINGLE_OBSERVER_FACTOR, Math.min(known * MAX_SINGLE_OBSERVER_FACTOR, value));
+    }
+
+    /** The weighted median; sorts the list. */
+    private static double median(List<WeightedValue> values) {
+        values.sort(Comparator.comparingDouble(WeightedValue::value));
+        double half = values.stream().mapToDouble(WeightedValue::weight).sum() / 2;
         double sum = 0;
-        for (double[] s : seen) {
-            sum += s[1];
+        for (WeightedValue value : values) {
+            sum += value.weight;
             if (sum >= half) {
-                return s[0];
+                return value.value;
             }
         }
-        return seen.get(seen.size() - 1)[0];
+        return values.get(values.size() - 1).value;
     }
 
-    /** The median of what observers are apart from the median, relative. */
-    private static double spread(List<double[]> seen, double median) {
-        List<double[]> apart = new ArrayList<>();
-        seen.forEach(s -> apart.add(new double[] {Math.abs(s[0] - median) / Math.max(1, median), s[1]}));
-        return median(apart);
+    /** The weighted median of the relative deviations from the median. */
+    private static double relativeSpread(List<WeightedValue> values, double median) {
+        List<WeightedValue> deviations = new ArrayList<>();
+        values.forEach(value ->
+                deviations.add(new WeightedValue(Math.abs(value.value - median) / Math.max(1, median), value.weight)));
+        return median(deviations);
     }
 
     /**
-     * A way that nobody has measured lies between what two ways over a third site differ by and what they add up to; the
-     * middle of the tightest such bounds, over all third sites, and as sure as they are tight.
+     * A latency that nobody has measured lies between the difference and the sum of the latencies over a third site. The
+     * middle of the tightest such bounds over all third sites is taken, with a confidence by how tight they are; null
+     * where no third site has both latencies.
      */
-    private Way estimate(String from, String to, Map<String, Double> ways) {
-        double least = 0;
-        double most = Double.MAX_VALUE;
+    private LatencyEstimate derive(String from, String to, long nowUs) {
+        Map<String, Double> medians = mediansByPair(nowUs);
+        double lower = 0;
+        double upper = Double.MAX_VALUE;
         for (String over : sites()) {
-            Double first = ways.get(pair(from, over));
-            Double second = ways.get(pair(over, to));
+            Double first = medians.get(pairKey(from, over));
+            Double second = medians.get(pairKey(over, to));
             if (!over.equals(from) && !over.equals(to) && first != null && second != null) {
-                least = Math.max(least, Math.abs(first - second));
-                most = Math.min(most, first + second);
+                lower = Math.max(lower, Math.abs(first - second));
+                upper = Math.min(upper, first + second);
             }
         }
-        if (most == Double.MAX_VALUE) {
+        if (upper == Double.MAX_VALUE) {
             return null;
         }
-        double low = Math.min(least, most); // where the ways contradict each other, the shorter detour stands
-        return new Way(Math.max(1, (long) ((low + most) / 2)), 0.5 * low / most, Kind.ESTIMATED, 0);
+        lower = Math.min(lower, upper); // where measurements contradict each other, the shorter detour stands
+        return new LatencyEstimate(
+                Math.max(1, (long) ((lower + upper) / 2)), DERIVED_CONFIDENCE * lower / upper, Kind.ESTIMATED, 0);
     }
 
-    private TreeSet<String> sites() {
-        TreeSet<String> all = new TreeSet<>();
-        held.values().forEach(h -> {
-            all.add(h.reading.from());
-            all.add(h.reading.to());
+    private Set<String> sites() {
+        Set<String> all = new TreeSet<>();
+        readings.values().forEach(stored -> {
+            all.add(stored.reading.from());
+            all.add(stored.reading.to());
         });
         return all;
     }
 
-    private static String pair(String a, String b) {
-        return a.compareTo(b) < 0 ? a + ">" + b : b + ">" + a;
+    private static String pairKey(String one, String other) {
+        return one.compareTo(other) < 0 ? one + ">" + other : other + ">" + one;
     }
 
-    /** Of each pair that anybody has measured, the weighted median. */
-    private Map<String, Double> measured(long nowUs) {
-        Map<String, List<double[]>> seen = new HashMap<>();
-        for (Held h : held.values()) {
-            long age = nowUs - h.bornUs;
-            if (age <= OLDEST_US) {
-                seen.computeIfAbsent(pair(h.reading.from(), h.reading.to()), k -> new ArrayList<>())
-                        .add(new double[] {h.reading.rttUs(), weight(age)});
+    /** The weighted median of each pair of sites that anybody has measured. */
+    private Map<String, Double> mediansByPair(long nowUs) {
+        Map<String, List<WeightedValue>> seen = new HashMap<>();
+        for (StoredReading stored : readings.values()) {
+            long age = nowUs - stored.measuredAtUs;
+            if (age <= MAX_AGE_US) {
+                seen.computeIfAbsent(pairKey(stored.reading.from(), stored.reading.to()), pair -> new ArrayList<>())
+                        .add(new WeightedValue(stored.reading.rttUs(), weight(age)));
             }
         }
-        Map<String, Double> all = new HashMap<>();
-        seen.forEach((pair, of) -> all.put(pair, median(of)));
-        return all;
+        Map<String, Double> medians = new HashMap<>();
+        seen.forEach((pair, values) -> medians.put(pair, median(values)));
+        return medians;
     }
 
     private double weight(long ageUs) {
         return Math.pow(0.5, (double) ageUs / halfLifeUs);
     }
-
-    /** All ways from this member's site that anything is known of, by site. */
-    public Map<String, Way> fromHere(Collection<String> sites, long nowUs) {
-        Map<String, Way> all = new TreeMap<>();
-        for (String site : sites) {
-            Way way = way(self.site(), site, nowUs);
-            if (way != null) {
-                all.put(site, way);
-            }
-        }
-        return all;
-    }
 }
--- a/src/main/java/hopdrum/fleet/link/FrameCodec.java
+++ b/src/main/java/hopdrum/fleet/link/FrameCodec.java
@@ -5,44 +5,49 @@
 import java.io.EOFException;
 import java.io.IOException;
 import java.io.InputStream;
-import java.io.OutputStream;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
 import java.nio.ByteBuffer;
 
-/** FrameCodec on a stream: four bytes of length, then one message. Throws IOException for what is no frame. */
+/** Frames on a stream: four bytes of length, big-endian, then one message. */
 final class FrameCodec {
-    static final int MOST_BYTES = 512 << 10;
-    private static final int WHOLE_MS = 5_000; // from its first byte on: guards against one that dribbles
+    private static final int MAX_BODY_BYTES = 512 << 10;
+    private static final int FRAME_TIMEOUT_MS = 5_000; // from its first byte on: guards against one that dribbles
 
     private FrameCodec() {}
 
-    static void write(OutputStream to, Message message) throws IOException {
+    /** A message as one frame. */
+    static byte[] encode(Message message) {
         byte[] body = Codec.bytes(message);
-        to.write(ByteBuffer.allocate(4 + body.length)
+        return ByteBuffer.allocate(Integer.BYTES + body.length)
                 .putInt(body.length)
                 .put(body)
-                .array());
-        to.flush();
+                .array();
     }
 
-    /** Null at the connection's orderly end. Waits idleMs for a frame to begin. */
-    static Message read(Socket socket, InputStream from, int idleMs) throws IOException {
+    /**
+     * Reads one frame.
+     *
+     * @param idleMs how long to wait for a frame to begin
+     * @return the message; null at the connection's orderly end
+     * @throws IOException for what is no frame, and where it does not arrive in time
+     */
+    static Message read(Socket socket, InputStream in, int idleMs) throws IOException {
         socket.setSoTimeout(idleMs);
-        int first = from.read();
+        int first = in.read();
         if (first < 0) {
             return null;
         }
-        long endNanos = System.nanoTime() + WHOLE_MS * 1_000_000L;
-        byte[] head = new byte[4];
-        head[0] = (byte) first;
-        fill(socket, from, head, 1, endNanos);
-        int length = ByteBuffer.wrap(head).getInt();
-        if (length <= 0 || length > MOST_BYTES) {
+        long deadlineNanos = System.nanoTime() + FRAME_TIMEOUT_MS * 1_000_000L;
+        byte[] header = new byte[Integer.BYTES];
+        header[0] = (byte) first;
+        readFully(socket, in, header, 1, deadlineNanos);
+        int length = ByteBuffer.wrap(header).getInt();
+        if (length <= 0 || length > MAX_BODY_BYTES) {
             throw new IOException("a frame of " + length + " bytes");
         }
         byte[] body = new byte[length];
-        fill(socket, from, body, 0, endNanos);
+        readFully(socket, in, body, 0, deadlineNanos);
         try {
             return Codec.read(body);
         } catch (IllegalArgumentException e) {
@@ -50,18 +55,20 @@
         }
     }
 
-    private static void fill(Socket socket, InputStream from, byte[] bytes, int at, long endNanos) throws IOException {
-        for (int have = at; have < bytes.length; ) {
-            int leftMs = (int) ((endNanos - System.nanoTime()) / 1_000_000);
-            if (leftMs <= 0) {
+    private static void readFully(Socket socket, InputStream in, byte[] bytes, int from, long deadlineNanos)
+            throws IOException {
+        int filled = from;
+        while (filled < bytes.length) {
+            int remainingMs = (int) ((deadlineNanos - System.nanoTime()) / 1_000_000);
+            if (remainingMs <= 0) {
                 throw new SocketTimeoutException("a frame that does not end");
             }
-            socket.setSoTimeout(leftMs);
-            int n = from.read(bytes, have, bytes.length - have);
-            if (n < 0) {
+            socket.setSoTimeout(remainingMs);
+            int count = in.read(bytes, filled, bytes.length - filled);
+            if (count < 0) {
                 throw new EOFException("a frame that is cut off");
             }
-            have += n;
+            filled += count;
         }
     }
 }
--- a/src/main/java/hopdrum/fleet/link/OutboundConnection.java
+++ b/src/main/java/hopdrum/fleet/link/OutboundConnection.java
@@ -1,40 +1,41 @@
 package hopdrum.fleet.link;
 
-import hopdrum.fleet.message.Codec;
 import hopdrum.fleet.message.Message;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
-import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.SplittableRandom;
+import java.util.function.BooleanSupplier;
 
 /**
- * The task that writes to one address: connect, hello, write what is queued, and after a failure back off and start
- * again. It ends when it has had nothing to write for a while.
+ * The task that writes to one address: connect, exchange hellos, write what is queued, and after a failure reconnect with
+ * exponential backoff and jitter. It ends when it has had nothing to write for a while. Runs on a thread of its own; other
+ * methods may be called from any thread.
  */
 final class OutboundConnection implements Runnable {
-    private static final int MOST_QUEUED = 256; // the oldest goes first: later ones say more
-    private static final long STALE_US = 2_000_000; // older ones answer nothing any more
-    private static final int CONNECT_MS = 1_000;
-    private static final long IDLE_MS = 60_000;
-    private static final long FIRST_BACK_OFF_MS = 50;
-    private static final long LAST_BACK_OFF_MS = 1_000;
+    private static final int MAX_QUEUED = 256; // the oldest is dropped: later ones say more
+    private static final long MAX_QUEUED_US = 2_000_000; // older ones answer nothing any more
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final int HELLO_BUFFER_BYTES = 1 << 10;
+    private static final long IDLE_US = 60_000_000;
+    private static final long MIN_BACKOFF_MS = 50;
+    private static final long MAX_BACKOFF_MS = 1_000;
 
-    private record Queued(Message message, long atUs) {}
+    private record QueuedMessage(Message message, long queuedAtUs) {}
 
-    private final PeerConnections links;
+    private final PeerConnections connections;
     private final String address;
     private final SplittableRandom random;
-    private final Deque<Queued> queue = new ArrayDeque<>(); // emptied by the writer, by age and by its bound
-    private Socket socket;
-    private long writingSinceUs;
+    private final Deque<QueuedMessage> queue = new ArrayDeque<>(); // bounded by MAX_QUEUED
+    private Socket socket; // null while not connected
+    private long writingSinceUs; // 0 while not writing
     private boolean ending;
 
-    OutboundConnection(PeerConnections links, String address, SplittableRandom random) {
-        this.links = links;
+    OutboundConnection(PeerConnections connections, String address, SplittableRandom random) {
+        this.connections = connections;
         this.address = address;
         this.random = random;
     }
@@ -43,12 +44,13 @@
         return address;
     }
 
+    /** Queues a message; never waits. */
     synchronized void offer(Message message) {
-        if (queue.size() == MOST_QUEUED) {
+        if (queue.size() == MAX_QUEUED) {
             queue.poll();
-            links.log().limited("queue_full", address);
+            connections.log().limited("queue_full", address);
         }
-        queue.add(new Queued(message, nowUs()));
+        queue.add(new QueuedMessage(message, nowUs()));
         notifyAll();
     }
 
@@ -62,62 +64,56 @@
 
     @Override
     public void run() {
-        long backOffMs = FIRST_BACK_OFF_MS;
-        while (true) {
+        long backoffMs = MIN_BACKOFF_MS;
+        while (awaitWork()) {
             try {
-                if (!waitForWork()) {
-                    return;
-                }
                 connect();
-                backOffMs = FIRST_BACK_OFF_MS;
-                for (Message message = next(); message != null; message = next()) {
+                backoffMs = MIN_BACKOFF_MS;
+                for (Message message = takeMessage(); message != null; message = takeMessage()) {
                     write(message);
                 }
-                close();
+                disconnect();
             } catch (IOException e) {
-                close();
-                links.log().limited("link_down", address + ": " + e.getMessage());
-                if (!pause(backOffMs / 2 + random.nextLong(backOffMs))) {
+                disconnect();
+                connections.log().limited("link_down", address + ": " + e.getMessage());
+                if (!pause(backoffMs / 2 + random.nextLong(backoffMs))) {
                     return;
                 }
-                backOffMs = Math.min(LAST_BACK_OFF_MS, backOffMs * 2);
+                backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
             }
         }
     }
 
-    /** False once there is nothing more to do. */
-    private boolean waitForWork() {
+    /** Waits for a message; false once this connection is to end. */
+    private boolean awaitWork() {
         synchronized (this) {
-            long endMs = nowUs() / 1000 + IDLE_MS;
-            while (queue.isEmpty() && !ending && nowUs() / 1000 < endMs) {
-                await(Math.max(1, endMs - nowUs() / 1000));
-            }
+            awaitUntil(nowUs() + IDLE_US, () -> !queue.isEmpty());
             if (!queue.isEmpty() && !ending) {
                 return true;
             }
         }
-        return !links.removeIfEmpty(this) && !isEnding();
+        return !connections.removeIfEmpty(this) && !isEnding();
     }
 
     private synchronized boolean isEnding() {
         return ending;
     }
 
-    private boolean pause(long ms) {
-        synchronized (this) {
-            long endUs = nowUs() + ms * 1000;
-            while (!ending && nowUs() < endUs) {
-                await(Math.max(1, (endUs - nowUs()) / 1000));
-            }
-            return !ending;
-        }
+    /** Waits so long; false where this connection is to end. */
+    private synchronized boolean pause(long ms) {
+        awaitUntil(nowUs() + ms * 1000, () -> false);
+        return !ending;
     }
 
-    private void await(long ms) {
+    /** Waits, under this object's lock, until the condition holds, this connection is to end or the time is up. */
+    private synchronized void awaitUntil(long deadlineUs, BooleanSupplier condition) {
         try {
-            wait(ms);
+            while (!condition.getAsBoolean() && !ending && nowUs() < deadlineUs) {
+                wait(Math.max(1, (deadlineUs - nowUs()) / 1000));
+            }
         } catch (InterruptedException e) {
             ending = true;
+            Thread.currentThread().interrupt();
         }
     }
 
@@ -129,72 +125,70 @@
         }
         fresh.connect(
                 new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
-                CONNECT_MS);
+                CONNECT_TIMEOUT_MS);
         fresh.setTcpNoDelay(true);
-        write(links.hello());
-        Message answer = FrameCodec.read(fresh, new BufferedInputStream(fresh.getInputStream(), 1 << 10), CONNECT_MS);
-        if (answer instanceof Message.Rejected down) {
-            links.owner().turnedDown(address, down.why());
-            throw new IOException("turned down: " + down.why());
+        write(connections.hello());
+        Message answer = FrameCodec.read(
+                fresh, new BufferedInputStream(fresh.getInputStream(), HELLO_BUFFER_BYTES), CONNECT_TIMEOUT_MS);
+        if (answer instanceof Message.Rejected rejected) {
+            connections.handler().rejectedBy(address, rejected.reason());
+            throw new IOException("rejected: " + rejected.reason());
         }
         if (!(answer instanceof Message.Hello theirs)
                 || theirs.version() != Message.VERSION
-                || !theirs.fleet().equals(links.hello().fleet())) {
+                || !theirs.fleet().equals(connections.hello().fleet())) {
             throw new IOException("no hello of this fleet");
         }
     }
 
-    /** Null when there has been nothing to write for a while, or the link ends. */
-    private synchronized Message next() {
-        long endUs = nowUs() + IDLE_MS * 1000;
+    /** Null when there has been nothing to write for a while, or this connection is to end. */
+    private synchronized Message takeMessage() {
+        long idleEndUs = nowUs() + IDLE_US;
         while (true) {
-            Queued first = queue.poll();
-            if (first != null && nowUs() - first.atUs < STALE_US) {
-                return first.message;
-            }
-            if (first == null && (ending || nowUs() >= endUs)) {
-                return null;
-            }
+            QueuedMessage first = queue.poll();
             if (first == null) {
-                await(Math.max(1, (endUs - nowUs()) / 1000));
+                if (ending || nowUs() >= idleEndUs) {
+                    return null;
+                }
+                awaitUntil(idleEndUs, () -> !queue.isEmpty());
+            } else if (nowUs() - first.queuedAtUs < MAX_QUEUED_US) {
+                return first.message;
             }
         }
     }
 
     private void write(Message message) throws IOException {
-        byte[] body = Codec.bytes(message);
-        Socket to;
+        byte[] frame = FrameCodec.encode(message);
+        Socket current;
         synchronized (this) {
             writingSinceUs = nowUs();
-            to = socket;
+            current = socket;
         }
-        if (to == null) {
+        if (current == null) {
             throw new IOException("cut");
         }
-        to.getOutputStream()
-                .write(ByteBuffer.allocate(4 + body.length)
-                        .putInt(body.length)
-                        .put(body)
-                        .array());
-        links.wrote(4 + body.length);
+        current.getOutputStream().write(frame);
+        connections.countSent(frame.length);
         synchronized (this) {
             writingSinceUs = 0;
         }
     }
 
+    /** Disconnects where a write has not come through since before that time. */
     synchronized void cutIfStalledSince(long sinceUs) {
         if (writingSinceUs != 0 && writingSinceUs < sinceUs) {
-            links.log().limited("peer_cut", address + " does not read");
-            close();
+            connections.log().limited("peer_cut", address + " does not read");
+            disconnect();
         }
     }
 
+    /** Ends the task once what is queued by now has been written. */
     synchronized void endSoon() {
         ending = true;
         notifyAll();
     }
 
-    private synchronized void close() {
+    private synchronized void disconnect() {
         writingSinceUs = 0;
         if (socket != null) {
             PeerConnections.closeQuietly(socket);
--- a/src/main/java/hopdrum/fleet/link/PeerConnections.java
+++ b/src/main/java/hopdrum/fleet/link/PeerConnections.java
@@ -1,119 +1,160 @@
 package hopdrum.fleet.link;
 
-import hopdrum.fleet.FleetLog;
+import hopdrum.fleet.log.FleetLog;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
 import java.io.BufferedInputStream;
+import java.io.Closeable;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.net.SocketException;
+import java.net.SocketTimeoutException;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
  * The connections of one member: it writes on those that it opened, one to each address that it has something for, and
- * reads on those that others opened. One thread for each; this class starts and ends them all.
+ * reads on those that others opened. One thread for each; this class starts and ends them all. Thread-safe.
  */
 public final class PeerConnections implements AutoCloseable {
-    /** Who is told what peers say. */
+    /** Takes what peers send. Called from the connections' threads, several at once. */
     public interface MessageHandler {
-        /** Null if the peer may speak, else why not. */
-        String objection(Message.Hello hello);
+        /**
+         * Decides on a peer that has connected.
+         *
+         * @param hello the peer's first message
+         * @return why the peer is rejected; empty to admit it
+         */
+        Optional<String> rejectionReason(Message.Hello hello);
 
-        /** From one whose hello was taken. */
-        void heard(Member from, Message message);
+        /**
+         * Takes a message of a peer that was admitted.
+         *
+         * @param from the sender, by its hello
+         * @param message the message
+         */
+        void received(Member from, Message message);
 
-        /** The peer at this address does not take us, and says why. */
-        void turnedDown(String address, String why);
+        /**
+         * Takes note that a peer has rejected this member.
+         *
+         * @param address the peer's address
+         * @param reason why, in the peer's words
+         */
+        void rejectedBy(String address, String reason);
     }
 
-    private static final int MOST_INBOUND = 2_000;
-    private static final int HELLO_MS = 3_000;
-    private static final int IDLE_MS = 120_000;
+    private static final int MAX_INBOUND = 2_000;
+    private static final int ACCEPT_BACKLOG = 256;
+    private static final int HELLO_TIMEOUT_MS = 3_000;
+    private static final int IDLE_TIMEOUT_MS = 120_000;
     private static final long STALLED_US = 3_000_000;
+    private static final int READ_BUFFER_BYTES = 16 << 10;
+    private static final int STACK_BYTES = 256 << 10; // there are many threads, and none has a deep stack
 
-    private final MessageHandler owner;
+    private final MessageHandler handler;
     private final FleetLog log;
     private final Message.Hello hello;
     private final ServerSocket listener;
     private final SplittableRandom random;
-    private final Map<String, OutboundConnection> out = new HashMap<>(); // one goes as its thread ends, idle or told to
-    private final Set<Socket> in = new HashSet<>(); // one goes as its thread ends
-    private final AtomicLong bytesOut = new AtomicLong();
-    private final AtomicLong messagesOut = new AtomicLong();
+    private final Map<String, OutboundConnection> outbound = new HashMap<>(); // by address; removed as its thread ends
+    private final Set<Socket> inbound = new HashSet<>(); // removed as its thread ends; bounded by MAX_INBOUND
+    private final AtomicLong bytesSent = new AtomicLong();
+    private final AtomicLong messagesSent = new AtomicLong();
     private boolean closed;
 
-    /** Listens from here on, but takes nobody before start(). */
+    /**
+     * Binds the listening address; connections are accepted from {@link #start} on.
+     *
+     * @param listen the address to listen on
+     * @param hello this member's first message on each connection
+     * @param random jitters the backoff of reconnects
+     * @param handler takes what peers send
+     * @param log takes connections' faults
+     * @throws IOException where the address cannot be bound
+     */
     public PeerConnections(
-            InetSocketAddress listen, Message.Hello hello, SplittableRandom random, MessageHandler owner, FleetLog log)
+            InetSocketAddress listen,
+            Message.Hello hello,
+            SplittableRandom random,
+            MessageHandler handler,
+            FleetLog log)
             throws IOException {
-        this.owner = owner;
+        this.handler = handler;
         this.log = log;
         this.hello = hello;
         this.random = random;
         this.listener = new ServerSocket();
         try {
             listener.setReuseAddress(true);
-            listener.bind(listen, 256);
+            listener.bind(listen, ACCEPT_BACKLOG);
         } catch (IOException | RuntimeException e) {
             listener.close();
             throw e;
         }
     }
 
+    /** Starts to accept connections; called once. */
     public void start() {
-        thread("fleet-accept", this::accept).start();
+        newThread("fleet-accept", this::acceptAll).start();
     }
 
-    static Thread thread(String name, Runnable what) {
-        Thread thread = new Thread(null, what, name, 256 << 10);
+    private static Thread newThread(String name, Runnable task) {
+        Thread thread = new Thread(null, task, name, STACK_BYTES);
         thread.setDaemon(true);
         return thread;
     }
 
-    /** Never waits: the message goes to a bounded queue, where the oldest makes room. */
-    public void send(String address, Message message) {
-        synchronized (this) {
-            if (closed) {
-                return;
-            }
-            OutboundConnection link = out.get(address);
-            if (link == null) {
-                link = new OutboundConnection(this, address, random.split());
-                out.put(address, link);
-                thread("fleet-out-" + address, link).start();
-            }
-            link.offer(message);
+    /**
+     * Queues a message to an address; never waits. The queue is bounded: the oldest message is dropped for a new one.
+     *
+     * @param address the peer's numeric address and port
+     * @param message the message
+     */
+    public synchronized void send(String address, Message message) {
+        if (closed) {
+            return;
         }
+        OutboundConnection connection = outbound.get(address);
+        if (connection == null) {
+            connection = new OutboundConnection(this, address, random.split());
+            outbound.put(address, connection);
+            newThread("fleet-out-" + address, connection).start();
+        }
+        connection.offer(message);
     }
 
-    /** Cuts connections whose peer does not read: a write that has not come through for 3 s. */
+    /**
+     * Cuts connections whose peer does not read: a write that has not come through for 3 s.
+     *
+     * @param nowUs the machine's monotonic clock, microseconds
+     */
     public synchronized void cutStalled(long nowUs) {
-        for (OutboundConnection link : out.values()) {
-            link.cutIfStalledSince(nowUs - STALLED_US);
+        for (OutboundConnection connection : outbound.values()) {
+            connection.cutIfStalledSince(nowUs - STALLED_US);
         }
     }
 
-    private void accept() {
+    private void acceptAll() {
         while (true) {
-            Socket socket = null;
             try {
-                socket = listener.accept();
+                Socket socket = listener.accept();
                 synchronized (this) {
-                    if (closed || in.size() >= MOST_INBOUND) {
+                    if (closed || inbound.size() >= MAX_INBOUND) {
                         socket.close();
                         continue;
                     }
-                    in.add(socket);
+                    inbound.add(socket);
                 }
-                Socket taken = socket;
-                thread("fleet-in-" + socket.getPort(), () -> serve(taken)).start();
+                newThread("fleet-in-" + socket.getPort(), () -> serve(socket)).start();
             } catch (IOException e) {
                 if (listener.isClosed()) {
                     return;
@@ -123,36 +164,44 @@
         }
     }
 
-    /** One connection that a peer opened, from its hello to its end. */
+    /** Serves one connection that a peer opened, from its hello to its end. */
     private void serve(Socket socket) {
         try (socket) {
             socket.setTcpNoDelay(true);
-            InputStream from = new BufferedInputStream(socket.getInputStream(), 16 << 10);
-            if (!(FrameCodec.read(socket, from, HELLO_MS) instanceof Message.Hello theirs)) {
-                throw new IOException("no hello");
-            }
-            String why = theirs.version() != Message.VERSION ? "version " + theirs.version() : owner.objection(theirs);
-            FrameCodec.write(socket.getOutputStream(), why == null ? hello : new Message.Rejected(why));
-            if (why != null) {
-                throw new IOException(why + ", " + theirs.who().name() + " of " + theirs.fleet());
-            }
-            for (Message m = FrameCodec.read(socket, from, IDLE_MS);
-                    m != null;
-                    m = FrameCodec.read(socket, from, IDLE_MS)) {
-                owner.heard(theirs.who(), m);
+            InputStream in = new BufferedInputStream(socket.getInputStream(), READ_BUFFER_BYTES);
+            Member peer = exchangeHellos(socket, in);
+            for (Message message = FrameCodec.read(socket, in, IDLE_TIMEOUT_MS);
+                    message != null;
+                    message = FrameCodec.read(socket, in, IDLE_TIMEOUT_MS)) {
+                handler.received(peer, message);
             }
         } catch (IOException | RuntimeException e) {
-            if (!isClosed()
-                    && !(e instanceof java.net.SocketTimeoutException || e instanceof java.net.SocketException)) {
+            if (!isClosed() && !(e instanceof SocketTimeoutException || e instanceof SocketException)) {
                 log.limited("peer_dropped", e.getMessage());
             }
         } finally {
             synchronized (this) {
-                in.remove(socket);
+                inbound.remove(socket);
             }
         }
     }
 
+    /** The peer, by its hello; throws IOException where it is rejected. */
+    private Member exchangeHellos(Socket socket, InputStream in) throws IOException {
+        if (!(FrameCodec.read(socket, in, HELLO_TIMEOUT_MS) instanceof Message.Hello theirs)) {
+            throw new IOException("no hello");
+        }
+        Optional<String> rejection = theirs.version() == Message.VERSION
+                ? handler.rejectionReason(theirs)
+                : Optional.of("version " + theirs.version());
+        Message answer = rejection.isPresent() ? new Message.Rejected(rejection.get()) : hello;
+        socket.getOutputStream().write(FrameCodec.encode(answer));
+        if (rejection.isPresent()) {
+            throw new IOException(rejection.get() + ", " + theirs.who().name() + " of " + theirs.fleet());
+        }
+        return theirs.who();
+    }
+
     private synchronized boolean isClosed() {
         return closed;
     }
@@ -161,30 +210,40 @@
         return hello;
     }
 
-    MessageHandler owner() {
-        return owner;
+    MessageHandler handler() {
+        return handler;
     }
 
     FleetLog log() {
         return log;
     }
 
-    void wrote(long bytes) {
-        bytesOut.addAndGet(bytes);
-        messagesOut.incrementAndGet();
+    void countSent(long bytes) {
+        bytesSent.addAndGet(bytes);
+        messagesSent.incrementAndGet();
     }
 
-    public long bytesOut() {
-        return bytesOut.get();
+    /**
+     * Returns how many bytes were sent.
+     *
+     * @return bytes since the start, frames' headers included
+     */
+    public long bytesSent() {
+        return bytesSent.get();
     }
 
-    public long messagesOut() {
-        return messagesOut.get();
+    /**
+     * Returns how many messages were sent.
+     *
+     * @return messages since the start
+     */
+    public long messagesSent() {
+        return messagesSent.get();
     }
 
-    /** The idle end of a link's thread: false if something came in meanwhile. */
-    synchronized boolean removeIfEmpty(OutboundConnection link) {
-        return link.isEmpty() && out.remove(link.address(), link);
+    /** Removes an idle connection whose thread ends; false if a message was queued meanwhile. */
+    synchronized boolean removeIfEmpty(OutboundConnection connection) {
+        return connection.isEmpty() && outbound.remove(connection.address(), connection);
     }
 
     /** Ends all threads; what has been queued by now is given a moment to go out. */
@@ -193,14 +252,14 @@
         Set<Socket> sockets;
         synchronized (this) {
             closed = true;
-            sockets = new HashSet<>(in);
-            out.values().forEach(OutboundConnection::endSoon);
+            sockets = new HashSet<>(inbound);
+            outbound.values().forEach(OutboundConnection::endSoon);
         }
         closeQuietly(listener);
         sockets.forEach(PeerConnections::closeQuietly);
     }
 
-    static void closeQuietly(java.io.Closeable socket) {
+    static void closeQuietly(Closeable socket) {
         try {
             socket.close();
         } catch (IOException e) {
--- a/src/main/java/hopdrum/fleet/message/Codec.java
+++ b/src/main/java/hopdrum/fleet/message/Codec.java
@@ -9,14 +9,14 @@
 import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
 import java.io.IOException;
 
-/** Messages to bytes and back, as CBOR. */
+/** Encodes messages as CBOR and decodes them. Thread-safe. */
 public final class Codec {
-    private static final int MOST_TEXT = 256;
-    private static final int DEEPEST = 12;
+    private static final int MAX_STRING_LENGTH = 256;
+    private static final int MAX_NESTING_DEPTH = 12;
     private static final ObjectMapper MAPPER = CBORMapper.builder(CBORFactory.builder()
                     .streamReadConstraints(StreamReadConstraints.builder()
-                            .maxStringLength(MOST_TEXT)
-                            .maxNestingDepth(DEEPEST)
+                            .maxStringLength(MAX_STRING_LENGTH)
+                            .maxNestingDepth(MAX_NESTING_DEPTH)
                             .build())
                     .build())
             .defaultPropertyInclusion(
@@ -27,6 +27,12 @@
 
     private Codec() {}
 
+    /**
+     * Encodes a message.
+     *
+     * @param message the message
+     * @return its one form as bytes
+     */
     public static byte[] bytes(Message message) {
         try {
             return MAPPER.writerFor(Message.class).writeValueAsBytes(message);
@@ -35,7 +41,13 @@
         }
     }
 
-    /** Throws IllegalArgumentException, with one line, for bytes that are no message. */
+    /**
+     * Decodes a message.
+     *
+     * @param bytes one message, whole
+     * @return the message
+     * @throws IllegalArgumentException with one line, for bytes that are no message
+     */
     public static Message read(byte[] bytes) {
         try {
             Message message = MAPPER.readValue(bytes, Message.class);
@@ -43,11 +55,11 @@
                 throw new IllegalArgumentException("no message");
             }
             return message;
-        } catch (IOException
-                | RuntimeException e) { // the library has a fault of its own for some bytes, as where a kind is no text
-            String why = e instanceof JsonProcessingException j ? j.getOriginalMessage() : e.getMessage();
+        } catch (IOException | RuntimeException e) {
+            // RuntimeException too: Jackson answers some malformed bytes with a NullPointerException
+            String reason = e instanceof JsonProcessingException j ? j.getOriginalMessage() : e.getMessage();
             throw new IllegalArgumentException(
-                    "no message: " + String.valueOf(why).lines().findFirst().orElse(""), e);
+                    "no message: " + String.valueOf(reason).lines().findFirst().orElse(""), e);
         }
     }
 }
--- a/src/main/java/hopdrum/fleet/message/Message.java
+++ b/src/main/java/hopdrum/fleet/message/Message.java
@@ -1,136 +1,235 @@
 package hopdrum.fleet.message;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonSubTypes;
-import com.fasterxml.jackson.annotation.JsonSubTypes.Type;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.List;
 import java.util.Map;
 
-/** One message between members. Making one throws IllegalArgumentException where a figure cannot be. */
+/**
+ * One message between members of a fleet. Making one throws IllegalArgumentException where a component cannot be. The
+ * names in the annotations, and the record components' names, are the wire format.
+ */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
 @JsonSubTypes({
-    @Type(value = Message.Hello.class, name = "hello"),
-    @Type(value = Message.Rejected.class, name = "turneddown"),
-    @Type(value = Message.Ping.class, name = "ping"),
-    @Type(value = Message.Ack.class, name = "ack"),
-    @Type(value = Message.PingRequest.class, name = "pingfor"),
-    @Type(value = Message.Nack.class, name = "nack"),
-    @Type(value = Message.FullStateExchange.class, name = "exchange"),
-    @Type(value = Message.NameTaken.class, name = "taken"),
-    @Type(value = Message.Prepare.class, name = "prepare"),
-    @Type(value = Message.Promise.class, name = "promise"),
-    @Type(value = Message.Accept.class, name = "accept"),
-    @Type(value = Message.Accepted.class, name = "accepted"),
-    @Type(value = Message.Preempted.class, name = "overruled"),
-    @Type(value = Message.ViewSettled.class, name = "settled"),
-    @Type(value = Message.SettledViewRequest.class, name = "asksettled"),
-    @Type(value = Message.Renew.class, name = "renew"),
-    @Type(value = Message.Renewed.class, name = "renewed"),
-    @Type(value = Message.LatencyExchange.class, name = "latency"),
-    @Type(value = Message.LeaseGranted.class, name = "held"),
-    @Type(value = Message.AgreementProposals.class, name = "offers"),
-    @Type(value = Message.ShardsHandedOver.class, name = "opened")
+    @JsonSubTypes.Type(value = Message.Hello.class, name = "hello"),
+    @JsonSubTypes.Type(value = Message.Rejected.class, name = "turneddown"),
+    @JsonSubTypes.Type(value = Message.Ping.class, name = "ping"),
+    @JsonSubTypes.Type(value = Message.Ack.class, name = "ack"),
+    @JsonSubTypes.Type(value = Message.PingRequest.class, name = "pingfor"),
+    @JsonSubTypes.Type(value = Message.Nack.class, name = "nack"),
+    @JsonSubTypes.Type(value = Message.FullStateExchange.class, name = "exchange"),
+    @JsonSubTypes.Type(value = Message.NameTaken.class, name = "taken"),
+    @JsonSubTypes.Type(value = Message.Prepare.class, name = "prepare"),
+    @JsonSubTypes.Type(value = Message.Promise.class, name = "promise"),
+    @JsonSubTypes.Type(value = Message.Accept.class, name = "accept"),
+    @JsonSubTypes.Type(value = Message.Accepted.class, name = "accepted"),
+    @JsonSubTypes.Type(value = Message.Preempted.class, name = "overruled"),
+    @JsonSubTypes.Type(value = Message.ViewSettled.class, name = "settled"),
+    @JsonSubTypes.Type(value = Message.SettledViewRequest.class, name = "asksettled"),
+    @JsonSubTypes.Type(value = Message.Renew.class, name = "renew"),
+    @JsonSubTypes.Type(value = Message.Renewed.class, name = "renewed"),
+    @JsonSubTypes.Type(value = Message.LatencyExchange.class, name = "latency"),
+    @JsonSubTypes.Type(value = Message.LeaseGranted.class, name = "held"),
+    @JsonSubTypes.Type(value = Message.AgreementProposals.class, name = "offers"),
+    @JsonSubTypes.Type(value = Message.ShardsHandedOver.class, name = "opened")
 })
 public sealed interface Message {
+    /** The protocol version; peers of another are rejected. */
     int VERSION = 2;
-    int MOST_RUMOURS = 2_000;
-    int MOST_OFFERS = 32;
+    /** The most gossip updates or latency readings of one message. */
+    int MAX_LIST_SIZE = 2_000;
+    /** The most agreement proposals of one message. */
+    int MAX_PROPOSALS = 32;
 
-    private static List<GossipUpdate> checked(List<GossipUpdate> rumours) {
-        Member.check(rumours != null && rumours.size() <= MOST_RUMOURS, "rumours");
+    private static List<GossipUpdate> checkedUpdates(List<GossipUpdate> rumours) {
+        Member.check(rumours != null && rumours.size() <= MAX_LIST_SIZE, "rumours");
         return List.copyOf(rumours);
     }
 
-    private static void named(long era, long number) {
+    private static void checkViewId(long era, long number) {
         Member.check(era >= 0 && number >= 0, "a view's number");
     }
 
-    /** First on each connection, in both directions: who speaks, of which fleet, in which version. */
+    /**
+     * The first message on each connection, in both directions: who speaks, of which fleet, in which version.
+     *
+     * @param version the sender's protocol version
+     * @param fleet the fleet's name
+     * @param shards the number of shards; 0 where none are shared
+     * @param mostAloneMs the longest that an operator may act alone, milliseconds; 0 where no shards are shared
+     * @param who the sender
+     */
     record Hello(int version, String fleet, int shards, long mostAloneMs, Member who) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Hello {
             Member.check(who != null && Member.isName(fleet), "a hello");
         }
 
-        /** From one that divides nothing. */
+        /**
+         * Makes the hello of a member that shares no shards.
+         *
+         * @param version the sender's protocol version
+         * @param fleet the fleet's name
+         * @param who the sender
+         */
         public Hello(int version, String fleet, Member who) {
             this(version, fleet, 0, 0, who);
         }
     }
 
-    /** Instead of a hello, and the connection's last. */
-    record Rejected(String why) implements Message {}
+    /**
+     * Answers a hello in place of a hello; the connection's last message.
+     *
+     * @param reason why the peer is rejected
+     */
+    record Rejected(@JsonProperty("why") String reason) implements Message {}
 
     // ---- Failure detection (SWIM) ----
 
-    /** Asks for an ack; era and number name the sender's settled view, in acks too. */
+    /**
+     * Asks for an ack; era and number name the sender's settled view.
+     *
+     * @param seq the ping's number
+     * @param era era of the sender's settled view
+     * @param number number of the sender's settled view
+     * @param rumours gossip updates, most urgent first
+     */
     record Ping(long seq, long era, long number, List<GossipUpdate> rumours) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Ping {
-            named(era, number);
-            rumours = checked(rumours);
+            checkViewId(era, number);
+            rumours = checkedUpdates(rumours);
         }
     }
 
+    /**
+     * Answers a ping; era and number name the sender's settled view.
+     *
+     * @param seq the ping's number
+     * @param era era of the sender's settled view
+     * @param number number of the sender's settled view
+     * @param rumours gossip updates, most urgent first
+     */
     record Ack(long seq, long era, long number, List<GossipUpdate> rumours) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Ack {
-            named(era, number);
-            rumours = checked(rumours);
+            checkViewId(era, number);
+            rumours = checkedUpdates(rumours);
         }
     }
 
-    /** Asks to ping another in the sender's stead. */
+    /**
+     * Asks the receiver to ping another member on the sender's behalf.
+     *
+     * @param seq the number that the ack is to have
+     * @param whom the member to ping
+     * @param rumours gossip updates, most urgent first
+     */
     record PingRequest(long seq, Member whom, List<GossipUpdate> rumours) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public PingRequest {
             Member.check(whom != null, "nobody to ping");
-            rumours = checked(rumours);
+            rumours = checkedUpdates(rumours);
         }
     }
 
-    /** The member asked to ping lives, and the one that it pinged has not answered yet. */
+    /**
+     * Answers a ping request whose target has not answered yet: the receiver of the request itself is alive.
+     *
+     * @param seq the ping request's number
+     */
     record Nack(long seq) implements Message {}
 
-    /** All that the sender believes; one that is no answer asks for the same. */
+    /**
+     * All that the sender believes of all members (anti-entropy).
+     *
+     * @param answer whether this answers an exchange; one that does not asks for the same
+     * @param era era of the sender's settled view
+     * @param number number of the sender's settled view
+     * @param rumours what the sender believes of each member
+     */
     record FullStateExchange(boolean answer, long era, long number, List<GossipUpdate> rumours) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public FullStateExchange {
-            named(era, number);
-            rumours = checked(rumours);
+            checkViewId(era, number);
+            rumours = checkedUpdates(rumours);
         }
     }
 
-    /** To one that starts under the sender's name while the sender lives. */
+    /**
+     * Tells a member that starts under the sender's name, while the sender is alive, that the name is taken.
+     *
+     * @param holder the member that has the name
+     */
     record NameTaken(Member holder) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public NameTaken {
             Member.check(holder != null, "no holder");
         }
     }
 
-    /** Readings of the sender's own and of others; one that is no answer asks for the same, and so measures the way. */
+    /**
+     * Latency readings of the sender's own and of others; with its answer it is a latency probe.
+     *
+     * @param seq the probe's number
+     * @param answer whether this answers a probe; one that does not asks for the same
+     * @param readings the youngest readings that the sender has
+     */
     record LatencyExchange(long seq, boolean answer, List<LatencyReading> readings) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public LatencyExchange {
-            Member.check(readings != null && readings.size() <= MOST_RUMOURS, "readings");
+            Member.check(readings != null && readings.size() <= MAX_LIST_SIZE, "readings");
             readings = List.copyOf(readings);
         }
     }
 
     // ---- Settled views: era and number name the view that the next one is to follow ----
 
+    /**
+     * Paxos phase 1a: asks for a promise.
+     *
+     * @param era the era of the view that the next one is to follow
+     * @param number the number of the view that the next one is to follow; 0 for the founding
+     * @param ballot the proposer's ballot
+     */
     record Prepare(long era, long number, Ballot ballot) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Prepare {
-            named(era, number);
+            checkViewId(era, number);
             Member.check(ballot != null, "no ballot");
         }
     }
 
-    /** Nothing below the ballot will be accepted; with what was accepted before, if anything. */
+    /**
+     * Paxos phase 1b: nothing below the ballot will be accepted.
+     *
+     * @param era the era of the view that the next one is to follow
+     * @param number the number of the view that the next one is to follow; 0 for the founding
+     * @param ballot the ballot that is promised
+     * @param acceptedIn the ballot in which a view was accepted before; null if none was
+     * @param accepted the view that was accepted; null if none was
+     */
     record Promise(long era, long number, Ballot ballot, Ballot acceptedIn, View accepted) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Promise {
-            named(era, number);
+            checkViewId(era, number);
             Member.check(ballot != null && (acceptedIn == null) == (accepted == null), "half a promise");
         }
     }
 
+    /**
+     * Paxos phase 2a: asks to accept a view.
+     *
+     * @param era the era of the view that the next one is to follow
+     * @param number the number of the view that the next one is to follow; 0 for the founding
+     * @param ballot the proposer's ballot
+     * @param view the view that is proposed
+     */
     record Accept(long era, long number, Ballot ballot, View view) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Accept {
-            named(era, number);
+            checkViewId(era, number);
             Member.check(ballot != null && view != null, "nothing to accept");
             Member.check(
                     number == 0 ? view.number() == 1 && view.era() > 0 : view.isNamed(era, number + 1),
@@ -138,72 +237,136 @@
         }
     }
 
+    /**
+     * Paxos phase 2b: the sender has accepted the ballot's view, and has it on disk.
+     *
+     * @param era the era of the view that the next one is to follow
+     * @param number the number of the view that the next one is to follow; 0 for the founding
+     * @param ballot the ballot
+     */
     record Accepted(long era, long number, Ballot ballot) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Accepted {
-            named(era, number);
+            checkViewId(era, number);
             Member.check(ballot != null, "no ballot");
         }
     }
 
+    /**
+     * Answers a prepare or accept whose ballot is below one that was promised.
+     *
+     * @param era the era of the view that the next one is to follow
+     * @param number the number of the view that the next one is to follow; 0 for the founding
+     * @param by the ballot that was promised
+     */
     record Preempted(long era, long number, Ballot by) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Preempted {
-            named(era, number);
+            checkViewId(era, number);
             Member.check(by != null, "no ballot");
         }
     }
 
+    /**
+     * Tells of a view that a quorum has settled.
+     *
+     * @param view the settled view
+     */
     record ViewSettled(View view) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public ViewSettled {
             Member.check(view != null, "no view");
         }
     }
 
-    /** Asks for the settled view, where the asked one has a later one than this. */
+    /**
+     * Asks for the receiver's settled view, where that is a later one than the sender's.
+     *
+     * @param era era of the sender's settled view
+     * @param number number of the sender's settled view
+     */
     record SettledViewRequest(long era, long number) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public SettledViewRequest {
-            named(era, number);
+            checkViewId(era, number);
         }
     }
 
-    // ---- Leases: a member may act on its view for a time after a majority was seen to hold it ----
+    // ---- Leases: a member may act on its view for a time after a quorum was seen to hold it ----
 
+    /**
+     * Asks a member of a view to take part in a lease renewal round.
+     *
+     * @param era the view's era
+     * @param number the view's number
+     * @param round the round's number
+     */
     record Renew(long era, long number, long round) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Renew {
-            named(era, number);
+            checkViewId(era, number);
         }
     }
 
-    /** atUs is the answering member's own monotonic clock; it comes back in LeaseGranted and means nothing to others. */
+    /**
+     * Answers a renewal round.
+     *
+     * @param era the view's era
+     * @param number the view's number
+     * @param round the round's number
+     * @param atUs the answering member's own monotonic clock, microseconds; it comes back in {@link LeaseGranted} and means
+     *     nothing to others
+     */
     record Renewed(long era, long number, long round, long atUs) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Renewed {
-            named(era, number);
+            checkViewId(era, number);
         }
     }
 
-    /** A majority has held the view since a time that was atUs or later on the told member's own clock. */
+    /**
+     * Grants a lease: a quorum has held the view since a time that was atUs or later on the receiver's own clock.
+     *
+     * @param era the view's era
+     * @param number the view's number
+     * @param atUs from when the receiver's lease counts, by its own monotonic clock, microseconds
+     */
     record LeaseGranted(long era, long number, long atUs) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public LeaseGranted {
-            named(era, number);
+            checkViewId(era, number);
         }
     }
 
     // ---- Shards ----
 
-    /** What operators propose and say of it; merged in any order. */
-    record AgreementProposals(List<AgreementProposal> offers) implements Message {
+    /**
+     * Agreements that operators propose, with the answers known so far; merged in any order.
+     *
+     * @param proposals what the sender knows of
+     */
+    record AgreementProposals(@JsonProperty("offers") List<AgreementProposal> proposals) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public AgreementProposals {
-            Member.check(offers != null && offers.size() <= MOST_OFFERS, "offers");
-            offers = List.copyOf(offers);
+            Member.check(proposals != null && proposals.size() <= MAX_PROPOSALS, "offers");
+            proposals = List.copyOf(proposals);
         }
     }
 
-    /** To the operator's own: of these shards, as they moved with these views, all former owners have surely stopped. */
-    record ShardsHandedOver(long era, Map<Integer, Long> numbers) implements Message {
+    /**
+     * Tells the sender's own operator's members for which shards all former owners have certainly stopped.
+     *
+     * @param era the settled view's era
+     * @param viewNumbers by shard: the number of the view that it moved with
+     */
+    record ShardsHandedOver(
+            long era, @JsonProperty("numbers") Map<Integer, Long> viewNumbers) implements Message {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public ShardsHandedOver {
-            Member.check(era >= 0 && numbers != null && numbers.size() <= ShardAssignment.MOST_SHARDS, "shards");
-            numbers.forEach((shard, number) ->
-                    Member.check(shard >= 0 && shard < ShardAssignment.MOST_SHARDS && number > 0, "a shard"));
-            numbers = Map.copyOf(numbers);
+            Member.check(era >= 0 && viewNumbers != null && viewNumbers.size() <= ShardAssignment.MAX_SHARDS, "shards");
+            viewNumbers.forEach((shard, number) ->
+                    Member.check(shard >= 0 && shard < ShardAssignment.MAX_SHARDS && number > 0, "a shard"));
+            viewNumbers = Map.copyOf(viewNumbers);
         }
     }
 }
--- a/src/main/java/hopdrum/fleet/message/ShardAssignment.java
+++ b/src/main/java/hopdrum/fleet/message/ShardAssignment.java
@@ -1,5 +1,6 @@
 package hopdrum.fleet.message;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
@@ -9,16 +10,17 @@
 /**
  * Who owns which shard, as settled with a view.
  *
- * @param asOfMs the wall clock of the one that proposed it
+ * @param asOfMs the wall clock of the member that proposed it, milliseconds
  * @param operators all that own something or are in the fleet, sorted
- * @param owners a character a shard: the owner's place among the operators, from 'A' on; '-' is nobody
- * @param moves the last move of each shard, as far back as it may matter; by shard
+ * @param owners a character a shard: the owner's index among the operators, from 'A' on; '-' is nobody
+ * @param moves the last move of each shard, as far back as it may matter; sorted by shard
  * @param agreement the last that was in force, or is; null before the first
  * @param agreedBy the operators that have agreed to it; of a notice, the one that gave it
  * @param expired whether that one is over
- * @param goneMs since when operators that own something have had no member in the view, by the proposers' wall clocks
+ * @param absentSinceMs since when operators that own something have had no member in the view, by the proposers'
+ *     wall clocks
  * @param epoch the epoch of the last move
- * @param moved how many moved in it
+ * @param movesInEpoch how many moved in it
  */
 public record ShardAssignment(
         long asOfMs,
@@ -28,48 +30,61 @@
         PartnerAgreement agreement,
         List<String> agreedBy,
         boolean expired,
-        Map<String, Long> goneMs,
+        @JsonProperty("goneMs") Map<String, Long> absentSinceMs,
         long epoch,
-        int moved) {
-    /** The longest text that a message may hold, and a character a shard. */
-    public static final int MOST_SHARDS = 256;
+        @JsonProperty("moved") int movesInEpoch) {
+    /** The most shards: a message holds no longer text, and {@code owners} has a character a shard. */
+    public static final int MAX_SHARDS = 256;
 
+    /** The character in {@code owners} of a shard that nobody owns. */
     public static final char NOBODY = '-';
-    private static final int MOST_OPERATORS = 40;
+
+    private static final int MAX_OPERATORS = 40;
 
     /**
      * A shard that changed its owner.
      *
-     * @param from empty where nobody knows who had it
-     * @param number the view that it changed with
+     * @param shard the shard
+     * @param previousOwner empty where nobody knows who had it
+     * @param viewNumber the view that it changed with
+     * @param atMs when, by the proposer's wall clock, milliseconds
      */
-    public record Move(int shard, String from, long number, long atMs) {
+    public record Move(
+            int shard,
+            @JsonProperty("from") String previousOwner,
+            @JsonProperty("number") long viewNumber,
+            long atMs) {
+        /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Move {
             Member.check(
-                    shard >= 0 && shard < MOST_SHARDS && from != null && (from.isEmpty() || Member.isName(from)),
+                    shard >= 0
+                            && shard < MAX_SHARDS
+                            && previousOwner != null
+                            && (previousOwner.isEmpty() || Member.isName(previousOwner)),
                     "a move");
-            Member.check(number > 0, "a move's number");
+            Member.check(viewNumber > 0, "a move's number");
         }
     }
 
+    /** Checks the components; throws IllegalArgumentException where one cannot be. */
     public ShardAssignment {
         Member.check(
                 operators != null
-                        && operators.size() <= MOST_OPERATORS
+                        && operators.size() <= MAX_OPERATORS
                         && operators.stream().allMatch(Member::isName),
                 "operators");
-        Member.check(owners != null && !owners.isEmpty() && owners.length() <= MOST_SHARDS, "owners");
+        Member.check(owners != null && !owners.isEmpty() && owners.length() <= MAX_SHARDS, "owners");
         Member.check(moves != null && moves.size() <= owners.length(), "moves");
-        Member.check(goneMs != null && goneMs.size() <= MOST_OPERATORS, "who is gone");
+        Member.check(absentSinceMs != null && absentSinceMs.size() <= MAX_OPERATORS, "who is gone");
         Member.check(
                 agreedBy != null
-                        && agreedBy.size() <= MOST_OPERATORS
+                        && agreedBy.size() <= MAX_OPERATORS
                         && agreedBy.stream().allMatch(Member::isName),
                 "who agreed");
         operators = List.copyOf(operators);
         agreedBy = List.copyOf(agreedBy);
         moves = List.copyOf(moves);
-        goneMs = Collections.unmodifiableMap(new TreeMap<>(goneMs));
+        absentSinceMs = Collections.unmodifiableMap(new TreeMap<>(absentSinceMs));
         for (int i = 1; i < moves.size(); i++) {
             Member.check(moves.get(i - 1).shard() < moves.get(i).shard(), "moves");
         }
@@ -81,39 +96,66 @@
         }
     }
 
+    /**
+     * Returns the number of shards.
+     *
+     * @return as many as the fleet file sets
+     */
     public int shards() {
         return owners.length();
     }
 
-    /** Null where nobody owns it. */
+    /**
+     * Returns a shard's owner.
+     *
+     * @param shard the shard, from 0
+     * @return the operator; null where nobody owns it
+     */
     public String owner(int shard) {
         return owners.charAt(shard) == NOBODY ? null : operators.get(owners.charAt(shard) - 'A');
     }
 
-    /** Null where it has not moved for as long as matters. */
-    public Move moveOf(int shard) {
-        int from = 0;
-        for (int to = moves.size(); from < to; ) {
-            int middle = (from + to) / 2;
+    /**
+     * Returns a shard's last move.
+     *
+     * @param shard the shard, from 0
+     * @return the move; null where it has not moved for as long as matters
+     */
+    public Move lastMoveOf(int shard) {
+        int low = 0;
+        int high = moves.size();
+        while (low < high) {
+            int middle = (low + high) / 2;
             if (moves.get(middle).shard() < shard) {
-                from = middle + 1;
+                low = middle + 1;
             } else {
-                to = middle;
+                high = middle;
             }
         }
-        return from < moves.size() && moves.get(from).shard() == shard ? moves.get(from) : null;
+        return low < moves.size() && moves.get(low).shard() == shard ? moves.get(low) : null;
     }
 
-    /** Nothing but the time that it was made at is another. */
+    /**
+     * Tells whether another assignment says the same: it may differ in the times and moves that it records.
+     *
+     * @param other the other; may be null
+     * @return true where owners, agreement, expiry and absent operators are the same
+     */
     public boolean isLike(ShardAssignment other) {
         return other != null
                 && owners.equals(other.owners)
                 && operators.equals(other.operators)
                 && expired == other.expired
                 && Objects.equals(agreement, other.agreement)
-                && goneMs.keySet().equals(other.goneMs.keySet());
+                && absentSinceMs.keySet().equals(other.absentSinceMs.keySet());
     }
 
+    /**
+     * Counts an operator's shards.
+     *
+     * @param operator the operator
+     * @return how many it owns
+     */
     public int count(String operator) {
         int count = 0;
         for (int i = 0; i < shards(); i++) {
--- a/src/main/java/hopdrum/fleet/message/package-info.java
+++ b/src/main/java/hopdrum/fleet/message/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What members of a fleet say to each other: plain records, checked as they are made, and their one form as bytes.
- * Nothing here decides anything.
+ * The messages that members of a fleet exchange and the records in them: immutable, checked as they are made, with one
+ * encoding as CBOR. Nothing here decides anything.
  */
 package hopdrum.fleet.message;
--- a/src/main/java/hopdrum/fleet/shards/AgreementNegotiation.java
+++ b/src/main/java/hopdrum/fleet/shards/AgreementNegotiation.java
@@ -14,22 +14,22 @@
 import java.util.TreeMap;
 
 /**
- * What operators propose to each other and say of it, as one member knows it. One member speaks for its operator: the
- * first by name of those that are there. What all parties agree to is put in force with the next view. Not thread-safe.
+ * The negotiation of agreements between operators, as one member knows it: proposals, approvals, rejections and counter
+ * proposals. One member speaks for its operator: the first by name of those that are alive. What all parties approve
+ * comes into force with the next view. Not thread-safe.
  */
 final class AgreementNegotiation {
-    private static final long KEEP_US =
-            60_000_000; // an offer that its own operator has not named for so long is forgotten
+    private static final long PROPOSAL_TTL_US = 60_000_000; // since its own operator last sent it
 
     private final Member self;
     private final ShardAssignmentRule rule;
     private final DecisionLog log;
-    private final Map<PartnerAgreement, AgreementProposal> offers =
-            new LinkedHashMap<>(); // emptied by tick(): what is in force, old or too much
-    private final Map<PartnerAgreement, Long> namedUs = new LinkedHashMap<>(); // the same
-    private Terms terms = Terms.NONE;
-    private PartnerAgreement notice; // that this member has given; null if none
-    private PartnerAgreement countered; // what it said that it would take instead; null if none
+    private final Map<PartnerAgreement, AgreementProposal> proposals =
+            new LinkedHashMap<>(); // tick() removes those in force or expired; bounded by Message.MAX_PROPOSALS
+    private final Map<PartnerAgreement, Long> refreshedUs = new LinkedHashMap<>(); // the same keys
+    private AgreementTerms terms = AgreementTerms.NONE;
+    private PartnerAgreement ownNotice; // the early end that this member proposed; null if none
+    private PartnerAgreement ownCounterProposal; // null if none
 
     AgreementNegotiation(Member self, ShardAssignmentRule rule, DecisionLog log) {
         this.self = self;
@@ -37,197 +37,214 @@
         this.log = log;
     }
 
-    /** What this operator wants and would agree to, from now on. */
-    void follow(Terms now) {
-        terms = now;
-        countered = null;
+    /** Replaces what this operator proposes and would agree to. */
+    void updateTerms(AgreementTerms newTerms) {
+        terms = newTerms;
+        ownCounterProposal = null;
         log.event(
                 "terms",
                 "proposes",
-                now.proposes() == null ? "" : say(now.proposes()),
+                newTerms.proposal() == null ? "" : toLogFields(newTerms.proposal()),
                 "gives_notice",
-                now.givesNotice());
+                newTerms.givesNotice());
     }
 
-    /** What peers are told: of what this operator proposed, only what it still does. */
-    List<AgreementProposal> offers() {
-        return offers.values().stream()
-                .filter(o -> !o.by().equals(self.operator()) || isMine(o.terms()))
+    /** What peers are told: of this operator's own proposals, only those that it still makes. */
+    List<AgreementProposal> proposals() {
+        return proposals.values().stream()
+                .filter(proposal -> !proposal.proposer().equals(self.operator()) || isOwn(proposal.agreement()))
                 .toList();
     }
 
-    private boolean isMine(PartnerAgreement a) {
-        return a.equals(terms.proposes()) || a.equals(notice) || a.equals(countered);
+    private boolean isOwn(PartnerAgreement agreement) {
+        return agreement.equals(terms.proposal())
+                || agreement.equals(ownNotice)
+                || agreement.equals(ownCounterProposal);
     }
 
-    /** Terms that may come in force after this view; null if there are none. */
-    AgreementProposal ready(View view, long nowMs) {
+    /** A proposal that may come into force after this view; null if there is none. All members choose the same one. */
+    AgreementProposal readyProposal(View view, long nowMs) {
         AgreementProposal first = null;
-        for (AgreementProposal o : offers.values()) {
-            if (rule.mayFollow(view, o.terms(), agreedBy(o), nowMs)
+        for (AgreementProposal proposal : proposals.values()) {
+            if (rule.mayComeIntoForce(view, proposal.agreement(), approversOf(proposal), nowMs)
                     && (first == null
-                            || o.terms().toString().compareTo(first.terms().toString()) < 0)) { // the same one at all
-                first = o;
+                            || proposal.agreement()
+                                            .toString()
+                                            .compareTo(first.agreement().toString())
+                                    < 0)) {
+                first = proposal;
             }
         }
         return first;
     }
 
-    static List<String> agreedBy(AgreementProposal offer) {
-        return offer.said().entrySet().stream()
-                .filter(e -> e.getValue().isEmpty())
-                .map(Map.Entry::getKey)
+    static List<String> approversOf(AgreementProposal proposal) {
+        return proposal.answers().keySet().stream()
+                .filter(proposal::isApprovedBy)
                 .toList();
     }
 
-    void heard(Member from, Message.AgreementProposals said, long nowUs) {
-        for (AgreementProposal o : said.offers()) {
-            take(o, from.operator().equals(o.by()), nowUs);
+    void merge(Member from, Message.AgreementProposals received, long nowUs) {
+        for (AgreementProposal proposal : received.proposals()) {
+            merge(proposal, from.operator().equals(proposal.proposer()), nowUs);
         }
     }
 
-    /** @param fromOwn whether its own operator names it: what others pass on does not keep it alive for ever */
-    private void take(AgreementProposal heard, boolean fromOwn, long nowUs) {
-        AgreementProposal known = offers.get(heard.terms());
-        if (known == null && offers.size() >= Message.MOST_OFFERS) {
-            return; // guards against a peer that floods: those that are there go by themselves
+    /** @param fromProposer whether its own operator sends it: only that refreshes its time to live */
+    private void merge(AgreementProposal received, boolean fromProposer, long nowUs) {
+        PartnerAgreement agreement = received.agreement();
+        AgreementProposal known = proposals.get(agreement);
+        if (known == null && proposals.size() >= Message.MAX_PROPOSALS) {
+            return; // guards against a peer that floods: the known ones expire by themselves
         }
-        AgreementProposal now = known == null ? heard : known.merged(heard);
-        if (!now.equals(known)) {
-            offers.put(heard.terms(), now);
+        AgreementProposal merged = known == null ? received : known.merged(received);
+        if (!merged.equals(known)) {
+            proposals.put(agreement, merged);
             log.event(
                     known == null ? "offer" : "offer_said",
                     "terms",
-                    say(heard.terms()),
+                    toLogFields(agreement),
                     "by",
-                    heard.by(),
+                    received.proposer(),
                     "said",
-                    now.said());
+                    merged.answers());
         }
-        if (fromOwn) {
-            namedUs.put(heard.terms(), nowUs);
+        if (fromProposer) {
+            refreshedUs.put(agreement, nowUs);
         } else {
-            namedUs.putIfAbsent(heard.terms(), nowUs);
+            refreshedUs.putIfAbsent(agreement, nowUs);
         }
     }
 
-    /** @param speaks whether this member is its operator's speaker now */
-    void tick(View view, boolean speaks, long nowMs, long nowUs) {
-        PartnerAgreement last = view.division() == null ? null : view.division().agreement();
-        int revision = last == null ? 0 : last.revision();
-        offers.keySet()
-                .removeIf(a -> a.revision() <= revision || a.untilMs() <= nowMs || nowUs - namedUs.get(a) > KEEP_US);
-        namedUs.keySet().retainAll(offers.keySet());
-        if (!speaks) {
+    /** @param isSpeaker whether this member speaks for its operator now */
+    void tick(View view, boolean isSpeaker, long nowMs, long nowUs) {
+        PartnerAgreement inForce =
+                view.shardAssignment() == null ? null : view.shardAssignment().agreement();
+        int revision = inForce == null ? 0 : inForce.revision();
+        removeExpired(revision, nowMs, nowUs);
+        if (!isSpeaker) {
             return;
         }
-        PartnerAgreement mine = terms.proposes();
-        namedUs.replaceAll((a, at) -> isMine(a) ? nowUs : at);
-        if (mine != null
-                && mine.revision() == revision + 1
-                && !offers.containsKey(mine)
-                && mine.faults(nowMs, rule.mostAloneMs()).isEmpty()) {
-            take(new AgreementProposal(mine, self.operator(), Map.of(self.operator(), "")), true, nowUs);
-            agreed(mine);
-        }
-        if (terms.givesNotice()
-                && last != null
-                && last.party(self.operator()) != null
-                && nowMs + last.noticeMs() < last.untilMs()
-                && offers.keySet().stream()
-                        .noneMatch(a -> a.untilMs() <= nowMs + last.noticeMs()
-                                && a.parties().equals(last.parties()))) {
-            PartnerAgreement ends = new PartnerAgreement(
-                    last.name(),
-                    revision + 1,
-                    last.parties(),
-                    last.fromMs(),
-                    nowMs + last.noticeMs(),
-                    last.aloneMs(),
-                    last.standIn(),
-                    last.moves(),
-                    last.epochMs(),
-                    last.noticeMs());
-            notice = ends;
-            take(new AgreementProposal(ends, self.operator(), Map.of(self.operator(), "")), true, nowUs);
-            log.event("gives_notice", "until_ms", ends.untilMs());
-            agreed(ends);
-        }
-        for (AgreementProposal o : List.copyOf(offers.values())) {
-            if (o.terms().party(self.operator()) != null && !o.agrees(self.operator())) {
-                answer(o, revision, nowMs, nowUs);
+        refreshedUs.replaceAll((agreement, atUs) -> isOwn(agreement) ? nowUs : atUs);
+        proposeOwn(revision, nowMs, nowUs);
+        if (terms.givesNotice() && inForce != null && inForce.party(self.operator()) != null) {
+            giveNotice(inForce, nowMs, nowUs);
+        }
+        for (AgreementProposal proposal : List.copyOf(proposals.values())) {
+            if (proposal.agreement().party(self.operator()) != null && !proposal.isApprovedBy(self.operator())) {
+                answer(proposal, revision, nowMs, nowUs);
             }
         }
     }
 
-    private void answer(AgreementProposal offer, int revision, long nowMs, long nowUs) {
-        List<String> why = objections(offer, revision, nowMs);
-        if (why.isEmpty()) {
-            take(offer.with(self.operator(), ""), false, nowUs);
-            agreed(offer.terms());
+    private void removeExpired(int revision, long nowMs, long nowUs) {
+        proposals
+                .keySet()
+                .removeIf(agreement -> agreement.revision() <= revision
+                        || agreement.untilMs() <= nowMs
+                        || nowUs - refreshedUs.get(agreement) > PROPOSAL_TTL_US);
+        refreshedUs.keySet().retainAll(proposals.keySet());
+    }
+
+    private void proposeOwn(int revision, long nowMs, long nowUs) {
+        PartnerAgreement own = terms.proposal();
+        if (own != null
+                && own.revision() == revision + 1
+                && !proposals.containsKey(own)
+                && own.faults(nowMs, rule.maxAloneMs()).isEmpty()) {
+            merge(AgreementProposal.approvedByProposer(own, self.operator()), true, nowUs);
+            logApproval(own);
+        }
+    }
+
+    /** Proposes that the agreement in force ends after its notice period, unless such a proposal is there. */
+    private void giveNotice(PartnerAgreement inForce, long nowMs, long nowUs) {
+        long endMs = nowMs + inForce.noticeMs();
+        boolean isProposed = proposals.keySet().stream()
+                .anyMatch(agreement ->
+                        agreement.untilMs() <= endMs && agreement.parties().equals(inForce.parties()));
+        if (endMs >= inForce.untilMs() || isProposed) {
+            return;
+        }
+        ownNotice = inForce.nextRevisionEndingAt(endMs);
+        merge(AgreementProposal.approvedByProposer(ownNotice, self.operator()), true, nowUs);
+        log.event("gives_notice", "until_ms", ownNotice.untilMs());
+        logApproval(ownNotice);
+    }
+
+    private void answer(AgreementProposal proposal, int revision, long nowMs, long nowUs) {
+        List<String> objections = objections(proposal, revision, nowMs);
+        if (objections.isEmpty()) {
+            merge(proposal.withApproval(self.operator()), false, nowUs);
+            logApproval(proposal.agreement());
             return;
         }
-        String text = String.join("; ", why);
-        if (offer.said().containsKey(self.operator())) {
-            return; // it has been refused already
+        if (proposal.answers().containsKey(self.operator())) {
+            return; // it has been rejected already
+        }
+        String reason = String.join("; ", objections);
+        merge(proposal.withRejection(self.operator(), reason), false, nowUs);
+        log.event("refuses", "terms", toLogFields(proposal.agreement()), "why", reason);
+        if (!proposal.proposer().equals(self.operator())) {
+            proposeCounter(proposal, revision, nowMs, nowUs);
         }
-        take(offer.with(self.operator(), text), false, nowUs);
-        log.event("refuses", "terms", say(offer.terms()), "why", text);
-        PartnerAgreement counter =
-                offer.by().equals(self.operator()) ? null : terms.counter(offer.terms(), self.operator());
+    }
+
+    private void proposeCounter(AgreementProposal proposal, int revision, long nowMs, long nowUs) {
+        PartnerAgreement counter = terms.counterProposal(proposal.agreement(), self.operator());
         if (counter != null
-                && !offers.containsKey(counter)
-                && counter.faults(nowMs, rule.mostAloneMs()).isEmpty()
+                && !proposals.containsKey(counter)
+                && counter.faults(nowMs, rule.maxAloneMs()).isEmpty()
                 && objections(new AgreementProposal(counter, self.operator(), Map.of()), revision, nowMs)
                         .isEmpty()) {
-            countered = counter;
-            take(new AgreementProposal(counter, self.operator(), Map.of(self.operator(), "")), true, nowUs);
-            log.event("counters", "terms", say(counter));
-            agreed(counter);
-        }
-    }
-
-    /** Each names the term that it is about. */
-    private List<String> objections(AgreementProposal offer, int revision, long nowMs) {
-        PartnerAgreement a = offer.terms();
-        List<String> why = new ArrayList<>(a.faults(nowMs, rule.mostAloneMs()));
-        if (a.revision() != revision + 1) {
-            why.add("revision: " + a.revision() + ", where " + revision + " is in force");
-        }
-        for (AgreementProposal other : offers.values()) {
-            if (other.by().equals(offer.by())
-                    && !other.terms().equals(a)
-                    && other.terms().revision() == a.revision()
-                    && other.agrees(self.operator())) {
-                why.add("revision: " + offer.by() + " has proposed another " + a.revision()
+            ownCounterProposal = counter;
+            merge(AgreementProposal.approvedByProposer(counter, self.operator()), true, nowUs);
+            log.event("counters", "terms", toLogFields(counter));
+            logApproval(counter);
+        }
+    }
+
+    /** Why this operator does not approve; each reason names the term that it is about. */
+    private List<String> objections(AgreementProposal proposal, int revision, long nowMs) {
+        PartnerAgreement agreement = proposal.agreement();
+        List<String> reasons = new ArrayList<>(agreement.faults(nowMs, rule.maxAloneMs()));
+        if (agreement.revision() != revision + 1) {
+            reasons.add("revision: " + agreement.revision() + ", where " + revision + " is in force");
+        }
+        for (AgreementProposal other : proposals.values()) {
+            if (other.proposer().equals(proposal.proposer())
+                    && !other.agreement().equals(agreement)
+                    && other.agreement().revision() == agreement.revision()
+                    && other.isApprovedBy(self.operator())) {
+                reasons.add("revision: " + proposal.proposer() + " has proposed another " + agreement.revision()
                         + ", which is agreed to here");
             }
         }
-        why.addAll(terms.objections(a, self.operator(), nowMs));
-        return why;
+        reasons.addAll(terms.objections(agreement, self.operator(), nowMs));
+        return reasons;
     }
 
-    private void agreed(PartnerAgreement to) {
-        log.event("agrees", "terms", say(to));
+    private void logApproval(PartnerAgreement agreement) {
+        log.event("agrees", "terms", toLogFields(agreement));
     }
 
-    /** For the log: all terms, the same at all. */
-    static Map<String, Object> say(PartnerAgreement a) {
+    /** All terms of an agreement, in the same form at all members. */
+    static Map<String, Object> toLogFields(PartnerAgreement agreement) {
         Map<String, Object> parties = new TreeMap<>();
-        for (Party p : a.parties()) {
-            parties.put(p.operator(), List.of(p.brings(), p.owed(), p.floor()));
-        }
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("name", a.name());
-        all.put("revision", a.revision());
-        all.put("parties", parties);
-        all.put("from_ms", a.fromMs());
-        all.put("until_ms", a.untilMs());
-        all.put("alone_ms", a.aloneMs());
-        all.put("stand_in", a.standIn());
-        all.put("moves", a.moves());
-        all.put("epoch_ms", a.epochMs());
-        all.put("notice_ms", a.noticeMs());
-        return all;
+        for (Party party : agreement.parties()) {
+            parties.put(party.operator(), List.of(party.capacity(), party.share(), party.floor()));
+        }
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("name", agreement.name());
+        fields.put("revision", agreement.revision());
+        fields.put("parties", parties);
+        fields.put("from_ms", agreement.fromMs());
+        fields.put("until_ms", agreement.untilMs());
+        fields.put("alone_ms", agreement.aloneMs());
+        fields.put("stand_in", agreement.standIn());
+        fields.put("moves", agreement.maxMovesPerEpoch());
+        fields.put("epoch_ms", agreement.epochMs());
+        fields.put("notice_ms", agreement.noticeMs());
+        return fields;
     }
 }
--- a/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
@@ -24,39 +24,50 @@
 import java.util.function.LongSupplier;
 
 /**
- * One member's part in what partners split: it speaks for its operator where it is the first of it, lets the council settle
- * who owns what, and says what this front door may act on. Not thread-safe. Times are microseconds of one monotonic clock;
- * agreements alone are by the wall clock.
+ * One member's part in sharing customers with partners: it negotiates agreements for its operator where it is that one's
+ * first member, assigns shards with each view that is proposed, and tells which shards this front door may act on. Not
+ * thread-safe. Times are microseconds of one monotonic clock; agreements alone are by the wall clock.
  */
 public final class ShardCoordinator implements ShardAssigner {
-    private static final int TOLD = 3; // peers that are told of offers, each period
-    private static final int OPENED_PERIODS = 5;
-    private static final int TELL_TAKERS_PERIODS = 3;
+    private static final int PROPOSAL_FANOUT = 3; // peers that are sent the proposals, each period
+    private static final int HAND_OVER_REPEAT_PERIODS = 5;
+    private static final int RECEIVER_NOTICE_PERIODS = 3;
 
     private final Member self;
     private final FleetTiming timing;
-    private final ShardAssignmentRule rule;
+    private final ShardAssignmentRule assignmentRule;
     private final SplittableRandom random;
     private final MessageSender out;
     private final DecisionLog log;
     private final LongSupplier wallMs;
     private final AgreementNegotiation negotiation;
-    private final ShardLeases ownership;
+    private final ShardLeases leases;
     private View view = View.NONE;
-    private FailureDetector reach;
-    private long nextTellUs;
-    private long nextOpenedUs;
-    private long tellTakersUntilUs = Long.MIN_VALUE / 2;
-    private long nextTakersUs;
-    private Map<Integer, Long> openedSaid = Map.of();
-    private String said = "";
-    private long saidUntilUs;
+    private FailureDetector failureDetector;
+    private long nextProposalsUs;
+    private long nextHandOversUs;
+    private Map<Integer, Long> sentHandOvers = Map.of();
+    private long notifyReceiversUntilUs = Long.MIN_VALUE / 2;
+    private long nextNotifyReceiversUs;
+    private String loggedActiveShards = "";
+    private long loggedUntilUs;
 
-    /** @param wallMs the wall clock, milliseconds */
+    /**
+     * Makes the coordinator of one member.
+     *
+     * @param self this member
+     * @param shards the number of shards
+     * @param maxAloneMs the longest that an agreement may let an operator act alone, milliseconds
+     * @param timing the fleet's times
+     * @param random chooses the peers that proposals are sent to
+     * @param out sends messages to peers
+     * @param log takes what is decided
+     * @param wallMs the wall clock, milliseconds
+     */
     public ShardCoordinator(
             Member self,
             int shards,
-            long mostAloneMs,
+            long maxAloneMs,
             FleetTiming timing,
             SplittableRandom random,
             MessageSender out,
@@ -64,213 +75,287 @@
             LongSupplier wallMs) {
         this.self = self;
         this.timing = timing;
-        this.rule = new ShardAssignmentRule(shards, mostAloneMs);
+        this.assignmentRule = new ShardAssignmentRule(shards, maxAloneMs);
         this.random = random;
         this.out = out;
         this.log = log;
         this.wallMs = wallMs;
-        this.negotiation = new AgreementNegotiation(self, rule, log);
-        this.ownership = new ShardLeases(self, timing, mostAloneMs * 1000);
+        this.negotiation = new AgreementNegotiation(self, assignmentRule, log);
+        this.leases = new ShardLeases(self, timing, maxAloneMs * 1000);
     }
 
-    /** Whom this member believes to be there. */
+    /**
+     * Sets the failure detector; before anything else is called.
+     *
+     * @param who tells which members are believed to be alive
+     */
     public void watches(FailureDetector who) {
-        reach = who;
+        failureDetector = who;
     }
 
-    public void follow(Terms terms) {
-        negotiation.follow(terms);
+    /**
+     * Replaces what this operator proposes and would agree to.
+     *
+     * @param terms the operator's terms from now on
+     */
+    public void updateTerms(AgreementTerms terms) {
+        negotiation.updateTerms(terms);
     }
 
-    // ---- What the council asks ----
+    // ---- View consensus ----
 
     @Override
     public ShardAssignment next(View before, List<Member> members) {
         Set<String> present = new TreeSet<>();
-        members.forEach(m -> present.add(m.operator()));
-        long now = wallMs.getAsLong();
-        AgreementProposal ready = negotiation.ready(before, now);
-        ShardAssignment next = rule.next(
+        members.forEach(member -> present.add(member.operator()));
+        long nowMs = wallMs.getAsLong();
+        AgreementProposal ready = negotiation.readyProposal(before, nowMs);
+        ShardAssignment next = assignmentRule.next(
                 before,
                 present,
-                ready == null ? null : ready.terms(),
-                ready == null ? List.of() : AgreementNegotiation.agreedBy(ready),
-                now);
-        return next.isLike(before.division()) ? before.division() : next;
+                ready == null ? null : ready.agreement(),
+                ready == null ? List.of() : AgreementNegotiation.approversOf(ready),
+                nowMs);
+        return next.isLike(before.shardAssignment()) ? before.shardAssignment() : next;
     }
 
     @Override
     public String objection(View before, View proposed) {
-        boolean same = proposed.division() != null && proposed.division().equals(before.division());
-        return same
-                        && rule.next(before, proposed.operators(), null, List.of(), wallMs.getAsLong())
-                                .goneMs()
-                                .keySet()
-                                .equals(before.division().goneMs().keySet())
+        long nowMs = wallMs.getAsLong();
+        return keepsAssignment(before, proposed, nowMs)
                 ? null
-                : rule.objection(before, proposed, wallMs.getAsLong());
+                : assignmentRule.violation(before, proposed, nowMs).orElse(null);
+    }
+
+    /** Whether a proposed view has the same assignment, and the same operators are absent from it. */
+    private boolean keepsAssignment(View before, View proposed, long nowMs) {
+        ShardAssignment current = before.shardAssignment();
+        if (proposed.shardAssignment() == null || !proposed.shardAssignment().equals(current)) {
+            return false;
+        }
+        ShardAssignment next = assignmentRule.next(before, proposed.operators(), null, List.of(), nowMs);
+        return next.absentSinceMs().keySet().equals(current.absentSinceMs().keySet());
     }
 
     @Override
-    public void settled(View now, long nowUs) {
+    public void settled(View settled, long nowUs) {
         View before = view;
-        view = now;
-        ownership.adopted(now, nowUs);
-        ShardAssignment d = now.division();
-        if (d == null) {
+        view = settled;
+        leases.adopt(settled, nowUs);
+        ShardAssignment assignment = settled.shardAssignment();
+        if (assignment == null) {
             return;
         }
-        if (!d.isLike(before.division())) {
-            log.event(
-                    "division",
-                    "era",
-                    now.era(),
-                    "number",
-                    now.number(),
-                    "operators",
-                    d.operators(),
-                    "owners",
-                    d.owners(),
-                    "agreement",
-                    d.agreement() == null ? Map.of() : AgreementNegotiation.say(d.agreement()),
-                    "agreed_by",
-                    d.agreedBy(),
-                    "expired",
-                    d.expired(),
-                    "gone",
-                    d.goneMs().keySet(),
-                    "as_of_ms",
-                    d.asOfMs());
+        if (!assignment.isLike(before.shardAssignment())) {
+            logAssignment(assignment);
         }
-        tellTakersUntilUs = nowUs + TELL_TAKERS_PERIODS * timing.periodUs();
-        tellTakers(nowUs);
+        notifyReceiversUntilUs = nowUs + RECEIVER_NOTICE_PERIODS * timing.periodUs();
+        notifyReceivers(nowUs);
+    }
+
+    private void logAssignment(ShardAssignment assignment) {
+        log.event(
+                "division",
+                "era",
+                view.era(),
+                "number",
+                view.number(),
+                "operators",
+                assignment.operators(),
+                "owners",
+                assignment.owners(),
+                "agreement",
+                assignment.agreement() == null ? Map.of() : AgreementNegotiation.toLogFields(assignment.agreement()),
+                "agreed_by",
+                assignment.agreedBy(),
+                "expired",
+                assignment.expired(),
+                "gone",
+                assignment.absentSinceMs().keySet(),
+                "as_of_ms",
+                assignment.asOfMs());
     }
 
-    /** At once, and some times again, since messages get lost: they wait for this member's word that it has stopped. */
-    private void tellTakers(long nowUs) {
-        nextTakersUs = nowUs + timing.periodUs() / 2;
-        ShardAssignment d = view.division();
-        Set<String> takers = new TreeSet<>();
-        for (Move m : d.moves()) {
-            if (m.number() == view.number() && m.from().equals(self.operator()) && d.owner(m.shard()) != null) {
-                takers.add(d.owner(m.shard()));
+    /**
+     * Tells the receivers of this operator's former shards that this member holds the view, and so has stopped: they wait
+     * for that. Repeated, since messages get lost.
+     */
+    private void notifyReceivers(long nowUs) {
+        nextNotifyReceiversUs = nowUs + timing.periodUs() / 2;
+        ShardAssignment assignment = view.shardAssignment();
+        Set<String> receivers = new TreeSet<>();
+        for (Move move : assignment.moves()) {
+            String receiver = assignment.owner(move.shard());
+            if (move.viewNumber() == view.number()
+                    && move.previousOwner().equals(self.operator())
+                    && receiver != null) {
+                receivers.add(receiver);
             }
         }
-        for (Member m : view.members()) {
-            if (takers.contains(m.operator())) {
-                out.send(m.address(), new Message.ViewSettled(view));
+        for (Member member : view.members()) {
+            if (receivers.contains(member.operator())) {
+                out.send(member.address(), new Message.ViewSettled(view));
             }
         }
     }
 
-    // ---- What peers say ----
+    // ---- Messages ----
 
+    /**
+     * Takes a peer's word on which view it holds.
+     *
+     * @param from the peer
+     * @param era its settled view's era
+     * @param number its settled view's number
+     */
     public void heard(Member from, long era, long number) {
-        ownership.heard(from, era, number);
+        leases.acknowledged(from, era, number);
     }
 
-    public void heard(Member from, Message.AgreementProposals said, long nowUs) {
-        negotiation.heard(from, said, nowUs);
+    /**
+     * Merges agreement proposals that a peer knows of.
+     *
+     * @param from the peer
+     * @param received its message
+     * @param nowUs the time, microseconds
+     */
+    public void heard(Member from, Message.AgreementProposals received, long nowUs) {
+        negotiation.merge(from, received, nowUs);
     }
 
-    public void heard(Member from, Message.ShardsHandedOver said, long nowUs) {
+    /**
+     * Merges completed hand-overs that a member of the same operator knows of; those of others are ignored.
+     *
+     * @param from the peer
+     * @param received its message
+     * @param nowUs the time, microseconds
+     */
+    public void heard(Member from, Message.ShardsHandedOver received, long nowUs) {
         if (from.operator().equals(self.operator())) {
-            ownership.heard(said, nowUs);
+            leases.merge(received, nowUs);
         }
     }
 
-    // ---- In the course of time ----
+    // ---- Timer ----
 
+    /**
+     * Does what is due; called some times each period.
+     *
+     * @param nowUs the time, microseconds
+     */
     public void tick(long nowUs) {
-        for (Member m : reach.left()) {
-            ownership.left(m);
+        for (Member member : failureDetector.left()) {
+            leases.left(member);
         }
-        if (nowUs < tellTakersUntilUs && nowUs >= nextTakersUs) {
-            tellTakers(nowUs);
+        if (nowUs < notifyReceiversUntilUs && nowUs >= nextNotifyReceiversUs) {
+            notifyReceivers(nowUs);
         }
-        negotiation.tick(view, speaks(), wallMs.getAsLong(), nowUs);
-        List<Member> peers = reach.present();
-        peers.removeIf(m -> m.is(self));
-        if (nowUs >= nextTellUs && !peers.isEmpty()) {
-            nextTellUs = nowUs + timing.periodUs();
-            if (!negotiation.offers().isEmpty()) {
-                for (int i = 0; i < TOLD; i++) {
-                    out.send(
-                            peers.get(random.nextInt(peers.size())).address(),
-                            new Message.AgreementProposals(negotiation.offers()));
-                }
-            }
+        negotiation.tick(view, isSpeaker(), wallMs.getAsLong(), nowUs);
+        List<Member> peers = failureDetector.present();
+        peers.removeIf(member -> member.is(self));
+        sendProposals(peers, nowUs);
+        sendHandOvers(peers, nowUs);
+    }
+
+    private void sendProposals(List<Member> peers, long nowUs) {
+        if (nowUs < nextProposalsUs || peers.isEmpty()) {
+            return;
+        }
+        nextProposalsUs = nowUs + timing.periodUs();
+        List<AgreementProposal> proposals = negotiation.proposals();
+        for (int i = 0; i < PROPOSAL_FANOUT && !proposals.isEmpty(); i++) {
+            out.send(peers.get(random.nextInt(peers.size())).address(), new Message.AgreementProposals(proposals));
         }
-        Map<Integer, Long> opened = ownership.opened();
-        if (!opened.isEmpty() && (!opened.equals(openedSaid) || nowUs >= nextOpenedUs)) {
-            nextOpenedUs = nowUs + OPENED_PERIODS * timing.periodUs();
-            openedSaid = opened;
-            for (Member m : peers) {
-                if (m.operator().equals(self.operator())) {
-                    out.send(m.address(), new Message.ShardsHandedOver(view.era(), opened));
-                }
+    }
+
+    private void sendHandOvers(List<Member> peers, long nowUs) {
+        Map<Integer, Long> handedOver = leases.handedOver();
+        if (handedOver.isEmpty() || (handedOver.equals(sentHandOvers) && nowUs < nextHandOversUs)) {
+            return;
+        }
+        nextHandOversUs = nowUs + HAND_OVER_REPEAT_PERIODS * timing.periodUs();
+        sentHandOvers = handedOver;
+        for (Member member : peers) {
+            if (member.operator().equals(self.operator())) {
+                out.send(member.address(), new Message.ShardsHandedOver(view.era(), handedOver));
             }
         }
     }
 
-    /** The first by name of its operator's, of those in the view that are there. */
-    private boolean speaks() {
-        for (Member m : view.members()) {
-            if (m.operator().equals(self.operator()) && (m.is(self) || reach.state(m.name()) == State.ALIVE)) {
-                return m.is(self);
+    /** Whether this member is the first by name of its operator's that are in the view and alive. */
+    private boolean isSpeaker() {
+        for (Member member : view.members()) {
+            if (member.operator().equals(self.operator())
+                    && (member.is(self) || failureDetector.state(member.name()) == State.ALIVE)) {
+                return member.is(self);
             }
         }
         return false;
     }
 
-    // ---- What is asked ----
+    // ---- Published state ----
 
-    /** The front doors that RPCs may be passed on to, by operator: in the view, believed to be there, not this one. */
-    public Map<String, List<ShardOwnership.PartnerEndpoint>> doors() {
-        Map<String, List<ShardOwnership.PartnerEndpoint>> doors = new TreeMap<>();
-        for (Member m : view.members()) {
-            State state = reach.state(m.name());
-            if (!m.is(self) && m.serves() != null && (state == State.ALIVE || state == State.SUSPECT)) {
-                doors.computeIfAbsent(m.operator(), o -> new ArrayList<>())
-                        .add(new ShardOwnership.PartnerEndpoint(m.name() + "/" + m.start(), m.site(), m.serves()));
+    /**
+     * Returns the front doors that RPCs may be forwarded to.
+     *
+     * @return by operator: all others in the view that take RPCs from partners and are believed to be there
+     */
+    public Map<String, List<ShardOwnership.PartnerEndpoint>> partnerEndpoints() {
+        Map<String, List<ShardOwnership.PartnerEndpoint>> endpoints = new TreeMap<>();
+        for (Member member : view.members()) {
+            State state = failureDetector.state(member.name());
+            if (!member.is(self) && member.serves() != null && (state == State.ALIVE || state == State.SUSPECT)) {
+                endpoints
+                        .computeIfAbsent(member.operator(), operator -> new ArrayList<>())
+                        .add(new ShardOwnership.PartnerEndpoint(
+                                member.name() + "/" + member.start(), member.site(), member.serves()));
             }
         }
-        return doors;
+        return endpoints;
     }
 
     /**
-     * What this front door may act on, and whom to ask for the rest; null before the first division. Logged where it is another
-     * than before, so that who acted on a shard, and until when, can be told from the log alone.
+     * Returns what this front door may act on, and where to forward the rest. Logged where it has changed, so that who
+     * acted on a shard, and until when, can be told from the log alone.
      *
+     * @param viewLeases this member's leases on the view
      * @param operators tiers by number, from 1 on
-     * @param offsetUs what the snapshot's clock is ahead of this one
-     * @param leaves whether this member has said good-bye: then it acts on nothing
+     * @param isLeaving whether this member has left: then it acts on nothing
+     * @param offsetUs what the table's clock is ahead of this one, microseconds
+     * @param nowUs the time, microseconds
+     * @return the table; null before the first assignment
      */
-    public ShardTable table(Leases leases, List<String> operators, boolean leaves, long offsetUs, long nowUs) {
-        long since = leaves ? Long.MIN_VALUE / 2 : leases.sinceUs(nowUs);
-        ShardLeases.Rights rights = ownership.rights(since, nowUs, wallMs.getAsLong() * 1000);
-        if (rights == null) {
+    public ShardTable table(Leases viewLeases, List<String> operators, boolean isLeaving, long offsetUs, long nowUs) {
+        long sinceUs = isLeaving ? Long.MIN_VALUE / 2 : viewLeases.sinceUs(nowUs);
+        ShardLeases.Snapshot snapshot = leases.snapshot(sinceUs, nowUs, wallMs.getAsLong() * 1000);
+        if (snapshot == null) {
             return null;
         }
-        String acts = ShardTable.of(rights, self.operator(), operators, Set.of(), 0, 0)
-                .acts(nowUs);
-        long until = acts.indexOf('x') < 0 ? 0 : Math.max(0, rights.untilUs());
-        if (!acts.equals(said) || until != saidUntilUs) {
-            said = acts;
-            saidUntilUs = until;
-            log.event(
-                    "acts",
-                    "era",
-                    view.era(),
-                    "number",
-                    view.number(),
-                    "operator",
-                    self.operator(),
-                    "on",
-                    acts,
-                    "until_us",
-                    until);
+        logActiveShardsIfChanged(snapshot, operators, nowUs);
+        return ShardTable.of(
+                snapshot, self.operator(), operators, partnerEndpoints().keySet(), timing.periodUs(), offsetUs);
+    }
+
+    private void logActiveShardsIfChanged(ShardLeases.Snapshot snapshot, List<String> operators, long nowUs) {
+        String active = ShardTable.of(snapshot, self.operator(), operators, Set.of(), 0, 0)
+                .activeShards(nowUs);
+        long untilUs = active.indexOf(ShardTable.ACTIVE) < 0 ? 0 : Math.max(0, snapshot.untilUs());
+        if (active.equals(loggedActiveShards) && untilUs == loggedUntilUs) {
+            return;
         }
-        return ShardTable.of(rights, self.operator(), operators, doors().keySet(), timing.periodUs(), offsetUs);
+        loggedActiveShards = active;
+        loggedUntilUs = untilUs;
+        log.event(
+                "acts",
+                "era",
+                view.era(),
+                "number",
+                view.number(),
+                "operator",
+                self.operator(),
+                "on",
+                active,
+                "until_us",
+                untilUs);
     }
 }
--- a/src/main/java/hopdrum/fleet/shards/ShardLeases.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardLeases.java
@@ -12,243 +12,258 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableMap;
 import java.util.Objects;
 import java.util.TreeMap;
 
 /**
  * Which shards this member may act on as their owner's, and from when until when, by its own monotonic clock. It stops by
- * its lease, a longer one where the agreement lets an operator go on alone; and it starts on a shard that came from another
- * operator once each front door of that one has said that it holds a later view, or surely has stopped by its lease and by
- * any drift allowed. docs/fleet.md derives why two operators never act on one shard at once. Not thread-safe.
+ * its lease, or a longer one where the agreement lets an operator act alone. It starts on a shard that came from another
+ * operator once each front door of that operator has acknowledged a later view, or has certainly stopped by its lease and
+ * any clock drift allowed. docs/shards.md derives why two operators never act on one shard at once. Not thread-safe.
  */
 final class ShardLeases {
-    private static final long PAST = Long.MIN_VALUE / 2;
-    private static final int MOST_ADOPTED = 64;
+    private static final long PAST_US = Long.MIN_VALUE / 2;
+    private static final long NEVER_US = Long.MAX_VALUE;
+    private static final int MAX_VIEW_HISTORY = 64;
 
     /** One start of another operator's front door. */
-    private static final class Door {
+    private static final class PartnerMember {
         final Member member;
-        long lastIn; // the last view seen that had it
-        long droppedUs = Long.MAX_VALUE; // when a view without it was seen
-        long heard; // the latest view that it has said it holds
-        boolean over; // it left, or its store's next start has spoken
+        long lastViewNumber; // the last view seen that had it
+        long droppedUs = NEVER_US; // when a view without it was seen
+        long acknowledgedNumber; // the latest view that it has said it holds
+        boolean hasStopped; // it left, or its store's next start has spoken
 
-        Door(Member member) {
+        PartnerMember(Member member) {
             this.member = member;
         }
     }
 
+    /** A view as it was adopted here. */
+    private record AdoptedView(long atUs, ShardAssignment assignment) {}
+
     private final Member self;
     private final FleetTiming timing;
-    private final long mostAloneUs;
-    private final Map<Long, Door> doors = new HashMap<>(); // by start and name's hash; emptied once surely stopped
-    private final TreeMap<Long, Adopted> adopted = new TreeMap<>(); // by number; the last 64
-    private final Map<Integer, Long> opened =
-            new HashMap<>(); // shard: the number of the move that it is open for; bounded by shards
-    private final Map<Integer, Long> openedUs =
-            new HashMap<>(); // shard: when it opened here, or was said to be; the same
+    private final long maxAloneUs;
+    private final Map<Long, PartnerMember> partners = new HashMap<>(); // by memberKey(); removed once certainly stopped
+    private final NavigableMap<Long, AdoptedView> history = new TreeMap<>(); // by number; bounded by MAX_VIEW_HISTORY
+    private final Map<Integer, Long> handedOver = new HashMap<>(); // by shard: number of the view that moved it here
+    private final Map<Integer, Long> handedOverUs = new HashMap<>(); // by shard: when it was, or was said to be
     private View view = View.NONE;
-    private long firstNumber; // what came before it is not known here
+    private long firstNumber; // who owned what before this view is not known here
     private long longestAloneUs;
 
-    /** A view as it was adopted here. */
-    private record Adopted(long atUs, ShardAssignment division) {}
-
-    ShardLeases(Member self, FleetTiming timing, long mostAloneUs) {
+    ShardLeases(Member self, FleetTiming timing, long maxAloneUs) {
         this.self = self;
         this.timing = timing;
-        this.mostAloneUs = mostAloneUs;
+        this.maxAloneUs = maxAloneUs;
     }
 
-    /** How long after its last word to the fleet a front door may still act, and any clock's drift. */
-    private long spanUs(long aloneUs) {
+    /** How long after its last contact with the fleet a front door may still act, with any clock's drift. */
+    private long lapseUs(long aloneUs) {
         long us = Math.max(timing.leaseUs(), aloneUs);
         return us + us * 2 * FleetTiming.MOST_DRIFT / 100;
     }
 
-    long aloneUs() {
-        PartnerAgreement terms =
-                view.division() == null ? null : view.division().agreement();
-        return terms == null ? 0 : Math.min(mostAloneUs, terms.aloneMs() * 1000);
+    private long aloneUs() {
+        PartnerAgreement agreement =
+                view.shardAssignment() == null ? null : view.shardAssignment().agreement();
+        return agreement == null ? 0 : Math.min(maxAloneUs, agreement.aloneMs() * 1000);
     }
 
-    void adopted(View now, long nowUs) {
-        if (now.era() != view.era()) {
-            adopted.clear();
-            doors.clear();
-            opened.clear();
-            firstNumber = now.number() == 1 ? 0 : now.number();
-        } else if (now.number() > view.number() + 1) {
-            firstNumber = now.number(); // views between were never seen, nor who was in them
+    /** A view is settled here from now on. */
+    void adopt(View settled, long nowUs) {
+        if (settled.era() != view.era()) {
+            history.clear();
+            partners.clear();
+            handedOver.clear();
+            firstNumber = settled.number() == 1 ? 0 : settled.number();
+        } else if (settled.number() > view.number() + 1) {
+            firstNumber = settled.number(); // views between were never seen, nor who was in them
         }
-        view = now;
-        adopted.put(now.number(), new Adopted(nowUs, now.division()));
-        if (adopted.size() > MOST_ADOPTED) {
-            adopted.pollFirstEntry();
+        view = settled;
+        history.put(settled.number(), new AdoptedView(nowUs, settled.shardAssignment()));
+        if (history.size() > MAX_VIEW_HISTORY) {
+            history.pollFirstEntry();
         }
         longestAloneUs = Math.max(longestAloneUs, aloneUs());
-        for (Member m : now.members()) {
-            if (!m.operator().equals(self.operator())) {
-                Door d = doors.computeIfAbsent(key(m), k -> new Door(m));
-                d.lastIn = now.number();
-                d.droppedUs = Long.MAX_VALUE; // one start may be dropped and taken in again
-            }
+        updatePartners(nowUs);
+        if (settled.shardAssignment() != null) {
+            handedOver.keySet().removeIf(shard -> settled.shardAssignment().lastMoveOf(shard) == null);
+            handedOverUs.keySet().retainAll(handedOver.keySet());
         }
-        for (Door d : doors.values()) {
-            if (d.lastIn < now.number()) {
-                d.droppedUs = Math.min(d.droppedUs, nowUs);
+    }
+
+    private void updatePartners(long nowUs) {
+        for (Member member : view.members()) {
+            if (!member.operator().equals(self.operator())) {
+                PartnerMember partner = partners.computeIfAbsent(memberKey(member), key -> new PartnerMember(member));
+                partner.lastViewNumber = view.number();
+                partner.droppedUs = NEVER_US; // one start may be dropped and taken in again
             }
         }
-        doors.values().removeIf(d -> d.droppedUs != Long.MAX_VALUE && nowUs - d.droppedUs > 2 * spanUs(mostAloneUs));
-        if (now.division() != null) {
-            opened.keySet().removeIf(shard -> now.division().moveOf(shard) == null);
-            openedUs.keySet().retainAll(opened.keySet());
+        for (PartnerMember partner : partners.values()) {
+            if (partner.lastViewNumber < view.number()) {
+                partner.droppedUs = Math.min(partner.droppedUs, nowUs);
+            }
         }
+        long forgetUs = 2 * lapseUs(maxAloneUs);
+        partners.values().removeIf(partner -> partner.droppedUs != NEVER_US && nowUs - partner.droppedUs > forgetUs);
     }
 
-    private static long key(Member m) {
-        return m.start() * 31 + m.name().hashCode();
+    private static long memberKey(Member member) {
+        return member.start() * 31 + member.name().hashCode();
     }
 
     /** A peer has said which view it holds. */
-    void heard(Member from, long era, long number) {
+    void acknowledged(Member from, long era, long number) {
         if (era != view.era()) {
             return;
         }
-        Door d = doors.get(key(from));
-        if (d != null) {
-            d.heard = Math.max(d.heard, number);
+        PartnerMember partner = partners.get(memberKey(from));
+        if (partner != null) {
+            partner.acknowledgedNumber = Math.max(partner.acknowledgedNumber, number);
         }
-        for (Door other : doors.values()) { // one store serves one process: that before has ended
-            other.over |= other.member.name().equals(from.name())
+        for (PartnerMember other : partners.values()) { // one store serves one process: the one before has ended
+            other.hasStopped |= other.member.name().equals(from.name())
                     && other.member.voter() == from.voter()
                     && other.member.start() < from.start();
         }
     }
 
-    /** It has said good-bye, and acts on nothing from then on. */
+    /** A member has left gracefully: it acts on nothing from then on. */
     void left(Member member) {
-        Door d = doors.get(key(member));
-        if (d != null) {
-            d.over = true;
+        PartnerMember partner = partners.get(memberKey(member));
+        if (partner != null) {
+            partner.hasStopped = true;
         }
     }
 
-    void heard(Message.ShardsHandedOver said, long nowUs) {
-        if (said.era() == view.era()) {
-            said.numbers().forEach((shard, number) -> {
-                if (opened.getOrDefault(shard, 0L) < number) {
-                    opened.put(shard, number);
-                    openedUs.put(shard, nowUs);
+    /** A member of this one's operator knows of shards whose former owners have stopped. */
+    void merge(Message.ShardsHandedOver received, long nowUs) {
+        if (received.era() == view.era()) {
+            received.viewNumbers().forEach((shard, number) -> {
+                if (handedOver.getOrDefault(shard, 0L) < number) {
+                    handedOver.put(shard, number);
+                    handedOverUs.put(shard, nowUs);
                 }
             });
         }
     }
 
-    /** By shard, with which view it moved, of those whose former owners have surely stopped. */
-    Map<Integer, Long> opened() {
-        return Map.copyOf(opened);
+    /** By shard, with which view it moved, of those whose former owners have certainly stopped. */
+    Map<Integer, Long> handedOver() {
+        return Map.copyOf(handedOver);
     }
 
-    /** From when on the shard's former owners have surely stopped; in the past where they have. */
-    private long opensUs(Move move) {
-        if (opened.getOrDefault(move.shard(), 0L) >= move.number()) {
-            return PAST;
+    /** From when on the shard's former owners have certainly stopped; in the past where they have. */
+    private long startUs(Move move) {
+        if (handedOver.getOrDefault(move.shard(), 0L) >= move.viewNumber()) {
+            return PAST_US;
         }
-        Map.Entry<Long, Adopted> at = adopted.ceilingEntry(move.number());
-        long atUs = (at == null ? adopted.lastEntry() : at).getValue().atUs;
-        if (move.from().isEmpty()
-                || firstNumber >= move.number()
-                || (adopted.firstKey() >= move.number() && firstNumber > 0)) {
-            return atUs + spanUs(mostAloneUs); // who had it, and until when, was never seen here
+        Map.Entry<Long, AdoptedView> moved = history.ceilingEntry(move.viewNumber());
+        long movedUs = (moved == null ? history.lastEntry() : moved).getValue().atUs;
+        if (move.previousOwner().isEmpty()
+                || firstNumber >= move.viewNumber()
+                || (history.firstKey() >= move.viewNumber() && firstNumber > 0)) {
+            return movedUs + lapseUs(maxAloneUs); // who had it, and until when, was never seen here
         }
-        long opens = PAST;
-        for (Door d : doors.values()) {
-            if (!d.over && d.heard < move.number() && mayHold(d, move)) {
-                opens = Math.max(opens, Math.min(d.droppedUs, atUs) + spanUs(longestAloneUs));
+        long startUs = PAST_US;
+        for (PartnerMember partner : partners.values()) {
+            if (!partner.hasStopped && partner.acknowledgedNumber < move.viewNumber() && mayHold(partner, move)) {
+                startUs = Math.max(startUs, Math.min(partner.droppedUs, movedUs) + lapseUs(longestAloneUs));
             }
         }
-        return opens;
+        return startUs;
     }
 
     /**
-     * Whether its operator had the shard by any view that it may still be on. Guards a shard that moves twice: the owner
-     * before the last may be cut off and act on, while the last one, which never began, has stopped at once.
+     * Whether the partner's operator owned the shard by any view that the partner may still be on. Guards a shard that
+     * moves twice: the owner before the last may be cut off and act on, while the last one, which never began, has
+     * stopped at once.
      */
-    private boolean mayHold(Door d, Move move) {
-        Long from = adopted.floorKey(d.heard);
-        for (Adopted a : adopted.subMap(from == null ? adopted.firstKey() : from, move.number())
+    private boolean mayHold(PartnerMember partner, Move move) {
+        Long from = history.floorKey(partner.acknowledgedNumber);
+        for (AdoptedView adopted : history.subMap(from == null ? history.firstKey() : from, move.viewNumber())
                 .values()) {
-            if (a.division == null || d.member.operator().equals(a.division.owner(move.shard()))) {
+            if (adopted.assignment == null
+                    || partner.member.operator().equals(adopted.assignment.owner(move.shard()))) {
                 return true;
             }
         }
         return from == null
-                && d.heard < adopted.firstKey()
-                && adopted.firstKey() > 1; // by views that are not known here any more
+                && partner.acknowledgedNumber < history.firstKey()
+                && history.firstKey() > 1; // by views that are not known here any more
     }
 
-    /** What this member may act on now, as one snapshot. Times in it are this clock's. */
-    Rights rights(long heldSinceUs, long nowUs, long wallNowUs) {
-        ShardAssignment d = view.division();
-        if (d == null) {
+    /**
+     * What this member may act on now, as one snapshot; shards whose hand-over is complete are noted as such. Null where
+     * no shards are assigned.
+     *
+     * @param leaseSinceUs from when the lease on the view counts, by this member's clock
+     */
+    Snapshot snapshot(long leaseSinceUs, long nowUs, long wallNowUs) {
+        ShardAssignment assignment = view.shardAssignment();
+        if (assignment == null) {
             return null;
         }
-        boolean isIn = view.has(self);
-        long[] from = new long[d.shards()];
-        long[] since = new long[d.shards()];
-        List<String> owners = new ArrayList<>();
-        int kept = mine(d);
-        for (int i = 0; i < from.length; i++) {
-            String owner = d.owner(i);
-            owners.add(owner);
-            from[i] = Long.MAX_VALUE;
-            if (self.operator().equals(owner) && isIn) {
-                Move move = d.moveOf(i);
-                from[i] = move == null ? PAST : opensUs(move);
-                if (from[i] <= nowUs && move != null) {
-                    if (!Objects.equals(opened.put(i, move.number()), move.number())) {
-                        openedUs.put(i, nowUs);
-                    }
-                    from[i] = PAST;
-                }
-                since[i] = openedUs.getOrDefault(i, PAST);
-            }
+        boolean isInView = view.has(self);
+        List<ShardLease> shards = new ArrayList<>();
+        for (int shard = 0; shard < assignment.shards(); shard++) {
+            String owner = assignment.owner(shard);
+            shards.add(
+                    isInView && self.operator().equals(owner)
+                            ? ownLease(shard, assignment.lastMoveOf(shard), nowUs)
+                            : new ShardLease(owner, NEVER_US, 0));
         }
-        long untilUs = heldSinceUs + Math.max(timing.leaseUs(), aloneUs());
-        long all = Long.MAX_VALUE;
-        PartnerAgreement terms = d.agreement();
-        if (terms != null && !d.expired()) {
-            all = nowUs + terms.untilMs() * 1000 - wallNowUs;
+        long untilUs = leaseSinceUs + Math.max(timing.leaseUs(), aloneUs());
+        PartnerAgreement agreement = assignment.agreement();
+        long agreementUntilUs =
+                agreement != null && !assignment.expired() ? nowUs + agreement.untilMs() * 1000 - wallNowUs : NEVER_US;
+        return new Snapshot(shards, untilUs, agreementUntilUs, floorShards(assignment));
+    }
+
+    private ShardLease ownLease(int shard, Move move, long nowUs) {
+        long fromUs = move == null ? PAST_US : startUs(move);
+        if (fromUs <= nowUs && move != null) {
+            if (!Objects.equals(handedOver.put(shard, move.viewNumber()), move.viewNumber())) {
+                handedOverUs.put(shard, nowUs);
+            }
+            fromUs = PAST_US;
         }
-        return new Rights(view.number(), owners, from, since, untilUs, all, kept);
+        return new ShardLease(self.operator(), fromUs, handedOverUs.getOrDefault(shard, PAST_US));
     }
 
-    /** The first shards, as many as its floor is: what it has left once the agreement has expired. */
-    private int mine(ShardAssignment d) {
-        PartnerAgreement terms = d.agreement();
-        Party p = terms == null ? null : terms.party(self.operator());
-        long all = terms == null
-                ? 0
-                : terms.parties().stream().mapToLong(Party::floor).sum();
-        return p == null ? 0 : all == 0 ? d.shards() : ShardAssignmentRule.floorShards(d.shards(), p.floor(), all);
+    /** How many of its shards, the first ones, this operator keeps once the agreement has expired. */
+    private int floorShards(ShardAssignment assignment) {
+        PartnerAgreement agreement = assignment.agreement();
+        Party own = agreement == null ? null : agreement.party(self.operator());
+        if (own == null) {
+            return 0;
+        }
+        long totalFloor = agreement.parties().stream().mapToLong(Party::floor).sum();
+        return totalFloor == 0
+                ? assignment.shards()
+                : ShardTargets.floorShards(assignment.shards(), own.floor(), totalFloor);
     }
 
     /**
-     * @param number of the view that it is by
-     * @param owners by shard; null for nobody
-     * @param fromUs by shard, where it is this operator's: from when on
-     * @param sinceUs by shard, where it is this operator's: since when, as far as is known
+     * One shard as this member knows it.
+     *
+     * @param owner null for nobody
+     * @param fromUs where it is this operator's: from when on this member may act on it; else Long.MAX_VALUE
+     * @param sinceUs where it is this operator's: since when, as far as is known
+     */
+    record ShardLease(String owner, long fromUs, long sinceUs) {}
+
+    /**
+     * What this member may act on, times by its monotonic clock.
+     *
+     * @param shards by number
      * @param untilUs until when
-     * @param allUntilUs until when it may be more than the floor
-     * @param floor so many of its shards, the first ones, are in its floor
+     * @param agreementUntilUs until when it may act on more than the floor; Long.MAX_VALUE for ever
+     * @param floorShards how many of its shards, the first ones, are in its floor
      */
-    record Rights(
-            long number,
-            List<String> owners,
-            long[] fromUs,
-            long[] sinceUs,
-            long untilUs,
-            long allUntilUs,
-            int floor) {}
+    record Snapshot(List<ShardLease> shards, long untilUs, long agreementUntilUs, int floorShards) {}
 }
--- /dev/null
+++ b/src/main/java/hopdrum/fleet/shards/ShardRebalance.java
@@ -0,0 +1,162 @@
+package hopdrum.fleet.shards;
+
+import hopdrum.fleet.message.PartnerAgreement;
+import hopdrum.fleet.message.PartnerAgreement.Party;
+import hopdrum.fleet.message.ShardAssignment;
+import hopdrum.fleet.message.ShardAssignment.Move;
+import hopdrum.fleet.message.View;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+
+/**
+ * One step from a view's shard assignment towards the operators' target shares, with as few moves as possible and at most
+ * the epoch's budget of them. Used once; not thread-safe.
+ */
+final class ShardRebalance {
+    private static final long MOVE_HISTORY_MS = 600_000; // far longer than any operator may act alone
+    private static final long DEFAULT_EPOCH_MS = 60_000; // without an agreement
+    private static final int DEFAULT_EPOCH_FRACTION = 8; // an eighth of the shards an epoch, without an agreement
+    private static final char FIRST_OPERATOR = 'A';
+
+    private final int shards;
+    private final View before;
+    private final ShardAssignment last; // null before the first
+    private final PartnerAgreement agreement; // null if there is none
+    private final boolean isExpired;
+    private final long nowMs;
+    private final Set<String> operators; // sorted
+    private final Map<String, Integer> owned = new HashMap<>();
+    private final Map<String, Long> absentSinceMs = new TreeMap<>();
+    private final Map<String, Integer> target;
+    private final Map<String, Integer> surplus =
+            new HashMap<>(); // owned beyond the target; negative where it lacks some
+
+    ShardRebalance(
+            int shards, View before, Set<String> present, PartnerAgreement agreement, boolean isExpired, long nowMs) {
+        this.shards = shards;
+        this.before = before;
+        this.last = before.shardAssignment();
+        this.agreement = agreement;
+        this.isExpired = isExpired;
+        this.nowMs = nowMs;
+        operators = new TreeSet<>(present);
+        for (int shard = 0; last != null && shard < shards; shard++) {
+            String owner = last.owner(shard);
+            if (owner != null) {
+                operators.add(owner);
+                owned.merge(owner, 1, Integer::sum);
+            }
+        }
+        for (String operator : operators) {
+            if (!present.contains(operator)) {
+                absentSinceMs.put(operator, last.absentSinceMs().getOrDefault(operator, nowMs));
+            }
+        }
+        target = new ShardTargets(shards, agreement, isExpired, nowMs).compute(operators, absentSinceMs, owned);
+        operators.forEach(operator -> surplus.put(operator, owned.getOrDefault(operator, 0) - target.get(operator)));
+    }
+
+    /** @param agreedBy who has approved the agreement that is or comes in force */
+    ShardAssignment assignment(List<String> agreedBy) {
+        List<String> names = List.copyOf(operators);
+        char[] owners = new char[shards];
+        List<Integer> available = new ArrayList<>();
+        // the last first: an operator that is left with its floor knows that it keeps its first shards
+        for (int shard = shards - 1; shard >= 0; shard--) {
+            String owner = previousOwner(shard);
+            owners[shard] = owner == null ? ShardAssignment.NOBODY : ownerCode(names, owner);
+            if (owner == null) {
+                available.add(shard);
+            } else if (surplus.get(owner) > 0) {
+                surplus.merge(owner, -1, Integer::sum);
+                available.add(shard);
+            }
+        }
+        long epoch = nowMs / (agreement == null ? DEFAULT_EPOCH_MS : agreement.epochMs());
+        int movesInEpoch = last != null && last.epoch() == epoch ? last.movesInEpoch() : 0;
+        int budget = last == null ? shards : maxMovesPerEpoch() - movesInEpoch;
+        Map<Integer, Move> moves = recentMoves();
+        for (int shard : available) {
+            String receiver = budget > 0 ? neediest(names) : null;
+            if (receiver == null) {
+                break;
+            }
+            budget--;
+            movesInEpoch++;
+            surplus.merge(receiver, 1, Integer::sum);
+            owned.merge(receiver, 1, Integer::sum);
+            owners[shard] = ownerCode(names, receiver);
+            String giver = previousOwner(shard);
+            moves.put(shard, new Move(shard, giver == null ? "" : giver, before.number() + 1, nowMs));
+        }
+        return new ShardAssignment(
+                nowMs,
+                names,
+                new String(owners),
+                List.copyOf(moves.values()),
+                agreement,
+                agreedBy,
+                isExpired,
+                absentSinceMs,
+                epoch,
+                movesInEpoch);
+    }
+
+    /** Null where nobody owned it. */
+    private String previousOwner(int shard) {
+        return last == null ? null : last.owner(shard);
+    }
+
+    private static char ownerCode(List<String> names, String operator) {
+        return (char) (FIRST_OPERATOR + names.indexOf(operator));
+    }
+
+    private int maxMovesPerEpoch() {
+        return agreement == null ? Math.max(1, shards / DEFAULT_EPOCH_FRACTION) : agreement.maxMovesPerEpoch();
+    }
+
+    /** By shard: each one's last move, as far back as it may matter. */
+    private Map<Integer, Move> recentMoves() {
+        Map<Integer, Move> moves = new TreeMap<>();
+        if (last != null) {
+            last.moves().stream()
+                    .filter(move -> nowMs - move.atMs() < MOVE_HISTORY_MS)
+                    .forEach(move -> moves.put(move.shard(), move));
+        }
+        return moves;
+    }
+
+    /**
+     * The operator that is to receive the next shard: a lender below what its own capacity guarantees comes before all
+     * others; then the one that lacks the largest part of its target. Null where none lacks any.
+     */
+    private String neediest(List<String> names) {
+        String best = null;
+        double bestNeed = 0;
+        for (String operator : names) {
+            if (surplus.get(operator) >= 0) {
+                continue;
+            }
+            double need = -surplus.get(operator) / (double) target.get(operator)
+                    + (owned.getOrDefault(operator, 0) < Math.floor(guaranteed(operator)) ? 1 : 0);
+            if (need > bestNeed) {
+                best = operator;
+                bestNeed = need;
+            }
+        }
+        return best;
+    }
+
+    /** How many shards of its target an operator's own capacity covers. */
+    private double guaranteed(String operator) {
+        Party party = agreement == null ? null : agreement.party(operator);
+        return party == null || party.share() == 0
+                ? 0
+                : target.get(operator) * (double) Math.min(party.share(), party.capacity()) / party.share();
+    }
+}
