--- a/src/main/java/hopdrum/fleet/shards/ShardTable.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardTable.java
@@ -6,18 +6,23 @@
 import java.util.Set;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** What one front door knows of who owns which shard, for its own clock; never changed. */
+/** What one front door knows of who owns which shard, by its own clock. Immutable; may be read from any thread. */
 public final class ShardTable implements ShardOwnership {
-    private static final long NOBODY = -1;
-    private final boolean[] own; // by shard
-    private final long[] tiers; // by shard: whom to ask where this one may not act; NOBODY
+    /** In {@link #activeShards}: this front door may act on the shard. */
+    public static final char ACTIVE = 'x';
+
+    private static final char INACTIVE = '-';
+    private static final long NO_TIER = -1;
+
+    private final boolean[] isOwn; // by shard
+    private final long[] tiers; // by shard: where to forward what this one may not act on; NO_TIER for nowhere
     private final long[] fromUs; // by shard, where it is its own
     private final long[] untilUs; // the same
-    private final long[] sinceUs; // the same: when it opened here
+    private final long[] sinceUs; // the same: when its hand-over was complete
     private final long retryUs;
 
     private ShardTable(int shards, long retryUs) {
-        own = new boolean[shards];
+        isOwn = new boolean[shards];
         tiers = new long[shards];
         fromUs = new long[shards];
         untilUs = new long[shards];
@@ -26,37 +31,50 @@
     }
 
     /**
+     * Makes the table of a lease snapshot.
+     *
+     * @param leases what this member may act on, by the fleet's clock
+     * @param self this member's operator
      * @param operators tiers by number, from 1 on
-     * @param there those of them that have a front door other than this one
-     * @param retryUs how soon to ask again where nobody is known
-     * @param offsetUs what the snapshot's clock is ahead of the one in the rights
+     * @param reachable those of them that have a front door other than this one
+     * @param retryUs how soon to ask again where no owner is known, microseconds
+     * @param offsetUs what the table's clock is ahead of the leases' one, microseconds
      */
     static ShardTable of(
-            ShardLeases.Rights rights,
+            ShardLeases.Snapshot leases,
             String self,
             List<String> operators,
-            Set<String> there,
+            Set<String> reachable,
             long retryUs,
             long offsetUs) {
-        int n = rights.owners().size();
-        ShardTable t = new ShardTable(n, retryUs);
-        int mine = 0;
-        for (int i = 0; i < n; i++) {
-            String owner = rights.owners().get(i);
-            t.own[i] = self.equals(owner);
-            mine += t.own[i] ? 1 : 0;
-            t.tiers[i] = there.contains(owner) && operators.contains(owner) ? operators.indexOf(owner) + 1 : NOBODY;
-            t.fromUs[i] = rights.fromUs()[i] == Long.MAX_VALUE ? Long.MAX_VALUE : rights.fromUs()[i] + offsetUs;
-            t.untilUs[i] = rights.untilUs() + offsetUs;
-            t.sinceUs[i] = rights.sinceUs()[i] + offsetUs;
-            if (t.own[i] && mine > rights.floor() && rights.allUntilUs() != Long.MAX_VALUE) {
-                t.untilUs[i] = Math.min(t.untilUs[i], rights.allUntilUs() + offsetUs);
+        int shards = leases.shards().size();
+        ShardTable table = new ShardTable(shards, retryUs);
+        int ownShards = 0;
+        for (int shard = 0; shard < shards; shard++) {
+            ShardLeases.ShardLease lease = leases.shards().get(shard);
+            String owner = lease.owner();
+            boolean isOwn = self.equals(owner);
+            ownShards += isOwn ? 1 : 0;
+            table.isOwn[shard] = isOwn;
+            table.tiers[shard] =
+                    reachable.contains(owner) && operators.contains(owner) ? operators.indexOf(owner) + 1 : NO_TIER;
+            table.fromUs[shard] = lease.fromUs() == Long.MAX_VALUE ? Long.MAX_VALUE : lease.fromUs() + offsetUs;
+            table.untilUs[shard] = leases.untilUs() + offsetUs;
+            table.sinceUs[shard] = lease.sinceUs() + offsetUs;
+            if (isOwn && ownShards > leases.floorShards() && leases.agreementUntilUs() != Long.MAX_VALUE) {
+                table.untilUs[shard] = Math.min(table.untilUs[shard], leases.agreementUntilUs() + offsetUs);
             }
         }
-        return t;
+        return table;
     }
 
-    /** The shard that a customer falls into, the same at all front doors: MurmurHash3, x86, 32 bits, seed 0. */
+    /**
+     * Returns the shard that a customer falls into, the same at all front doors: MurmurHash3, x86, 32 bits, seed 0.
+     *
+     * @param customer the customer's number
+     * @param shards the number of shards
+     * @return the shard, from 0
+     */
     public static int shard(long customer, int shards) {
         return Integer.remainderUnsigned(
                 MurmurHash3.hash32x86(ByteBuffer.allocate(8).putLong(customer).array(), 0, 8, 0), shards);
@@ -65,27 +83,33 @@
     @Override
     public long owner(long customer, boolean passedOn, long nowUs) {
         int shard = shard(customer, tiers.length);
-        boolean known = own[shard] && fromUs[shard] != Long.MAX_VALUE;
+        boolean known = isOwn[shard] && fromUs[shard] != Long.MAX_VALUE;
         if (known && nowUs < fromUs[shard]) {
             return nowUs - fromUs[shard]; // whoever had it may still act on it
         }
         if (known && nowUs < untilUs[shard]) {
             return 0;
         }
-        return passedOn || tiers[shard] == NOBODY ? -retryUs : tiers[shard];
+        return passedOn || tiers[shard] == NO_TIER ? -retryUs : tiers[shard];
     }
 
     @Override
     public long ownershipAgeUs(long customer, long nowUs) {
-        return Math.max(0, nowUs - sinceUs[shard(customer, own.length)]);
+        return Math.max(0, nowUs - sinceUs[shard(customer, isOwn.length)]);
     }
 
-    /** From the first shard on, a character each: 'x' where this front door acts, at this time or as soon as it may. */
-    public String acts(long nowUs) {
-        StringBuilder on = new StringBuilder();
-        for (int i = 0; i < own.length; i++) {
-            on.append(own[i] && nowUs >= fromUs[i] && nowUs < untilUs[i] ? 'x' : '-');
+    /**
+     * Returns the shards that this front door acts on.
+     *
+     * @param nowUs the time by the table's clock, microseconds
+     * @return a character a shard: 'x' where it may act now, '-' where it may not
+     */
+    public String activeShards(long nowUs) {
+        StringBuilder active = new StringBuilder();
+        for (int shard = 0; shard < isOwn.length; shard++) {
+            boolean isActive = isOwn[shard] && nowUs >= fromUs[shard] && nowUs < untilUs[shard];
+            active.append(isActive ? ACTIVE : INACTIVE);
         }
-        return on.toString();
+        return active.toString();
     }
 }
--- a/src/main/java/hopdrum/fleet/store/Store.java
+++ b/src/main/java/hopdrum/fleet/store/Store.java
@@ -16,29 +16,40 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a member must not forget over a restart: who it is as a voter, the view settled last, and what it has promised
- * for the next. One checksummed file, written beside, forced and moved into place before any promise is answered.
- * The folder is locked while the store is open: guards against one voter in two processes.
+ * The durable state of a member: who it is as a voter, the last settled view, and what it has promised for the next. One
+ * checksummed file, written beside, forced and moved into place before any promise is answered. The folder is locked
+ * while the store is open: guards against one voter in two processes. Not thread-safe.
  */
 public final class Store implements AutoCloseable {
     /**
-     * @param view the view settled last
+     * What a member must not forget over a restart.
+     *
+     * @param voter the voter's number, drawn when the store was made
+     * @param lastStart the last start's number
+     * @param view the last settled view
      * @param promised below this ballot nothing is accepted for the view after it
      * @param acceptedIn the ballot in which a view was accepted; null if none was
+     * @param accepted the view that was accepted; null if none was
      */
     public record DurableState(
             long voter, long lastStart, View view, Ballot promised, Ballot acceptedIn, View accepted) {}
 
     private static final ObjectMapper MAPPER = new CBORMapper();
-    private static final int HEAD = 12; // "hdf1", length, checksum
-    private static final int MAGIC = 0x68646631;
+    private static final int HEADER_BYTES = 12; // MAGIC, length, checksum
+    private static final int MAGIC = 0x68646631; // "hdf1"
     private static final String FILE = "member.cbor";
+
     private final Path folder;
     private final FileChannel lockChannel;
     private final FileLock lock;
     private String damage;
 
-    /** Throws IOException, with one line, where the folder cannot be used or is another process's. */
+    /**
+     * Opens and locks a store, making its folder where there is none.
+     *
+     * @param folder the store's folder
+     * @throws IOException with one line, where the folder cannot be used or is another process's
+     */
     public Store(Path folder) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
@@ -55,7 +66,11 @@
         }
     }
 
-    /** Null where nothing was kept, or nothing that can be trusted; damage() then says why. */
+    /**
+     * Reads the state. A damaged file is set aside, for a person to look at.
+     *
+     * @return the state; null where there is none, or none that can be trusted: then {@link #damage} says why
+     */
     public DurableState read() {
         Path file = folder.resolve(FILE);
         damage = null;
@@ -64,14 +79,14 @@
                 return null;
             }
             byte[] bytes = Files.readAllBytes(file);
-            ByteBuffer head = ByteBuffer.wrap(bytes);
-            if (bytes.length < HEAD
-                    || head.getInt() != MAGIC
-                    || head.getInt() != bytes.length - HEAD
-                    || head.getInt() != checksum(bytes, HEAD)) {
+            ByteBuffer header = ByteBuffer.wrap(bytes);
+            if (bytes.length < HEADER_BYTES
+                    || header.getInt() != MAGIC
+                    || header.getInt() != bytes.length - HEADER_BYTES
+                    || header.getInt() != checksum(bytes, HEADER_BYTES)) {
                 damage = "its length or checksum is wrong";
             } else {
-                return MAPPER.readValue(bytes, HEAD, bytes.length - HEAD, DurableState.class);
+                return MAPPER.readValue(bytes, HEADER_BYTES, bytes.length - HEADER_BYTES, DurableState.class);
             }
         } catch (IOException | IllegalArgumentException e) {
             damage = String.valueOf(e.getMessage()).lines().findFirst().orElse("unreadable");
@@ -80,7 +95,6 @@
         return null;
     }
 
-    /** What cannot be trusted stays for a person to look at. */
     private void setAside(Path file) {
         try {
             Files.move(file, folder.resolve(FILE + ".damaged"), StandardCopyOption.REPLACE_EXISTING);
@@ -89,14 +103,24 @@
         }
     }
 
+    /**
+     * Tells what was wrong with the file that {@link #read} read last.
+     *
+     * @return one line; null where it was sound or was not there
+     */
     public String damage() {
         return damage;
     }
 
-    /** Returns once the state would outlast the machine's fall; what fails here must not be answered. */
-    public void write(DurableState kept) throws IOException {
-        byte[] body = MAPPER.writeValueAsBytes(kept);
-        ByteBuffer bytes = ByteBuffer.allocate(HEAD + body.length)
+    /**
+     * Replaces the state; returns once it would outlast a crash of the machine. A vote whose write fails must not be cast.
+     *
+     * @param state the state
+     * @throws IOException where it could not be written
+     */
+    public void write(DurableState state) throws IOException {
+        byte[] body = MAPPER.writeValueAsBytes(state);
+        ByteBuffer bytes = ByteBuffer.allocate(HEADER_BYTES + body.length)
                 .putInt(MAGIC)
                 .putInt(body.length)
                 .putInt(checksum(body, 0))
--- a/src/main/java/hopdrum/fleet/view/Membership.java
+++ b/src/main/java/hopdrum/fleet/view/Membership.java
@@ -51,7 +51,7 @@
         this.log = log;
         this.out = out;
         latency = new LatencyMap(self, timing.periodUs());
-        failureDetector = new FailureDetector(self, seeds, timing, random, out, log, latency::sampled, nowUs);
+        failureDetector = new FailureDetector(self, seeds, timing, random, out, log, latency::addSample, nowUs);
         this.partners = partners;
         if (partners != null) {
             partners.watches(failureDetector);
@@ -89,7 +89,7 @@
 
     public void tick(long nowUs) {
         if (nowUs - tickedUs > timing.periodUs()) {
-            latency.woke();
+            latency.discardOutstandingProbes();
         }
         tickedUs = nowUs;
         if (!isOut(nowUs)) {
@@ -116,7 +116,7 @@
         for (int i = 0; i < LATENCY_PEERS && !peers.isEmpty(); i++) {
             Member peer = peers.get(0);
             for (Member other : peers) {
-                if (latency.sampledAtUs(other.site()) < latency.sampledAtUs(peer.site())) {
+                if (latency.lastProbeUs(other.site()) < latency.lastProbeUs(peer.site())) {
                     peer = other;
                 }
             }
@@ -124,7 +124,8 @@
             peers.removeIf(m -> m.site().equals(site));
             out.send(
                     peer.address(),
-                    new Message.LatencyExchange(latency.asks(peer, nowUs), false, latency.readings(nowUs)));
+                    new Message.LatencyExchange(
+                            latency.startProbe(peer, nowUs), false, latency.readingsToShare(nowUs)));
         }
     }
 
@@ -149,11 +150,11 @@
         } else if (message instanceof Message.PingRequest m) {
             failureDetector.heard(from, m, nowUs);
         } else if (message instanceof Message.LatencyExchange m) {
-            latency.heard(m.readings(), nowUs);
+            latency.merge(m.readings(), nowUs);
             if (m.answer() && nowUs - tickedUs < timing.periodUs()) { // no pause of ours in it
-                latency.answered(from, m.seq(), nowUs);
+                latency.completeProbe(from, m.seq(), nowUs);
             } else if (!m.answer()) {
-                out.send(from.address(), new Message.LatencyExchange(m.seq(), true, latency.readings(nowUs)));
+                out.send(from.address(), new Message.LatencyExchange(m.seq(), true, latency.readingsToShare(nowUs)));
             }
         } else if (message instanceof Message.Nack m) {
             failureDetector.heard(from, m, nowUs);
--- a/src/main/java/hopdrum/fleet/view/ShardAssigner.java
+++ b/src/main/java/hopdrum/fleet/view/ShardAssigner.java
@@ -25,7 +25,7 @@
 
         @Override
         public String objection(View before, View proposed) {
-            return proposed.division() == null ? null : "nothing is divided in this fleet";
+            return proposed.shardAssignment() == null ? null : "nothing is divided in this fleet";
         }
 
         @Override
--- a/src/main/java/hopdrum/fleet/view/ViewConsensus.java
+++ b/src/main/java/hopdrum/fleet/view/ViewConsensus.java
@@ -201,8 +201,8 @@
     private void look(long nowUs) {
         List<Member> now = view.era() == 0 ? founding() : wantedNow(nowUs);
         boolean chair = isChair();
-        ShardAssignment next = chair && now != null ? dividing.next(view, now) : view.division();
-        boolean divides = next != null && !next.isLike(view.division());
+        ShardAssignment next = chair && now != null ? dividing.next(view, now) : view.shardAssignment();
+        boolean divides = next != null && !next.isLike(view.shardAssignment());
         if (now == null || (sameStarts(now, view.members()) && !divides)) {
             wanted = null;
             changeSinceUs = NOTHING;
--- a/src/rig/java/hopdrum/rig/planted/Baseline.java
+++ b/src/rig/java/hopdrum/rig/planted/Baseline.java
@@ -3,8 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import hopdrum.fleet.Fleet;
-import hopdrum.fleet.FleetFile;
-import hopdrum.fleet.shards.Terms;
+import hopdrum.fleet.config.FleetFile;
+import hopdrum.fleet.config.InvalidFileException;
+import hopdrum.fleet.shards.AgreementTerms;
 import hopdrum.frontdoor.FrontDoor;
 import hopdrum.frontdoor.lifecycle.Server;
 import hopdrum.host.ZoneLatencies;
@@ -29,11 +30,12 @@
         FleetFile file;
         try {
             file = FleetFile.read(fleetFile);
-        } catch (FleetFile.InvalidFileException e) {
+        } catch (InvalidFileException e) {
             throw new IOException(e);
         }
         return Server.serve(System.getenv("LB_CONFIG"), (config, loop) -> {
-            Fleet fleet = Fleet.start(file, Terms.NONE, 0, config.settings().ordinal(), config.seed(), loop.offsetUs());
+            Fleet fleet = Fleet.start(
+                    file, AgreementTerms.NONE, 0, config.settings().ordinal(), config.seed(), loop.offsetUs());
             Path ways = fleetFile.toAbsolutePath().getParent().resolveSibling("ways.json");
             Thread looks = new Thread(() -> look(ways, file.site(), config.zones(), allKnowing), "ways");
             looks.setDaemon(true);
--- a/src/rig/java/hopdrum/rig/swarm/MeasureMap.java
+++ b/src/rig/java/hopdrum/rig/swarm/MeasureMap.java
@@ -1,7 +1,7 @@
 package hopdrum.rig.swarm;
 
 import hopdrum.fleet.FleetTiming;
-import hopdrum.fleet.latency.LatencyMap.Way;
+import hopdrum.fleet.latency.LatencyMap.LatencyEstimate;
 import hopdrum.fleet.message.LatencyReading;
 import hopdrum.fleet.message.Message;
 import hopdrum.rig.swarm.Swarm.Node;
@@ -74,7 +74,7 @@
                     if (onlyUnseen && !(i == 1 && j == 0)) {
                         continue;
                     }
-                    Way way = node.membership().latency().way("s" + i, "s" + j, swarm.nowUs());
+                    LatencyEstimate way = node.membership().latency().estimate("s" + i, "s" + j, swarm.nowUs());
                     if (way == null) {
                         unknown[0]++;
                     } else {
@@ -165,7 +165,8 @@
     private boolean allKnow() {
         for (Node node : swarm.nodes()) {
             for (int i = 0; i < SITES; i++) {
-                Way way = i == 2 ? null : node.membership().latency().way("s2", "s" + i, swarm.nowUs());
+                LatencyEstimate way =
+                        i == 2 ? null : node.membership().latency().estimate("s2", "s" + i, swarm.nowUs());
                 if (i != 2
                         && (way == null
                                 || Math.abs(way.rttUs() - truthUs("s2", "s" + i)) > truthUs("s2", "s" + i) / 4.0)) {
--- a/src/rig/java/hopdrum/rig/swarm/MeasureShards.java
+++ b/src/rig/java/hopdrum/rig/swarm/MeasureShards.java
@@ -4,7 +4,7 @@
 import hopdrum.fleet.message.PartnerAgreement;
 import hopdrum.fleet.message.PartnerAgreement.Party;
 import hopdrum.fleet.message.ShardAssignment;
-import hopdrum.fleet.shards.Terms;
+import hopdrum.fleet.shards.AgreementTerms;
 import hopdrum.rig.swarm.Swarm.Node;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -106,7 +106,7 @@
     private static int revision(Swarm s) {
         return s.nodes().stream()
                 .filter(Node::isUp)
-                .map(n -> n.view().division())
+                .map(n -> n.view().shardAssignment())
                 .filter(d -> d != null && d.agreement() != null)
                 .mapToInt(d -> d.agreement().revision())
                 .max()
@@ -129,8 +129,8 @@
         s.nodes().stream().filter(n -> n.operator.equals(by)).forEach(n -> s.follow(n, willing(a)));
     }
 
-    private static Terms willing(PartnerAgreement proposes) {
-        return new Terms(proposes, 0, 1_000, 0, ALONE_MS, SHARDS, NO_END_MS, false);
+    private static AgreementTerms willing(PartnerAgreement proposes) {
+        return new AgreementTerms(proposes, 0, 1_000, 0, ALONE_MS, SHARDS, NO_END_MS, false);
     }
 
     /** Seven members of three operators, agreed on a third each; then the change. */
@@ -185,17 +185,17 @@
         if (!s.isSettled()) {
             return false;
         }
-        ShardAssignment d = s.node(0).view().division();
+        ShardAssignment d = s.node(0).view().shardAssignment();
         double all = d.agreement() == null
                 ? 0
-                : d.agreement().parties().stream().mapToInt(Party::owed).sum();
+                : d.agreement().parties().stream().mapToInt(Party::share).sum();
         int[] counts = Arrays.stream(new String[] {"op0", "op1", "op2"})
                 .mapToInt(o -> s.acting().getOrDefault(o, 0))
                 .toArray();
         for (int i = 0; i < 3; i++) {
             double owed = all == 0
                     ? SHARDS / 3.0
-                    : SHARDS * d.agreement().party("op" + i).owed() / all;
+                    : SHARDS * d.agreement().party("op" + i).share() / all;
             if (Math.abs(counts[i] - owed) >= 1) {
                 return false;
             }
--- a/src/rig/java/hopdrum/rig/swarm/Swarm.java
+++ b/src/rig/java/hopdrum/rig/swarm/Swarm.java
@@ -5,9 +5,9 @@
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.message.View;
+import hopdrum.fleet.shards.AgreementTerms;
 import hopdrum.fleet.shards.ShardCoordinator;
 import hopdrum.fleet.shards.ShardTable;
-import hopdrum.fleet.shards.Terms;
 import hopdrum.fleet.store.Store.DurableState;
 import hopdrum.fleet.view.Membership;
 import hopdrum.fleet.view.ViewConsensus;
@@ -50,7 +50,7 @@
 
         public String site = "here";
         public String operator = "one";
-        public Terms terms = Terms.NONE;
+        public AgreementTerms terms = AgreementTerms.NONE;
         public long wallOffMs;
         ShardCoordinator partners;
         ShardTable table; // as at the last step at which it ran
@@ -208,16 +208,16 @@
                         (event, pairs) -> event(node, event, pairs),
                         () -> WALL_MS + nowUs / 1000 + node.wallOffMs);
         if (node.partners != null) {
-            node.partners.follow(node.terms);
+            node.partners.updateTerms(node.terms);
         }
         return node.partners;
     }
 
     /** Its operator's terms are others from now on. */
-    public void follow(Node node, Terms terms) {
+    public void follow(Node node, AgreementTerms terms) {
         node.terms = terms;
         if (node.isUp() && node.partners != null) {
-            node.partners.follow(terms);
+            node.partners.updateTerms(terms);
         }
     }
 
@@ -330,7 +330,7 @@
                             : node.partners.table(
                                     node.membership.viewConsensus().leases(), List.of(), false, 0, nowUs);
             node.table = table;
-            String acts = table == null ? "" : table.acts(nowUs);
+            String acts = table == null ? "" : table.activeShards(nowUs);
             for (int i = 0; i < acts.length(); i++) {
                 if (acts.charAt(i) == 'x' && owner[i] != null && !owner[i].equals(node.operator)) {
                     broken.add(nowUs + " one-owner: " + i + " has " + owner[i] + " and " + node.operator);
@@ -353,7 +353,9 @@
         for (int i = 0; i < shards; i++) {
             TreeSet<String> who = new TreeSet<>();
             for (Node node : nodes.values()) {
-                if (node.isUp() && node.table != null && node.table.acts(nowUs).charAt(i) == 'x') {
+                if (node.isUp()
+                        && node.table != null
+                        && node.table.activeShards(nowUs).charAt(i) == 'x') {
                     who.add(node.operator);
                 }
             }
@@ -390,7 +392,7 @@
         }
         node.lastEra = view.era();
         node.lastNumber = view.number();
-        String content = view.members() + " " + view.division();
+        String content = view.members() + " " + view.shardAssignment();
         String before = contentByNumber.putIfAbsent(view.era() + "/" + view.number(), content);
         if (before != null && !before.equals(content)) {
             broken.add(nowUs + " one-name-one-view: " + view.era() + "/" + view.number() + " at " + node.name);
--- a/src/test/java/hopdrum/fleet/BadInputTest.java
+++ b/src/test/java/hopdrum/fleet/BadInputTest.java
@@ -3,13 +3,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import hopdrum.fleet.config.FleetFile;
+import hopdrum.fleet.config.InvalidFileException;
+import hopdrum.fleet.config.TermsFile;
 import hopdrum.fleet.message.Ballot;
 import hopdrum.fleet.message.Codec;
 import hopdrum.fleet.message.GossipUpdate;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.message.View;
-import hopdrum.fleet.shards.Terms;
+import hopdrum.fleet.shards.AgreementTerms;
 import hopdrum.fleet.store.Store;
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -69,7 +72,7 @@
                           colour: blue
                           """);
         assertThatThrownBy(() -> FleetFile.read(file))
-                .isInstanceOf(FleetFile.InvalidFileException.class)
+                .isInstanceOf(InvalidFileException.class)
                 .hasMessageContaining("fleet.yaml:2: operator: 'no rth', expected a name")
                 .hasMessageContaining(":5: listen: 'here', expected a numeric address")
                 .hasMessageContaining(":6: seeds: '127.0.0.1:0', expected")
@@ -92,7 +95,7 @@
                 colour: blue
                 """);
         assertThatThrownBy(() -> TermsFile.read(file))
-                .isInstanceOf(FleetFile.InvalidFileException.class)
+                .isInstanceOf(InvalidFileException.class)
                 .hasMessageContaining("terms.yaml:3: parties: 'north brings many', expected a party")
                 .hasMessageContaining(":4: until: 'tomorrow', expected a moment")
                 .hasMessageContaining(":5: alone_ms: '999999', expected")
@@ -193,7 +196,7 @@
         int port = freePort();
         Path log = folder.resolve("n0.jsonl");
         FleetFile file = FleetFile.read(fleetFile(good(port, "n0")));
-        try (Fleet fleet = Fleet.start(file, Terms.NONE, 0, 0, 1, 0)) {
+        try (Fleet fleet = Fleet.start(file, AgreementTerms.NONE, 0, 0, 1, 0)) {
             Awaitility.await()
                     .atMost(10, TimeUnit.SECONDS)
                     .until(() -> Files.readString(log).contains("\"event\":\"view\""));
--- a/src/test/java/hopdrum/fleet/LatencyMapTest.java
+++ b/src/test/java/hopdrum/fleet/LatencyMapTest.java
@@ -30,59 +30,59 @@
 
     @Test
     void oneSampleThatTookLongIsNoDistanceAndTwoAre() {
-        map.sampled(member("p", "b"), 20_000, NOW);
-        map.sampled(member("p", "b"), 900_000, NOW + S);
-        assertThat(map.way("a", "b", NOW + S).rttUs()).isEqualTo(20_000);
-        map.sampled(member("q", "b"), 800_000, NOW + 2 * S);
-        assertThat(map.way("a", "b", NOW + 2 * S).rttUs()).isEqualTo(800_000);
+        map.addSample(member("p", "b"), 20_000, NOW);
+        map.addSample(member("p", "b"), 900_000, NOW + S);
+        assertThat(map.estimate("a", "b", NOW + S).rttUs()).isEqualTo(20_000);
+        map.addSample(member("q", "b"), 800_000, NOW + 2 * S);
+        assertThat(map.estimate("a", "b", NOW + 2 * S).rttUs()).isEqualTo(800_000);
     }
 
     @Test
     void aLiarAmongManyMovesNothingAndAloneNoFurtherThanTwiceAndNeverBelowWhatWasSeen() {
-        map.sampled(member("p", "b"), 20_000, NOW);
-        map.heard(List.of(reading("liar", "a", "b", 1, 100, 0)), NOW);
-        assertThat(map.way("a", "b", NOW).rttUs()).isEqualTo(20_000);
-        map.heard(List.of(reading("x", "b", "a", 1, 21_000, 0), reading("y", "a", "b", 1, 20_500, 0)), NOW);
-        assertThat(map.way("a", "b", NOW).rttUs()).isBetween(20_000L, 21_000L);
-        map.heard(List.of(reading("x", "b", "c", 1, 30_000, 0), reading("liar", "a", "c", 1, 100, 0)), NOW);
-        assertThat(map.way("a", "c", NOW)).satisfies(w -> {
+        map.addSample(member("p", "b"), 20_000, NOW);
+        map.merge(List.of(reading("liar", "a", "b", 1, 100, 0)), NOW);
+        assertThat(map.estimate("a", "b", NOW).rttUs()).isEqualTo(20_000);
+        map.merge(List.of(reading("x", "b", "a", 1, 21_000, 0), reading("y", "a", "b", 1, 20_500, 0)), NOW);
+        assertThat(map.estimate("a", "b", NOW).rttUs()).isBetween(20_000L, 21_000L);
+        map.merge(List.of(reading("x", "b", "c", 1, 30_000, 0), reading("liar", "a", "c", 1, 100, 0)), NOW);
+        assertThat(map.estimate("a", "c", NOW)).satisfies(w -> {
             assertThat(w.kind()).isEqualTo(Kind.TOLD);
             assertThat(w.rttUs())
                     .as("10 to 50 ms by way of b: half of the middle at least")
                     .isEqualTo(15_000);
-            assertThat(w.sure()).isLessThanOrEqualTo(0.3);
+            assertThat(w.confidence()).isLessThanOrEqualTo(0.3);
         });
     }
 
     @Test
     void aWayThatNobodyMeasuredLiesBetweenTheBoundsOverAThirdSite() {
-        map.sampled(member("p", "b"), 20_000, NOW);
-        map.heard(List.of(reading("x", "b", "c", 1, 30_000, 0)), NOW);
-        assertThat(map.way("a", "c", NOW).kind()).isEqualTo(Kind.ESTIMATED);
-        assertThat(map.way("a", "c", NOW).rttUs()).isBetween(10_000L, 50_000L);
-        assertThat(map.way("a", "d", NOW)).isNull();
+        map.addSample(member("p", "b"), 20_000, NOW);
+        map.merge(List.of(reading("x", "b", "c", 1, 30_000, 0)), NOW);
+        assertThat(map.estimate("a", "c", NOW).kind()).isEqualTo(Kind.ESTIMATED);
+        assertThat(map.estimate("a", "c", NOW).rttUs()).isBetween(10_000L, 50_000L);
+        assertThat(map.estimate("a", "d", NOW)).isNull();
     }
 
     @Test
     void oldNewsWeighsLessAndIsForgotten() {
-        map.heard(
+        map.merge(
                 List.of(
                         reading("x", "b", "c", 1, 10_000, 0),
                         reading("y", "b", "c", 1, 11_000, 0),
                         reading("z", "c", "b", 1, 12_000, 0)),
                 NOW);
-        double fresh = map.way("b", "c", NOW).sure();
-        assertThat(map.way("b", "c", NOW + 9 * S).sure()).isLessThan(fresh / 4);
-        assertThat(map.way("b", "c", NOW + 61 * S)).isNull();
-        map.heard(List.of(reading("x", "b", "c", 2, 10_000, 3_000 * S)), NOW + 62 * S);
-        assertThat(map.way("b", "c", NOW + 62 * S)).isNull();
+        double fresh = map.estimate("b", "c", NOW).confidence();
+        assertThat(map.estimate("b", "c", NOW + 9 * S).confidence()).isLessThan(fresh / 4);
+        assertThat(map.estimate("b", "c", NOW + 61 * S)).isNull();
+        map.merge(List.of(reading("x", "b", "c", 2, 10_000, 3_000 * S)), NOW + 62 * S);
+        assertThat(map.estimate("b", "c", NOW + 62 * S)).isNull();
     }
 
     @Test
     void whatOthersSayOfThisMembersOwnReadingsIsNotTakenUp() {
-        map.sampled(member("p", "b"), 20_000, NOW);
-        map.heard(List.of(reading("me", "a", "b", 99, 1, 0)), NOW);
-        assertThat(map.way("a", "b", NOW).rttUs()).isEqualTo(20_000);
+        map.addSample(member("p", "b"), 20_000, NOW);
+        map.merge(List.of(reading("me", "a", "b", 99, 1, 0)), NOW);
+        assertThat(map.estimate("a", "b", NOW).rttUs()).isEqualTo(20_000);
     }
 
     /** Any order, any loss that is made up for, any repeat: the same map. */
@@ -108,12 +108,12 @@
         }
         LatencyMap one = new LatencyMap(member("me", "a"), S);
         LatencyMap two = new LatencyMap(member("me", "a"), S);
-        one.heard(distinct, NOW);
+        one.merge(distinct, NOW);
         List<LatencyReading> again = new ArrayList<>(distinct);
         again.addAll(distinct.subList(0, distinct.size() / 2));
         Collections.shuffle(again, random);
-        again.forEach(r -> two.heard(List.of(r), NOW));
-        assertThat(two.way("b", "c", NOW)).isEqualTo(one.way("b", "c", NOW));
-        assertThat(two.readings(NOW)).containsExactlyInAnyOrderElementsOf(one.readings(NOW));
+        again.forEach(r -> two.merge(List.of(r), NOW));
+        assertThat(two.estimate("b", "c", NOW)).isEqualTo(one.estimate("b", "c", NOW));
+        assertThat(two.readingsToShare(NOW)).containsExactlyInAnyOrderElementsOf(one.readingsToShare(NOW));
     }
 }
--- a/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
+++ b/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
@@ -7,8 +7,8 @@
 import hopdrum.fleet.message.PartnerAgreement.Party;
 import hopdrum.fleet.message.ShardAssignment;
 import hopdrum.fleet.message.View;
+import hopdrum.fleet.shards.AgreementTerms;
 import hopdrum.fleet.shards.ShardAssignmentRule;
-import hopdrum.fleet.shards.Terms;
 import hopdrum.rig.swarm.Swarm;
 import hopdrum.rig.swarm.Swarm.Node;
 import java.util.ArrayList;
@@ -38,8 +38,8 @@
                 "pact", revision, parties, fromMs, untilMs, 5_000, standIn, SHARDS / 4, 10_000, 20_000);
     }
 
-    private static Terms proposes(PartnerAgreement a) {
-        return new Terms(a, 0, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false);
+    private static AgreementTerms proposes(PartnerAgreement a) {
+        return new AgreementTerms(a, 0, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false);
     }
 
     /** Members by turns one of each operator's. */
@@ -49,7 +49,7 @@
         swarm.mostAloneMs = ALONE_MS;
         for (Node node : swarm.nodes()) {
             node.operator = "op" + node.gateway % operators;
-            node.terms = new Terms(null, 0, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false);
+            node.terms = new AgreementTerms(null, 0, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false);
         }
         return swarm;
     }
@@ -73,7 +73,7 @@
         return now.equals(List.of(counts));
     }
 
-    private static void follow(Swarm swarm, String operator, Terms terms) {
+    private static void follow(Swarm swarm, String operator, AgreementTerms terms) {
         swarm.nodes().stream().filter(n -> n.operator.equals(operator)).forEach(n -> swarm.follow(n, terms));
     }
 
@@ -85,7 +85,7 @@
         assertThat(swarm.until(30 * S, () -> shares(swarm, 24, 8))).isTrue();
         follow(swarm, "op1", proposes(terms(2, 0, swarm.wallMs() + 3_600_000, false, 25, 75)));
         swarm.until(20 * S, () -> !shares(swarm, 24, 8));
-        assertThat(swarm.node(0).view().division().count("op1")).isLessThan(24); // 8 an epoch at most
+        assertThat(swarm.node(0).view().shardAssignment().count("op1")).isLessThan(24); // 8 an epoch at most
         assertThat(swarm.until(60 * S, () -> shares(swarm, 8, 24))).isTrue();
         assertThat(swarm.broken).isEmpty();
     }
@@ -94,11 +94,11 @@
     void termsThatOnePartyDoesNotTakeAreRefusedByNameAndCountered() {
         Swarm swarm = settled(4, 2, 2);
         swarm.keepEvents = true;
-        follow(swarm, "op1", new Terms(null, 0.4, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false));
+        follow(swarm, "op1", new AgreementTerms(null, 0.4, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false));
         follow(
                 swarm,
                 "op0",
-                new Terms(
+                new AgreementTerms(
                         terms(1, 0, swarm.wallMs() + 3_600_000, false, 90, 10),
                         0.5,
                         1_000,
@@ -107,11 +107,17 @@
                         SHARDS,
                         400L * 86_400_000,
                         false));
-        assertThat(swarm.until(40 * S, () -> swarm.node(0).view().division().agreement() != null))
+        assertThat(swarm.until(
+                        40 * S, () -> swarm.node(0).view().shardAssignment().agreement() != null))
                 .isTrue();
         assertThat(swarm.events)
                 .anyMatch(e -> e.contains("refuses") && e.contains("owed: 0.100 of all for op1, which wants 0.400"));
-        assertThat(swarm.node(0).view().division().agreement().party("op1").owed())
+        assertThat(swarm.node(0)
+                        .view()
+                        .shardAssignment()
+                        .agreement()
+                        .party("op1")
+                        .share())
                 .isEqualTo(60); // 0.4 of 150
         assertThat(swarm.broken).isEmpty();
     }
@@ -119,14 +125,15 @@
     @Test
     void offersThatTheirOperatorNamesNoMoreAreForgottenAndMakeRoom() {
         Swarm swarm = settled(4, 2, 8);
-        follow(swarm, "op1", Terms.NONE);
+        follow(swarm, "op1", AgreementTerms.NONE);
         for (int i = 0; i < 40; i++) { // more than are known at once
             follow(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000 + i, false, 75, 25)));
             swarm.run(S / 2);
         }
         swarm.run(62 * S);
         follow(swarm, "op1", proposes(terms(1, 0, swarm.wallMs() + 1_800_000, false, 25, 75)));
-        assertThat(swarm.until(60 * S, () -> swarm.node(0).view().division().agreement() != null))
+        assertThat(swarm.until(
+                        60 * S, () -> swarm.node(0).view().shardAssignment().agreement() != null))
                 .isTrue();
         assertThat(swarm.broken).isEmpty();
     }
@@ -144,10 +151,10 @@
                     node,
                     node.operator.equals("op0")
                             ? proposes(terms(1, 0, swarm.wallMs() + 3_600_000, false, 75, 25))
-                            : Terms.NONE);
+                            : AgreementTerms.NONE);
         }
         swarm.run(40 * S);
-        assertThat(swarm.node(0).view().division().agreement()).isNull();
+        assertThat(swarm.node(0).view().shardAssignment().agreement()).isNull();
         assertThat(swarm.broken).isEmpty();
     }
 
@@ -156,7 +163,8 @@
         for (boolean standIn : new boolean[] {false, true}) {
             Swarm swarm = settled(5, 2, 4); // op0 has three, op1 two
             follow(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000, standIn, 50, 50)));
-            assertThat(swarm.until(30 * S, () -> swarm.node(0).view().division().agreement() != null))
+            assertThat(swarm.until(
+                            30 * S, () -> swarm.node(0).view().shardAssignment().agreement() != null))
                     .isTrue();
             swarm.run(12 * S);
             Set<String> cut = Set.of("m001", "m003");
@@ -176,15 +184,15 @@
         Swarm swarm = settled(4, 2, 5);
         follow(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000, false, 75, 25)));
         assertThat(swarm.until(40 * S, () -> shares(swarm, 24, 8))).isTrue();
-        follow(swarm, "op1", new Terms(null, 2, 0, 0, 0, 0, 0, true));
+        follow(swarm, "op1", new AgreementTerms(null, 2, 0, 0, 0, 0, 0, true));
         assertThat(swarm.until(
                         20 * S,
-                        () -> swarm.node(0).view().division().agreement().revision() == 2))
+                        () -> swarm.node(0).view().shardAssignment().agreement().revision() == 2))
                 .isTrue();
         swarm.run(8 * S);
         assertThat(shares(swarm, 24, 8)).isTrue(); // 20 s of notice
         assertThat(swarm.until(60 * S, () -> shares(swarm, 16, 16))).isTrue();
-        assertThat(swarm.node(0).view().division().expired()).isTrue();
+        assertThat(swarm.node(0).view().shardAssignment().expired()).isTrue();
         assertThat(swarm.broken).isEmpty();
     }
 
@@ -193,13 +201,13 @@
         Swarm swarm = settled(6, 2, 6);
         follow(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000, false, 75, 25)));
         assertThat(swarm.until(40 * S, () -> shares(swarm, 24, 8))).isTrue();
-        PartnerAgreement before = swarm.node(0).view().division().agreement();
+        PartnerAgreement before = swarm.node(0).view().shardAssignment().agreement();
         swarm.nodes().forEach(swarm::kill);
         swarm.run(2 * S);
         swarm.nodes().forEach(n -> swarm.start(n, !n.operator.equals("op1") || n.gateway == 1));
         assertThat(swarm.until(60 * S, swarm::isSettled)).isTrue();
         assertThat(swarm.until(40 * S, () -> shares(swarm, 24, 8))).isTrue();
-        assertThat(swarm.node(0).view().division().agreement()).isEqualTo(before);
+        assertThat(swarm.node(0).view().shardAssignment().agreement()).isEqualTo(before);
         assertThat(swarm.broken).isEmpty();
     }
 
@@ -227,7 +235,8 @@
                             1_000,
                             0)));
             int wanted = revision;
-            assertThat(swarm.until(30 * S, () -> swarm.node(1).view().division().count("op" + (wanted - 1)) >= 25))
+            assertThat(swarm.until(
+                            30 * S, () -> swarm.node(1).view().shardAssignment().count("op" + (wanted - 1)) >= 25))
                     .isTrue();
             if (revision == 1) {
                 swarm.run(25 * S);
@@ -262,7 +271,7 @@
                 case 4 -> swarm.net = (a, b) -> !a.equals(node.name);
                 case 5 -> swarm.loss = random.nextDouble() * 0.4;
                 default -> {
-                    ShardAssignment d = node.isUp() ? node.view().division() : null;
+                    ShardAssignment d = node.isUp() ? node.view().shardAssignment() : null;
                     int next = d == null || d.agreement() == null
                             ? 1
                             : d.agreement().revision() + 1;
@@ -328,7 +337,7 @@
                 for (int i = 0; i < SHARDS; i++) {
                     moved += next.owner(i).equals(d.owner(i)) ? 0 : 1;
                 }
-                assertThat(moved).isLessThanOrEqualTo(agreement.moves());
+                assertThat(moved).isLessThanOrEqualTo(agreement.maxMovesPerEpoch());
                 d = next;
             }
         }
@@ -369,10 +378,12 @@
         ShardAssignmentRule rule = new ShardAssignmentRule(SHARDS, ALONE_MS);
         PartnerAgreement good = terms(1, 0, 100_000, false, 50, 50);
         ShardAssignment d = rule.next(view(null, 0), Set.of("op0", "op1"), good, good.operators(), 10);
-        assertThat(rule.mayFollow(view(d, 1), good, good.operators(), 20)).isFalse(); // said once more
-        assertThat(rule.mayFollow(view(null, 0), good, List.of("op0"), 20)).isFalse(); // one party's word alone
-        assertThat(rule.objection(view(null, 0), new View(1, 1, view(null, 0).members(), d), 10))
-                .isNotNull(); // op1 is not there
+        assertThat(rule.mayComeIntoForce(view(d, 1), good, good.operators(), 20))
+                .isFalse(); // said once more
+        assertThat(rule.mayComeIntoForce(view(null, 0), good, List.of("op0"), 20))
+                .isFalse(); // one party's word alone
+        assertThat(rule.violation(view(null, 0), new View(1, 1, view(null, 0).members(), d), 10))
+                .isPresent(); // op1 is not there
         Map<String, Integer> counts = Map.of("op0", d.count("op0"), "op1", d.count("op1"));
         assertThat(counts).containsEntry("op0", 16).containsEntry("op1", 16);
     }
