--- a/src/rig/java/hopdrum/rig/trial/Trial.java
+++ b/src/rig/java/hopdrum/rig/trial/Trial.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import hopdrum.rig.check.Checker;
+import hopdrum.rig.check.TrialReport;
 import hopdrum.rig.trial.TrialFile.Door;
 import hopdrum.rig.trial.TrialFile.Step;
 import java.io.File;
@@ -17,6 +18,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
@@ -79,11 +81,11 @@
         } finally {
             Runtime.getRuntime().removeShutdownHook(atEnd);
         }
-        Checker checker = new Checker(out);
-        checker.measured().forEach(line -> say.accept("measured: " + line));
-        String broken = checker.verdict();
-        say.accept(broken == null ? "verdict: kept" : "verdict: broken " + broken);
-        return broken == null;
+        TrialReport report = Checker.check(out);
+        report.measurements().forEach(line -> say.accept("measured: " + line));
+        Optional<String> broken = report.firstViolation();
+        say.accept(broken.map(violation -> "verdict: broken " + violation).orElse("verdict: kept"));
+        return broken.isEmpty();
     }
 
     /**
--- a/src/test/java/hopdrum/rig/TrialsIT.java
+++ b/src/test/java/hopdrum/rig/TrialsIT.java
@@ -63,7 +63,7 @@
     private static Set<String> broken(String trial) throws IOException, InterruptedException {
         Path file = HOME.resolve("trials/planted/" + trial);
         assertThat(play(file, 1)).last().asString().startsWith("verdict: broken ");
-        return new Checker(folder.resolve(file.getFileName() + "-1")).rulesBroken();
+        return Checker.check(folder.resolve(file.getFileName() + "-1")).violatedRules();
     }
 
     @Test
