--- a/src/rig/java/hopdrum/rig/check/package-info.java
+++ b/src/rig/java/hopdrum/rig/check/package-info.java
@@ -3,7 +3,7 @@
  *
  * <p>{@link hopdrum.rig.check.Checker} is the entry point. It reads {@code rig.jsonl} (events recorded by the rig) and one
  * {@code NAME.jsonl} per process, and runs one checker class per subject over them. The package imports nothing from the
- * program under test: it depends only on the log format described in docs/trials.md, so that a fault of the program cannot
- * hide itself here. All times are microseconds of the machine's monotonic clock unless a name says otherwise.
+ * program under test: it depends only on the log format described in docs/trials.md, so that checker and program cannot
+ * share a fault. All times are microseconds of the machine's monotonic clock unless a name says otherwise.
  */
 package hopdrum.rig.check;
--- /dev/null
+++ b/src/rig/java/hopdrum/rig/trial/AtomicFiles.java
@@ -0,0 +1,18 @@
+package hopdrum.rig.trial;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+
+/** Replaces files that other processes watch. */
+final class AtomicFiles {
+    private AtomicFiles() {}
+
+    /** Replaces a file by a move, so that no reader sees half of it. */
+    static void replace(Path file, String content) throws IOException {
+        Path beside = file.resolveSibling(file.getFileName() + ".new");
+        Files.writeString(beside, content);
+        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    }
+}
--- /dev/null
+++ b/src/rig/java/hopdrum/rig/trial/CounterStandIns.java
@@ -0,0 +1,83 @@
+package hopdrum.rig.trial;
+
+import java.io.IOException;
+import java.io.OutputStream;
+import java.util.HashMap;
+import java.util.Locale;
+import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/**
+ * A stand-in for the platform's counter, of one operator: one set of totals, behind an address for each door so that the
+ * counter can fail towards one door alone.
+ */
+final class CounterStandIns implements AutoCloseable {
+    private static final long SILENCE_MS = 10_000;
+    private static final long SLOWNESS_MS = 200;
+    private static final Pattern DELTA = Pattern.compile("delta=([-0-9.]+)");
+
+    private final EventJournal journal;
+    private final Map<String, HttpStandIn> byDoor = new HashMap<>();
+    private final Map<String, CounterState> states = new ConcurrentHashMap<>(); // by door
+    private final Map<String, Double> totals = new HashMap<>(); // guarded by itself
+
+    CounterStandIns(EventJournal journal) {
+        this.journal = journal;
+    }
+
+    /** The port at which a door reaches the counter. */
+    int portFor(String door) throws IOException {
+        HttpStandIn counter = byDoor.get(door);
+        if (counter == null) {
+            counter = new HttpStandIn("counter-" + door, (request, to) -> answer(door, request, to));
+            byDoor.put(door, counter);
+        }
+        return counter.port();
+    }
+
+    private void answer(String door, HttpStandIn.Request request, OutputStream to)
+            throws IOException, InterruptedException {
+        switch (states.getOrDefault(door, CounterState.WELL)) {
+            case SILENT -> {
+                Thread.sleep(SILENCE_MS);
+                throw new IOException("silent: no answer");
+            }
+            case SLOW -> Thread.sleep(SLOWNESS_MS);
+            default -> {}
+        }
+        String path = request.path();
+        String name = path.substring(path.lastIndexOf('/') + 1, path.indexOf('?'));
+        Matcher delta = DELTA.matcher(path);
+        if (!delta.find()) {
+            throw new IOException("no delta in " + path);
+        }
+        double total;
+        synchronized (totals) {
+            total = totals.merge(name, Double.parseDouble(delta.group(1)), Double::sum);
+        }
+        HttpStandIn.writeOk(to, String.format(Locale.ROOT, "%.6f", total));
+    }
+
+    /** From now on the counter behaves like this towards a door; the door's connections to it are closed. */
+    void set(String door, CounterState state) {
+        journal.event("counter").with("door", door).with("is", state.key()).write();
+        if (state == CounterState.EMPTIED) {
+            synchronized (totals) {
+                totals.clear();
+            }
+        }
+        states.put(door, state == CounterState.EMPTIED ? CounterState.WELL : state);
+        if (byDoor.containsKey(door)) {
+            byDoor.get(door).closeConnections();
+        }
+    }
+
+    @Override
+    public void close() throws IOException {
+        for (HttpStandIn counter : byDoor.values()) {
+            counter.close();
+        }
+    }
+}
--- /dev/null
+++ b/src/rig/java/hopdrum/rig/trial/DelayingProxy.java
@@ -0,0 +1,120 @@
+package hopdrum.rig.trial;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.OutputStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.util.Arrays;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * A TCP proxy that stands for the network path to one backend or door: bytes arrive after a delay, a connection's first ones
+ * after one round trip more; or not at all.
+ */
+final class DelayingProxy implements AutoCloseable {
+    private static final int BACKLOG = 256;
+    private static final int QUEUE_CAPACITY = 1_000;
+    private static final int BUFFER_BYTES = 16 << 10;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final int DRAIN_MS = 2_000;
+    private static final int BACKWARD_DRAIN_MS = 500;
+
+    private final LoopbackListener listener;
+    private final int targetPort;
+    private volatile long delayUs;
+    private volatile boolean lossy;
+
+    /** Accepts connections at once, for a port on loopback. */
+    DelayingProxy(int targetPort) throws IOException {
+        this.targetPort = targetPort;
+        this.listener = new LoopbackListener(BACKLOG);
+        listener.start("path", this::serve);
+    }
+
+    int port() {
+        return listener.port();
+    }
+
+    void delay(long oneWayUs) {
+        delayUs = oneWayUs;
+    }
+
+    /** From now on nothing gets through. */
+    void lose() {
+        lossy = true;
+    }
+
+    /** Bytes get through again; the connections so far are closed. */
+    void restore() {
+        lossy = false;
+        listener.closeConnections();
+    }
+
+    private void serve(Socket client) {
+        try (client;
+                Socket server = new Socket()) {
+            listener.track(server);
+            client.setTcpNoDelay(true);
+            server.setTcpNoDelay(true);
+            TimeUnit.MICROSECONDS.sleep(2 * delayUs);
+            server.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), targetPort), CONNECT_TIMEOUT_MS);
+            Thread backward = DaemonThreads.start("path-back", () -> pump(server, client));
+            pump(client, server);
+            backward.join(BACKWARD_DRAIN_MS);
+        } catch (IOException e) {
+            // one side has ended the connection
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        } finally {
+            listener.forget(client);
+        }
+    }
+
+    private void pump(Socket from, Socket to) {
+        BlockingQueue<TimedBytes> queue = new LinkedBlockingQueue<>(QUEUE_CAPACITY);
+        Thread writer = DaemonThreads.start("path-out", () -> write(queue, to));
+        byte[] buffer = new byte[BUFFER_BYTES];
+        try {
+            InputStream in = from.getInputStream();
+            for (int length = in.read(buffer); length >= 0; length = in.read(buffer)) {
+                queue.put(TimedBytes.receivedNow(Arrays.copyOf(buffer, length)));
+            }
+            queue.put(TimedBytes.receivedNow(new byte[0])); // the connection's end takes as long as its bytes
+            writer.join(DRAIN_MS);
+        } catch (IOException e) {
+            Closeables.closeQuietly(to);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+        listener.forget(to);
+    }
+
+    private void write(BlockingQueue<TimedBytes> queue, Socket to) {
+        try {
+            OutputStream out = to.getOutputStream();
+            for (TimedBytes piece = queue.take(); piece.length() > 0; piece = queue.take()) {
+                long leftUs = piece.receivedUs() + delayUs - EventJournal.nowUs();
+                if (leftUs > 0) {
+                    TimeUnit.MICROSECONDS.sleep(leftUs);
+                }
+                if (!lossy) {
+                    out.write(piece.bytes());
+                }
+            }
+            Closeables.closeQuietly(to);
+        } catch (IOException e) {
+            Closeables.closeQuietly(to);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    @Override
+    public void close() throws IOException {
+        listener.close();
+    }
+}
--- /dev/null
+++ b/src/rig/java/hopdrum/rig/trial/DoorConfiguration.java
@@ -0,0 +1,150 @@
+package hopdrum.rig.trial;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import hopdrum.rig.trial.TrialFile.Door;
+import hopdrum.rig.trial.TrialFile.Load;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Writes the files that a door's process is started with: its platform configuration and its fleet file. */
+final class DoorConfiguration {
+    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final String LOOPBACK = "127.0.0.1:";
+    private static final int MAX_SEEDS = 3;
+    private static final long IDEMPOTENCY_WINDOW_US = 5_000_000;
+
+    private final Testbed testbed;
+    private final TrialFile file;
+    private final Path out;
+    private final long seed;
+
+    /** Files of all doors are written below a trial's output folder. */
+    DoorConfiguration(Testbed testbed, Path out, long seed) {
+        this.testbed = testbed;
+        this.file = testbed.file();
+        this.out = out;
+        this.seed = seed;
+    }
+
+    /** Writes the platform configuration of a door for its start of this number, from 0 on. */
+    Path writePlatformFile(Door door, int starts) throws IOException {
+        List<String> tier = testbed.tiers().get(door.operator());
+        PlatformStandIns platform = testbed.platformOf(door);
+        long processSeed = seed * 1_000 + starts * 100L + tier.indexOf(door.name()) + 1;
+        Map<String, Object> config = new LinkedHashMap<>();
+        config.put("name", door.name());
+        config.put("listen", LOOPBACK + testbed.clientPort(door.name()));
+        config.put("discovery", LOOPBACK + platform.discoveryPortFor(door.name(), door.site()));
+        config.put("counter", LOOPBACK + platform.counter().portFor(door.name()));
+        config.put("peers", List.of());
+        config.put("seed", Long.toHexString(processSeed));
+        config.put("limits", Map.of("cores", 1.0, "memory_mb", 192, "sockets", 1024));
+        config.put("settings", settings(door, tier));
+        Path path = out.resolve(door.name()).resolve("config.json");
+        Files.write(path, JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(config));
+        return path;
+    }
+
+    private Map<String, Object> settings(Door door, List<String> tier) {
+        Map<String, Object> settings = new LinkedHashMap<>();
+        settings.put("NInstances", tier.size());
+        settings.put("Ordinal", tier.indexOf(door.name()));
+        settings.put("TickUs", 1_000);
+        settings.put("Azs", new ArrayList<>(file.sites()));
+        settings.put("Flavors", List.of("any"));
+        settings.put("Weights", "none");
+        settings.put("RegistryMode", "push");
+        settings.put("Lanes", lanes());
+        settings.put("Packages", List.of(plan()));
+        settings.put("FamilyInfo", Map.of("MayCount", true, "CountWaitUs", 50_000));
+        settings.put("Bounds", bounds());
+        settings.put("Report", Map.of("Fields", List.of("depth"), "Source", "answers"));
+        settings.put(
+                "Rules",
+                Map.of("ColdFrom", 0.25, "WarmAfterUs", 1_000_000, "OverloadFactor", 2.0, "FallUs", 1_500_000));
+        return settings;
+    }
+
+    private List<Map<String, Object>> lanes() {
+        Map<String, Object> write = lane("write", "dedup");
+        write.put("Group", "all");
+        write.put("WindowUs", IDEMPOTENCY_WINDOW_US);
+        return List.of(lane("read", "retryable"), write, lane("once", "fragile"));
+    }
+
+    private Map<String, Object> lane(String name, String effect) {
+        long deadlineUs = file.load().deadlineMs() * 1_000L;
+        Map<String, Object> lane = new LinkedHashMap<>();
+        lane.put("Name", name);
+        lane.put("AimUs", deadlineUs / 2);
+        lane.put("GiveUpUs", deadlineUs);
+        lane.put("Effect", effect);
+        return lane;
+    }
+
+    private Map<String, Object> plan() {
+        Load load = file.load();
+        Map<String, Object> plan = new LinkedHashMap<>();
+        plan.put("Name", "trial");
+        plan.put("PerSecond", load.rate());
+        plan.put("Burst", load.burst());
+        plan.put("CapRate", load.ceilingRate());
+        plan.put("CeilingBurst", load.ceilingBurst());
+        plan.put("CapSlack", 0);
+        return plan;
+    }
+
+    private static Map<String, Object> bounds() {
+        Map<String, Object> bounds = new LinkedHashMap<>();
+        bounds.put("AttemptsCap", 3);
+        bounds.put("Cancel", true);
+        bounds.put("SecondCopies", false);
+        bounds.put("Peers", false);
+        bounds.put("RetryAfter", true);
+        bounds.put("MaxRetryAfterUs", 500_000);
+        bounds.put("DialTimeoutUs", 250_000);
+        bounds.put("ConnIdleUs", 15_000_000);
+        return bounds;
+    }
+
+    /** Writes a door's fleet file. */
+    Path writeFleetFile(Door door) throws IOException {
+        Path folder = out.resolve(door.name());
+        List<String> seeds = file.founders().stream()
+                .limit(MAX_SEEDS)
+                .map(founder -> "\"" + LOOPBACK + testbed.fleetProxy(founder).port() + "\"")
+                .toList();
+        List<String> lines = new ArrayList<>(List.of(
+                "fleet: trial",
+                "operator: " + door.operator(),
+                "operators: [" + String.join(", ", testbed.tiers().keySet()) + "]",
+                "site: " + door.site(),
+                "name: " + door.answersTo(),
+                "listen: " + LOOPBACK + testbed.fleetPort(door.name()),
+                "advertise: " + LOOPBACK + testbed.fleetProxy(door.name()).port(),
+                "seeds: [" + String.join(", ", seeds) + "]",
+                "founders: [" + String.join(", ", file.founders()) + "]",
+                "store: " + folder.resolve("store"),
+                "log: " + out.resolve(door.name() + ".jsonl"),
+                "probe_period_ms: " + file.probePeriodMs(),
+                "lease_ms: " + file.leaseMs(),
+                "placement: " + file.placement()));
+        if (file.shards().isUsed()) {
+            lines.add("shards: " + file.shards().count());
+            lines.add("most_alone_ms: " + file.shards().maxAloneMs());
+            lines.add(
+                    "serves: " + LOOPBACK + testbed.forwardingProxy(door.name()).port());
+            if (file.shards().terms().containsKey(door.operator())) {
+                lines.add("terms: " + TermsFiles.path(out, door.operator()));
+            }
+        }
+        Path path = folder.resolve("fleet.yaml");
+        Files.writeString(path, String.join("\n", lines) + "\n");
+        return path;
+    }
+}
--- /dev/null
+++ b/src/rig/java/hopdrum/rig/trial/DoorProcesses.java
@@ -0,0 +1,179 @@
+package hopdrum.rig.trial;
+
+import hopdrum.rig.trial.TrialFile.Door;
+import java.io.File;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.TimeUnit;
+
+/** The processes of one trial: starts, signals and ends them, and records each in the journal. */
+final class DoorProcesses {
+    private static final int TERM_TIMEOUT_MS = 6_000;
+    private static final List<String> JVM_OPTIONS =
+            List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-Xss512k");
+
+    private final Testbed testbed;
+    private final DoorConfiguration configuration;
+    private final EventJournal journal;
+    private final Path out;
+    private final Path home;
+    private final Map<String, Process> running = new ConcurrentHashMap<>(); // by door
+    private final Map<String, Integer> starts = new HashMap<>(); // by door; the trial's thread alone
+
+    /**
+     * None runs yet.
+     *
+     * @param out where their files and logs go
+     * @param home the checkout whose {@code target} they are started from
+     */
+    DoorProcesses(Testbed testbed, DoorConfiguration configuration, EventJournal journal, Path out, Path home) {
+        this.testbed = testbed;
+        this.configuration = configuration;
+        this.journal = journal;
+        this.out = out;
+        this.home = home;
+    }
+
+    void start(String name, StoreState store) throws IOException {
+        Door door = testbed.file().door(name);
+        Path folder = Files.createDirectories(out.resolve(name));
+        damageStore(folder.resolve("store").resolve("member.cbor"), store);
+        Path platformFile = configuration.writePlatformFile(door, starts.getOrDefault(name, 0));
+        Path fleetFile = configuration.writeFleetFile(door);
+        ProcessBuilder builder = new ProcessBuilder(command(door, fleetFile))
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(
+                        folder.resolve("output.txt").toFile()));
+        builder.environment().put("LB_CONFIG", platformFile.toString());
+        testbed.ports().release(testbed.fleetPort(name));
+        testbed.ports().release(testbed.clientPort(name));
+        Process process = builder.start();
+        running.put(name, process);
+        starts.merge(name, 1, Integer::sum);
+        journal.event("started")
+                .with("door", name)
+                .with("pid", process.pid())
+                .with("store", store.key())
+                .write();
+        DaemonThreads.start("watch-" + name, () -> {
+            int code = process.onExit().join().exitValue();
+            running.remove(name, process);
+            journal.event("exited").with("door", name).with("code", code).write();
+        });
+    }
+
+    private static void damageStore(Path stored, StoreState state) throws IOException {
+        if (state == StoreState.LOST) {
+            Files.deleteIfExists(stored);
+        } else if (state == StoreState.TORN && Files.exists(stored)) {
+            byte[] bytes = Files.readAllBytes(stored);
+            Files.write(stored, Arrays.copyOf(bytes, bytes.length * 2 / 3));
+        }
+    }
+
+    private List<String> command(Door door, Path fleetFile) {
+        Path target = home.resolve("target");
+        String jar = target.resolve("hopdrum.jar").toString();
+        List<String> command = new ArrayList<>();
+        command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+        command.addAll(JVM_OPTIONS);
+        if (door.planted().isEmpty()) {
+            command.addAll(List.of("-jar", jar, "serve", "--fleet", fleetFile.toString()));
+        } else {
+            String classPath = String.join(
+                    File.pathSeparator,
+                    jar,
+                    target.resolve("lib") + "/*",
+                    target.resolve("test-classes").toString());
+            command.addAll(
+                    List.of("-cp", classPath, "hopdrum.rig.planted.Planted", door.planted(), fleetFile.toString()));
+        }
+        return command;
+    }
+
+    /** The doors whose processes run, paused ones too. */
+    List<String> running() {
+        return List.copyOf(running.keySet());
+    }
+
+    /** SIGSTOP. */
+    void pause(String door) {
+        signal(door, "STOP");
+    }
+
+    /** SIGCONT. */
+    void resume(String door) {
+        signal(door, "CONT");
+    }
+
+    private void signal(String door, String signal) {
+        Process process = running.get(door);
+        if (process == null) {
+            return;
+        }
+        try {
+            new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
+                    .start()
+                    .waitFor();
+            journal.event("signal").with("door", door).with("which", signal).write();
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** SIGKILL; returns once the process has ended. */
+    void kill(String door) {
+        Process process = running.remove(door);
+        if (process != null) {
+            process.destroyForcibly();
+            process.onExit().join();
+            journal.event("killed").with("door", door).write();
+        }
+    }
+
+    /** SIGTERM; returns once the process has ended. One that does not within its time is killed. */
+    void terminate(String door) {
+        Process process = running.get(door);
+        if (process == null) {
+            return;
+        }
+        journal.event("term").with("door", door).write();
+        process.destroy();
+        try {
+            boolean isEnded = process.waitFor(TERM_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            journal.event("ended")
+                    .with("door", door)
+                    .with("by_itself", isEnded)
+                    .with("code", isEnded ? process.exitValue() : -1)
+                    .write();
+            if (!isEnded) {
+                process.destroyForcibly();
+                process.onExit().join();
+            }
+            running.remove(door, process);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** {@link #terminate} in a thread of its own. */
+    Thread startTerminating(String door) {
+        return DaemonThreads.start("term-" + door, () -> terminate(door));
+    }
+
+    /** SIGKILL to all; returns once they have ended. May be called from a shutdown hook. */
+    void killAll() {
+        running.values().forEach(Process::destroyForcibly);
+        running.values().forEach(process -> process.onExit().join());
+    }
+}
--- /dev/null
+++ b/src/rig/java/hopdrum/rig/trial/FaultInjectingProxy.java
@@ -0,0 +1,246 @@
+package hopdrum.rig.trial;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
+import java.io.BufferedInputStream;
+import java.io.DataInputStream;
+import java.io.IOException;
+import java.io.OutputStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.nio.ByteBuffer;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * A proxy before the fleet address of one process. Who connects is read from the first frame; from then on each frame of
+ * either direction is subject to the faults of the link between the two. It knows frames' lengths, a hello's name and a
+ * latency message's readings, and nothing else.
+ */
+final class FaultInjectingProxy implements AutoCloseable {
+    private static final ObjectMapper CBOR = new CBORMapper();
+    private static final int BACKLOG = 256;
+    private static final int QUEUE_CAPACITY = 10_000;
+    private static final int MAX_FRAME_BYTES = 16 << 20;
+    private static final int HEADER_BYTES = 4;
+    private static final int CONNECT_TIMEOUT_MS = 2_000;
+    private static final int PARTITION_POLL_MS = 20;
+    private static final int DRAIN_MS = 1_000;
+
+    private final String target;
+    private final int targetPort;
+    private final NetworkFaults network;
+    private final LoopbackListener listener;
+    private final Map<Socket, String> peers = new ConcurrentHashMap<>();
+    private final SplittableRandom random;
+
+    /**
+     * Accepts connections at once.
+     *
+     * @param target the fleet's name for the process behind it
+     * @param targetPort where that process listens, on loopback
+     * @param seed of what is lost and duplicated
+     */
+    FaultInjectingProxy(String target, int targetPort, NetworkFaults network, long seed) throws IOException {
+        this.target = target;
+        this.targetPort = targetPort;
+        this.network = network;
+        this.random = new SplittableRandom(seed);
+        this.listener = new LoopbackListener(BACKLOG);
+        listener.start("proxy-" + target, this::serve);
+    }
+
+    int port() {
+        return listener.port();
+    }
+
+    private synchronized boolean isDrawn(double probability) {
+        return random.nextDouble() < probability;
+    }
+
+    private static byte[] readFrame(DataInputStream in) throws IOException {
+        int length = in.readInt();
+        if (length < 0 || length > MAX_FRAME_BYTES) {
+            throw new IOException("not a frame: its length is " + length);
+        }
+        byte[] frame = new byte[HEADER_BYTES + length];
+        ByteBuffer.wrap(frame).putInt(length);
+        in.readFully(frame, HEADER_BYTES, length);
+        return frame;
+    }
+
+    private static JsonNode parse(byte[] frame) throws IOException {
+        return CBOR.readTree(frame, HEADER_BYTES, frame.length - HEADER_BYTES);
+    }
+
+    /** A frame as its sender sent it; of a member whose latencies are falsified, with its own readings changed. */
+    private byte[] falsified(String sender, byte[] frame) throws IOException {
+        Double factor = network.latencyFactor(sender);
+        if (factor == null) {
+            return frame;
+        }
+        JsonNode message = parse(frame);
+        if (!message.path("is").asText().equals("latency")) {
+            return frame;
+        }
+        for (JsonNode reading : message.path("readings")) {
+            if (reading.path("observer").asText().equals(sender)) {
+                long falseUs = (long) (reading.path("rttUs").asLong() * factor);
+                ((ObjectNode) reading).put("rttUs", Math.max(1, falseUs));
+            }
+        }
+        byte[] body = CBOR.writeValueAsBytes(message);
+        return ByteBuffer.allocate(HEADER_BYTES + body.length)
+                .putInt(body.length)
+                .put(body)
+                .array();
+    }
+
+    private void serve(Socket client) {
+        Socket server = new Socket();
+        listener.track(server);
+        try (client;
+                server) {
+            DataInputStream requests = new DataInputStream(new BufferedInputStream(client.getInputStream()));
+            byte[] hello = readFrame(requests);
+            String peer = parse(hello).path("who").path("name").asText("?");
+            peers.put(client, peer);
+            LinkFaults forward = network.between(peer, target);
+            LinkFaults backward = network.between(target, peer);
+            if (!awaitReachable(forward, client)) {
+                return;
+            }
+            server.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), targetPort), CONNECT_TIMEOUT_MS);
+            server.setTcpNoDelay(true);
+            client.setTcpNoDelay(true);
+            DataInputStream answers = new DataInputStream(new BufferedInputStream(server.getInputStream()));
+            Thread answering =
+                    DaemonThreads.start("proxy-back", () -> forwardAnswers(answers, server, client, backward));
+            forwardRequests(requests, client, server, forward, hello, peer);
+            answering.join(DRAIN_MS);
+        } catch (IOException e) {
+            // one side has ended the connection: so does the other
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        } finally {
+            listener.forget(client);
+            listener.forget(server);
+            peers.remove(client);
+        }
+    }
+
+    /** While a link is partitioned nothing gets through, not even a refused connection. False if there is no more need. */
+    private boolean awaitReachable(LinkFaults faults, Socket client) throws InterruptedException {
+        while (faults.isPartitioned() || faults.isHeld()) {
+            Thread.sleep(PARTITION_POLL_MS);
+            if (listener.isClosed() || client.isClosed()) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    private void forwardRequests(
+            DataInputStream in, Socket from, Socket to, LinkFaults faults, byte[] hello, String sender) {
+        BlockingQueue<TimedBytes> queue = new LinkedBlockingQueue<>(QUEUE_CAPACITY);
+        Thread writer = DaemonThreads.start("proxy-out", () -> write(queue, to, faults));
+        try {
+            queue.put(TimedBytes.receivedNow(hello));
+            while (true) {
+                enqueue(falsified(sender, readFrame(in)), queue, faults, false);
+            }
+        } catch (IOException e) {
+            end(writer, to, from);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** The first frame, the answer to the hello, is never lost: without it there is no connection to lose frames on. */
+    private void forwardAnswers(DataInputStream in, Socket from, Socket to, LinkFaults faults) {
+        BlockingQueue<TimedBytes> queue = new LinkedBlockingQueue<>(QUEUE_CAPACITY);
+        Thread writer = DaemonThreads.start("proxy-out", () -> write(queue, to, faults));
+        try {
+            enqueue(readFrame(in), queue, faults, true);
+            while (true) {
+                enqueue(readFrame(in), queue, faults, false);
+            }
+        } catch (IOException e) {
+            end(writer, to, from);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    private static void end(Thread writer, Socket to, Socket from) {
+        writer.interrupt();
+        Closeables.closeQuietly(to);
+        Closeables.closeQuietly(from);
+    }
+
+    private void enqueue(byte[] frame, BlockingQueue<TimedBytes> queue, LinkFaults faults, boolean isHelloAnswer)
+            throws InterruptedException {
+        if (faults.isPartitioned() || (!isHelloAnswer && isDrawn(faults.lossRate()))) {
+            return;
+        }
+        queue.put(TimedBytes.receivedNow(frame));
+        if (isDrawn(faults.duplicationRate())) {
+            queue.put(TimedBytes.receivedNow(frame));
+        }
+    }
+
+    private static void write(BlockingQueue<TimedBytes> queue, Socket socket, LinkFaults faults) {
+        try {
+            OutputStream out = socket.getOutputStream();
+            while (!socket.isClosed()) {
+                TimedBytes frame = queue.poll(100, TimeUnit.MILLISECONDS);
+                if (frame == null) {
+                    continue;
+                }
+                while (faults.isHeld() || EventJournal.nowUs() < frame.receivedUs() + faults.delayUs()) {
+                    Thread.sleep(1);
+                }
+                long bytesPerSecond = faults.bytesPerSecond();
+                if (bytesPerSecond > 0) {
+                    Thread.sleep(frame.length() * 1000L / bytesPerSecond);
+                }
+                if (!faults.isPartitioned()) {
+                    out.write(frame.bytes());
+                    out.flush();
+                }
+            }
+        } catch (IOException e) {
+            Closeables.closeQuietly(socket);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Resets the connections that these members have opened to the target. */
+    void reset(Set<String> members) {
+        for (Map.Entry<Socket, String> peer : new HashSet<>(peers.entrySet())) {
+            if (members.contains(peer.getValue())) {
+                try {
+                    peer.getKey().setSoLinger(true, 0);
+                } catch (IOException e) {
+                    // it has ended by itself
+                }
+                Closeables.closeQuietly(peer.getKey());
+            }
+        }
+    }
+
+    @Override
+    public void close() throws IOException {
+        listener.close();
+    }
+}
--- /dev/null
+++ b/src/rig/java/hopdrum/rig/trial/SiteFaults.java
@@ -0,0 +1,84 @@
+package hopdrum.rig.trial;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import hopdrum.rig.trial.TrialFile.Door;
+import hopdrum.rig.trial.TrialFile.SitePair;
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * The delays between sites and which sites' backends are lost, on fleet links and on the doors' paths to backends alike.
+ * Published in {@code ways.json} for the baselines of placement, which know them. Confined to one thread.
+ */
+final class SiteFaults {
+    private static final ObjectMapper JSON = new ObjectMapper();
+
+    private final Testbed testbed;
+    private final TrialFile file;
+    private final EventJournal journal;
+    private final Path published;
+    private final Map<String, Boolean> lostSites = new LinkedHashMap<>();
+    private Map<String, Double> oneWayMs = Map.of(); // by "from-to"
+
+    /** No delay is in force before {@link #resetDelays}. */
+    SiteFaults(Testbed testbed, EventJournal journal, Path out) {
+        this.testbed = testbed;
+        this.file = testbed.file();
+        this.journal = journal;
+        this.published = out.resolve("ways.json");
+    }
+
+    /** The delays are as the trial file has them. */
+    void resetDelays() throws IOException {
+        applyDelays("", 1);
+    }
+
+    /** The delays are as the trial file has them, but those from and to one site are so many times as long. */
+    void slowSite(String site, double factor) throws IOException {
+        applyDelays(site, factor);
+    }
+
+    private void applyDelays(String slowSite, double factor) throws IOException {
+        Map<String, Double> delaysMs = new LinkedHashMap<>();
+        for (Door from : file.doors()) {
+            for (Door to : file.doors()) {
+                boolean isSlow = !from.site().equals(to.site())
+                        && (from.site().equals(slowSite) || to.site().equals(slowSite));
+                double delayMs = file.delayMs(from.site(), to.site()) * (isSlow ? factor : 1);
+                long delayUs = (long) (1_000 * delayMs);
+                testbed.platforms().forEach(platform -> platform.delay(from.site(), to.site(), delayUs));
+                if (!from.equals(to)) {
+                    testbed.network().between(from.answersTo(), to.answersTo()).delay(delayUs);
+                }
+                delaysMs.put(new SitePair(from.site(), to.site()).toString(), delayMs);
+            }
+        }
+        if (!file.delaysMs().isEmpty()) {
+            journal.event("distances").with("one_way_ms", delaysMs).write();
+            oneWayMs = delaysMs;
+            publish();
+        }
+    }
+
+    /** From now on a site's backends are unreachable. */
+    void loseSite(String site) throws IOException {
+        testbed.platforms().forEach(platform -> platform.loseSite(site));
+        lostSites.put(site, true);
+        publish();
+    }
+
+    /** All delays are as the trial file has them, and all backends are reachable. */
+    void heal() throws IOException {
+        lostSites.clear();
+        resetDelays();
+        for (Door door : file.doors()) {
+            testbed.platformOf(door).restoreSite(door.site());
+        }
+    }
+
+    private void publish() throws IOException {
+        AtomicFiles.replace(published, JSON.writeValueAsString(Map.of("one_way_ms", oneWayMs, "lost", lostSites)));
+    }
+}
--- /dev/null
+++ b/src/rig/java/hopdrum/rig/trial/StepAction.java
@@ -0,0 +1,60 @@
+package hopdrum.rig.trial;
+
+import java.util.Arrays;
+import java.util.Locale;
+import java.util.Optional;
+
+/** What a step of a trial file does or expects; docs/trials.md describes each. */
+enum StepAction {
+    START,
+    KILL,
+    TERM,
+    PAUSE,
+    WAKE,
+    CUT,
+    CUT_BOTH,
+    HEAL,
+    DELAY,
+    LOSE,
+    DUPLICATE,
+    HOLD,
+    RELEASE,
+    TRICKLE,
+    RESET,
+    COUNTER,
+    SLOW_SITE,
+    LOSE_SITE,
+    LIE,
+    AMEND,
+    AWAIT_REVISION,
+    LOSE_PASSING,
+    EXPECT_SETTLED,
+    EXPECT_SAME_VIEW,
+    EXPECT_CUT_OFF,
+    EXPECT_REFUSED,
+    EXPECT_UNCHANGED,
+    EXPECT_NOT_DROPPED,
+    EXPECT_ANSWERED,
+    EXPECT_MAP,
+    EXPECT_IN_TIME,
+    EXPECT_SHARES,
+    EXPECT_OWNED,
+    EXPECT_REFUSAL;
+
+    /** The action with this key in a trial file. */
+    static Optional<StepAction> ofKey(String key) {
+        return Arrays.stream(values())
+                .filter(action -> action.key().equals(key))
+                .findFirst();
+    }
+
+    /** The key in trial files and in the journal. */
+    String key() {
+        return name().toLowerCase(Locale.ROOT);
+    }
+
+    /** Whether the key's value is one text, and not the names of doors. */
+    boolean takesText() {
+        return this == AMEND || this == AWAIT_REVISION;
+    }
+}
--- /dev/null
+++ b/src/rig/java/hopdrum/rig/trial/Testbed.java
@@ -0,0 +1,138 @@
+package hopdrum.rig.trial;
+
+import hopdrum.rig.trial.TrialFile.Door;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Everything around the processes of one trial: their ports, the proxies before them and the stand-ins for each operator's
+ * platform. Built before any process starts; only the ports change afterwards, in the trial's thread.
+ */
+final class Testbed implements AutoCloseable {
+    private final TrialFile file;
+    private final NetworkFaults network = new NetworkFaults();
+    private final PortReservations ports = new PortReservations();
+    private final Map<String, List<String>> tiers = new LinkedHashMap<>();
+    private final Map<String, PlatformStandIns> platforms = new LinkedHashMap<>(); // by operator
+    private final Map<String, Integer> fleetPorts = new LinkedHashMap<>(); // by door, as the maps below
+    private final Map<String, Integer> clientPorts = new LinkedHashMap<>();
+    private final Map<String, FaultInjectingProxy> fleetProxies = new LinkedHashMap<>();
+    private final Map<String, DelayingProxy> forwardingProxies = new LinkedHashMap<>();
+
+    private Testbed(TrialFile file) {
+        this.file = file;
+    }
+
+    /** Opens all sockets; none stays open if one cannot be opened. */
+    static Testbed open(TrialFile file, long seed, EventJournal journal) throws IOException {
+        Testbed testbed = new Testbed(file);
+        try {
+            testbed.openPlatforms(journal);
+            testbed.openProxies(seed);
+        } catch (IOException e) {
+            testbed.close();
+            throw e;
+        }
+        return testbed;
+    }
+
+    private void openPlatforms(EventJournal journal) throws IOException {
+        for (Door door : file.doors()) {
+            tiers.computeIfAbsent(door.operator(), operator -> new ArrayList<>())
+                    .add(door.name());
+        }
+        for (String operator : tiers.keySet()) {
+            platforms.put(operator, new PlatformStandIns(operator, file.sites(), file.backends(), journal));
+        }
+        for (Door door : file.doors()) {
+            platforms.get(door.operator()).discoveryPortFor(door.name(), door.site());
+        }
+    }
+
+    private void openProxies(long seed) throws IOException {
+        for (Door door : file.doors()) {
+            String name = door.name();
+            fleetPorts.put(name, ports.reserve());
+            clientPorts.put(name, ports.reserve());
+            if (file.shards().isUsed()) {
+                forwardingProxies.put(name, new DelayingProxy(clientPorts.get(name)));
+            }
+            long proxySeed = seed + fleetProxies.size();
+            fleetProxies.put(name, new FaultInjectingProxy(door.answersTo(), fleetPorts.get(name), network, proxySeed));
+        }
+    }
+
+    TrialFile file() {
+        return file;
+    }
+
+    NetworkFaults network() {
+        return network;
+    }
+
+    PortReservations ports() {
+        return ports;
+    }
+
+    /** By operator: its doors, in the order of their numbers. */
+    Map<String, List<String>> tiers() {
+        return tiers;
+    }
+
+    Collection<PlatformStandIns> platforms() {
+        return platforms.values();
+    }
+
+    /** The platform of a door's operator. */
+    PlatformStandIns platformOf(Door door) {
+        return platforms.get(door.operator());
+    }
+
+    /** The platform of a door's operator. */
+    PlatformStandIns platformOf(String door) {
+        return platformOf(file.door(door));
+    }
+
+    /** Where a door's process listens for the fleet, behind its proxy. */
+    int fleetPort(String door) {
+        return fleetPorts.get(door);
+    }
+
+    /** Where a door's process listens for clients. */
+    int clientPort(String door) {
+        return clientPorts.get(door);
+    }
+
+    /** Where each door's process listens for clients. */
+    Map<String, Integer> clientPorts() {
+        return clientPorts;
+    }
+
+    /** What stands before a door's fleet address. */
+    FaultInjectingProxy fleetProxy(String door) {
+        return fleetProxies.get(door);
+    }
+
+    /** What others forward to a door passes through this; there is none without shards. */
+    DelayingProxy forwardingProxy(String door) {
+        return forwardingProxies.get(door);
+    }
+
+    @Override
+    public void close() throws IOException {
+        ports.close();
+        for (FaultInjectingProxy proxy : fleetProxies.values()) {
+            proxy.close();
+        }
+        for (PlatformStandIns platform : platforms.values()) {
+            platform.close();
+        }
+        for (DelayingProxy proxy : forwardingProxies.values()) {
+            proxy.close();
+        }
+    }
+}
--- /dev/null
+++ b/src/rig/java/hopdrum/rig/trial/TrialFileParser.java
@@ -0,0 +1,297 @@
+package hopdrum.rig.trial;
+
+import hopdrum.rig.trial.TrialFile.Backends;
+import hopdrum.rig.trial.TrialFile.Door;
+import hopdrum.rig.trial.TrialFile.Load;
+import hopdrum.rig.trial.TrialFile.Shards;
+import hopdrum.rig.trial.TrialFile.SitePair;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.SplittableRandom;
+import org.yaml.snakeyaml.LoaderOptions;
+import org.yaml.snakeyaml.Yaml;
+import org.yaml.snakeyaml.constructor.SafeConstructor;
+import org.yaml.snakeyaml.error.YAMLException;
+
+/** Reads one trial file; collects all faults of it before it gives up. */
+final class TrialFileParser {
+    private static final Set<String> TRIAL_KEYS = Set.of(
+            "about",
+            "probe_period_ms",
+            "lease_ms",
+            "doors",
+            "founders",
+            "load",
+            "steps",
+            "random",
+            "length_s",
+            "backends",
+            "work_ms",
+            "slots",
+            "placement",
+            "delays_ms",
+            "warm",
+            "shards",
+            "most_alone_ms",
+            "terms");
+    private static final Set<String> DOOR_KEYS = Set.of("name", "operator", "site", "answers_to", "planted");
+    private static final Set<String> LOAD_KEYS = Set.of(
+            "rpcs_a_second", "customers", "rate", "burst", "deadline_ms", "doors", "ceiling_rate", "ceiling_burst");
+    private static final Set<String> RANDOM_KEYS = Set.of("from_s", "to_s", "every_s", "of", "most_down", "hold_s");
+    private static final Set<String> ARGUMENT_KEYS = Set.of(
+            "from",
+            "to",
+            "store",
+            "ms",
+            "percent",
+            "bytes_a_second",
+            "is",
+            "within_s",
+            "for_s",
+            "share",
+            "times",
+            "site",
+            "error",
+            "terms",
+            "of",
+            "now",
+            "says",
+            "most_s");
+
+    private final Path file;
+    private final List<String> faults = new ArrayList<>();
+    private final List<Door> doors = new ArrayList<>();
+    private final List<Step> steps = new ArrayList<>();
+
+    TrialFileParser(Path file) {
+        this.file = file;
+    }
+
+    TrialFile parse(long seed) throws IOException {
+        Map<?, ?> trial = readYaml();
+        checkKeys("the trial", trial, TRIAL_KEYS);
+        int probePeriodMs = (int) number(trial, "probe_period_ms", 200);
+        int leaseMs = (int) number(trial, "lease_ms", 1_500);
+        Backends backends = new Backends(
+                (int) number(trial, "backends", 4), (int) number(trial, "work_ms", 5), (int) number(trial, "slots", 0));
+        int shardCount = (int) number(trial, "shards", 0);
+        int maxAloneMs = (int) number(trial, "most_alone_ms", 2_000);
+        long lengthMs = milliseconds(trial, "length_s", 20);
+        Map<?, ?> loadKeys = trial.get("load") instanceof Map<?, ?> given ? given : Map.of();
+        Load load = parseLoad(loadKeys);
+        list(trial, "doors").forEach(this::parseDoor);
+        Map<SitePair, Double> delaysMs = parseDelays(trial.get("delays_ms"));
+        List<String> warm = doorNames(trial.get("warm"));
+        load = load.withDoors(loadKeys.get("doors") == null ? doorNames() : doorNames(loadKeys.get("doors")));
+        Map<String, Map<String, Object>> terms = parseAllTerms(trial.get("terms"));
+        list(trial, "steps").forEach(this::parseStep);
+        if (trial.get("random") instanceof Map<?, ?> random) {
+            parseRandom(random, seed);
+        }
+        checkLength(lengthMs);
+        if (!faults.isEmpty()) {
+            throw new InvalidTrialFileException(file, faults);
+        }
+        return new TrialFile(
+                String.valueOf(trial.get("about")),
+                probePeriodMs,
+                leaseMs,
+                backends,
+                text(trial, "placement", "map"),
+                load,
+                lengthMs,
+                new Shards(shardCount, maxAloneMs, terms),
+                doors,
+                delaysMs,
+                list(trial, "founders").stream().map(String::valueOf).toList(),
+                warm,
+                steps);
+    }
+
+    private Map<?, ?> readYaml() throws IOException {
+        try {
+            return new Yaml(new SafeConstructor(new LoaderOptions())).load(Files.readString(file));
+        } catch (YAMLException e) {
+            throw new InvalidTrialFileException(
+                    file, "no YAML: " + e.getMessage().lines().findFirst().orElse(""), e);
+        }
+    }
+
+    private Load parseLoad(Map<?, ?> load) {
+        checkKeys("load", load, LOAD_KEYS);
+        return new Load(
+                number(load, "rpcs_a_second", 0),
+                (int) number(load, "customers", 10),
+                number(load, "rate", 5),
+                number(load, "burst", 10),
+                number(load, "ceiling_rate", 0),
+                number(load, "ceiling_burst", 0),
+                (int) number(load, "deadline_ms", 2_000),
+                List.of());
+    }
+
+    private void parseDoor(Object given) {
+        Map<?, ?> door = given instanceof Map<?, ?> keys ? keys : Map.of();
+        checkKeys("a door", door, DOOR_KEYS);
+        String name = String.valueOf(door.get("name"));
+        doors.add(new Door(
+                name,
+                text(door, "operator", "north"),
+                text(door, "site", "here"),
+                text(door, "answers_to", name),
+                text(door, "planted", "")));
+    }
+
+    private Map<SitePair, Double> parseDelays(Object given) {
+        Map<SitePair, Double> delaysMs = new LinkedHashMap<>();
+        if (given instanceof Map<?, ?> delays) {
+            Set<String> sites = new HashSet<>(doors.stream().map(Door::site).toList());
+            delays.forEach((key, value) -> {
+                String[] ends = String.valueOf(key).split("-", -1);
+                if (ends.length != 2
+                        || !sites.contains(ends[0])
+                        || !sites.contains(ends[1])
+                        || !(value instanceof Number delayMs && delayMs.doubleValue() >= 0)) {
+                    faults.add("delays_ms: " + key + ": " + value
+                            + ", expected SITE-SITE: milliseconds one way, of sites that doors have");
+                } else {
+                    delaysMs.put(new SitePair(ends[0], ends[1]), delayMs.doubleValue());
+                }
+            });
+        }
+        return delaysMs;
+    }
+
+    private Map<String, Map<String, Object>> parseAllTerms(Object given) {
+        Map<String, Map<String, Object>> terms = new LinkedHashMap<>();
+        if (given instanceof Map<?, ?> byOperator) {
+            byOperator.forEach((operator, keys) -> terms.put(String.valueOf(operator), parseTerms(operator, keys)));
+        }
+        return terms;
+    }
+
+    private Map<String, Object> parseTerms(Object operator, Object given) {
+        if (doors.stream().noneMatch(door -> door.operator().equals(String.valueOf(operator)))) {
+            faults.add("terms: no door is " + operator + "'s");
+        }
+        Map<String, Object> terms = new LinkedHashMap<>();
+        if (given instanceof Map<?, ?> keys) {
+            keys.forEach((key, value) -> terms.put(String.valueOf(key), value));
+        } else {
+            faults.add("terms: of " + operator + ": are no keys and values");
+        }
+        return terms;
+    }
+
+    private void parseStep(Object given) {
+        Map<?, ?> keys = given instanceof Map<?, ?> map ? map : Map.of();
+        Map<String, Object> arguments = new LinkedHashMap<>();
+        StepAction action = null;
+        List<String> targets = List.of();
+        for (Map.Entry<?, ?> entry : keys.entrySet()) {
+            String key = String.valueOf(entry.getKey());
+            Optional<StepAction> known = StepAction.ofKey(key);
+            if (known.isPresent()) {
+                action = known.get();
+                targets = action.takesText() ? List.of(String.valueOf(entry.getValue())) : doorNames(entry.getValue());
+            } else if (ARGUMENT_KEYS.contains(key)) {
+                boolean isDoors = key.equals("from") || key.equals("to");
+                arguments.put(key, isDoors ? doorNames(entry.getValue()) : entry.getValue());
+            } else if (!key.equals("at_s")) {
+                faults.add("a step has the unknown key " + key);
+            }
+        }
+        if (action == null || !(keys.get("at_s") instanceof Number atS)) {
+            faults.add("a step lacks what it does or its at_s: " + keys);
+            return;
+        }
+        if (action == StepAction.AMEND) {
+            arguments.put("terms", parseTerms(targets.get(0), arguments.get("terms")));
+        }
+        steps.add(new Step((long) (atS.doubleValue() * 1_000), action, targets, arguments));
+    }
+
+    private void parseRandom(Map<?, ?> random, long seed) {
+        checkKeys("random", random, RANDOM_KEYS);
+        RandomFaults drawn = new RandomFaults(
+                milliseconds(random, "from_s", 5),
+                milliseconds(random, "to_s", 15),
+                milliseconds(random, "every_s", 1),
+                milliseconds(random, "hold_s", 2),
+                (int) number(random, "most_down", 1),
+                list(random, "of").stream().map(String::valueOf).toList());
+        steps.addAll(drawn.draw(doorNames(), new SplittableRandom(seed), faults));
+    }
+
+    private void checkLength(long lengthMs) {
+        steps.sort(Comparator.comparingLong(Step::atMs));
+        for (Step step : steps) {
+            if (step.atMs() > lengthMs) {
+                faults.add("the step " + step.action().key() + " at " + step.atMs() / 1000.0
+                        + " s comes after the trial's end, " + lengthMs / 1000.0 + " s");
+            }
+        }
+    }
+
+    private List<String> doorNames() {
+        return doors.stream().map(Door::name).toList();
+    }
+
+    /** "all", a name, or a list of names. */
+    private List<String> doorNames(Object given) {
+        List<String> known = doorNames();
+        if ("all".equals(given)) {
+            return known;
+        }
+        List<?> names = given instanceof List<?> list ? list : given == null ? List.of() : List.of(given);
+        List<String> found = new ArrayList<>();
+        for (Object name : names) {
+            if (known.contains(String.valueOf(name))) {
+                found.add(String.valueOf(name));
+            } else {
+                faults.add("no door has the name " + name);
+            }
+        }
+        return found;
+    }
+
+    private void checkKeys(String where, Map<?, ?> map, Set<String> known) {
+        for (Object key : map.keySet()) {
+            if (!known.contains(String.valueOf(key))) {
+                faults.add(where + " has the unknown key " + key + ", expected one of "
+                        + known.stream().sorted().toList());
+            }
+        }
+    }
+
+    private double number(Map<?, ?> map, String key, double absent) {
+        Object value = map.get(key);
+        if (value != null && !(value instanceof Number number && number.doubleValue() >= 0)) {
+            faults.add(key + " is no figure from 0 on: " + value);
+            return absent;
+        }
+        return value instanceof Number number ? number.doubleValue() : absent;
+    }
+
+    /** A key in seconds, as milliseconds. */
+    private long milliseconds(Map<?, ?> map, String key, double absentS) {
+        return (long) (1_000 * number(map, key, absentS));
+    }
+
+    private static String text(Map<?, ?> map, String key, String absent) {
+        return map.get(key) == null ? absent : map.get(key).toString();
+    }
+
+    private static List<?> list(Map<?, ?> map, String key) {
+        return map.get(key) instanceof List<?> list ? list : List.of();
+    }
+}
--- a/src/test/java/hopdrum/rig/TrialsIT.java
+++ b/src/test/java/hopdrum/rig/TrialsIT.java
@@ -56,7 +56,7 @@
 
     /** One that broke a timed rule beside others is played once more, alone and with another seed. */
     private static List<String> again(Path trial, List<String> said) throws IOException, InterruptedException {
-        String[] verdict = said.get(said.size() - 1).split(" ");
+        String[] verdict = said.get(said.size() - 1).split(" ", -1);
         return verdict.length > 2 && TIMED.contains(verdict[2]) ? play(trial, 2) : said;
     }
 
