--- a/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
+++ b/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
@@ -9,8 +9,9 @@
 import hopdrum.fleet.message.View;
 import hopdrum.fleet.shards.ShardAssignmentRule;
 import hopdrum.fleet.shards.Terms;
-import hopdrum.rig.swarm.Swarm;
-import hopdrum.rig.swarm.Swarm.Node;
+import hopdrum.rig.simulation.FleetSimulation;
+import hopdrum.rig.simulation.ShardSettings;
+import hopdrum.rig.simulation.SimulatedNode;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -43,19 +44,18 @@
     }
 
     /** Members by turns one of each operator's. */
-    private static Swarm swarm(int members, int operators, long seed) {
-        Swarm swarm = new Swarm(members, members, TIMING, seed);
-        swarm.shards = SHARDS;
-        swarm.mostAloneMs = ALONE_MS;
-        for (Node node : swarm.nodes()) {
-            node.operator = "op" + node.gateway % operators;
-            node.terms = new Terms(null, 0, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false);
+    private static FleetSimulation swarm(int members, int operators, long seed) {
+        FleetSimulation swarm =
+                new FleetSimulation(members, members, TIMING, seed, new ShardSettings(SHARDS, ALONE_MS));
+        for (SimulatedNode node : swarm.nodes()) {
+            node.setOperator("op" + node.gateway() % operators);
+            swarm.follow(node, new Terms(null, 0, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false));
         }
         return swarm;
     }
 
-    private static Swarm settled(int members, int operators, long seed) {
-        Swarm swarm = swarm(members, operators, seed);
+    private static FleetSimulation settled(int members, int operators, long seed) {
+        FleetSimulation swarm = swarm(members, operators, seed);
         swarm.nodes().forEach(node -> swarm.start(node, false));
         assertThat(swarm.until(60 * S, swarm::isSettled)).isTrue();
         assertThat(swarm.until(
@@ -65,7 +65,7 @@
         return swarm;
     }
 
-    private static boolean shares(Swarm swarm, Integer... counts) {
+    private static boolean shares(FleetSimulation swarm, Integer... counts) {
         List<Integer> now = new ArrayList<>();
         for (int i = 0; i < counts.length; i++) {
             now.add(swarm.acting().getOrDefault("op" + i, 0));
@@ -73,13 +73,13 @@
         return now.equals(List.of(counts));
     }
 
-    private static void follow(Swarm swarm, String operator, Terms terms) {
-        swarm.nodes().stream().filter(n -> n.operator.equals(operator)).forEach(n -> swarm.follow(n, terms));
+    private static void follow(FleetSimulation swarm, String operator, Terms terms) {
+        swarm.nodes().stream().filter(n -> n.operator().equals(operator)).forEach(n -> swarm.follow(n, terms));
     }
 
     @Test
     void withoutAnAgreementAllHaveEvenPartsAndAnAgreedOneMovesThemStepByStep() {
-        Swarm swarm = settled(6, 2, 1);
+        FleetSimulation swarm = settled(6, 2, 1);
         assertThat(shares(swarm, 16, 16)).isTrue();
         follow(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000, false, 75, 25)));
         assertThat(swarm.until(30 * S, () -> shares(swarm, 24, 8))).isTrue();
@@ -87,13 +87,13 @@
         swarm.until(20 * S, () -> !shares(swarm, 24, 8));
         assertThat(swarm.node(0).view().division().count("op1")).isLessThan(24); // 8 an epoch at most
         assertThat(swarm.until(60 * S, () -> shares(swarm, 8, 24))).isTrue();
-        assertThat(swarm.broken).isEmpty();
+        assertThat(swarm.violations()).isEmpty();
     }
 
     @Test
     void termsThatOnePartyDoesNotTakeAreRefusedByNameAndCountered() {
-        Swarm swarm = settled(4, 2, 2);
-        swarm.keepEvents = true;
+        FleetSimulation swarm = settled(4, 2, 2);
+        swarm.recordEvents();
         follow(swarm, "op1", new Terms(null, 0.4, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false));
         follow(
                 swarm,
@@ -109,16 +109,16 @@
                         false));
         assertThat(swarm.until(40 * S, () -> swarm.node(0).view().division().agreement() != null))
                 .isTrue();
-        assertThat(swarm.events)
+        assertThat(swarm.events())
                 .anyMatch(e -> e.contains("refuses") && e.contains("owed: 0.100 of all for op1, which wants 0.400"));
         assertThat(swarm.node(0).view().division().agreement().party("op1").owed())
                 .isEqualTo(60); // 0.4 of 150
-        assertThat(swarm.broken).isEmpty();
+        assertThat(swarm.violations()).isEmpty();
     }
 
     @Test
     void offersThatTheirOperatorNamesNoMoreAreForgottenAndMakeRoom() {
-        Swarm swarm = settled(4, 2, 8);
+        FleetSimulation swarm = settled(4, 2, 8);
         follow(swarm, "op1", Terms.NONE);
         for (int i = 0; i < 40; i++) { // more than are known at once
             follow(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000 + i, false, 75, 25)));
@@ -128,52 +128,52 @@
         follow(swarm, "op1", proposes(terms(1, 0, swarm.wallMs() + 1_800_000, false, 25, 75)));
         assertThat(swarm.until(60 * S, () -> swarm.node(0).view().division().agreement() != null))
                 .isTrue();
-        assertThat(swarm.broken).isEmpty();
+        assertThat(swarm.violations()).isEmpty();
     }
 
     @Test
     void nothingIsInForceThatAPartyOnTheOtherSideOfASplitHasNotAgreedTo() {
-        Swarm swarm = settled(5, 2, 3);
-        swarm.net = (a, b) ->
-                a.compareTo("m003") >= 0 == b.compareTo("m003") >= 0; // m003 and m004, one of each, are cut off
-        for (Node node : swarm.nodes()) {
-            if (node.name.equals("m003")) { // op1's other one is in the majority and agrees for it
+        FleetSimulation swarm = settled(5, 2, 3);
+        swarm.setLinkFilter((a, b) ->
+                a.compareTo("m003") >= 0 == b.compareTo("m003") >= 0); // m003 and m004, one of each, are cut off
+        for (SimulatedNode node : swarm.nodes()) {
+            if (node.name().equals("m003")) { // op1's other one is in the majority and agrees for it
                 continue;
             }
             swarm.follow(
                     node,
-                    node.operator.equals("op0")
+                    node.operator().equals("op0")
                             ? proposes(terms(1, 0, swarm.wallMs() + 3_600_000, false, 75, 25))
                             : Terms.NONE);
         }
         swarm.run(40 * S);
         assertThat(swarm.node(0).view().division().agreement()).isNull();
-        assertThat(swarm.broken).isEmpty();
+        assertThat(swarm.violations()).isEmpty();
     }
 
     @Test
     void anOperatorCutOffActsForItsTimeAloneAndOthersStandInOnlyWhereThatIsAgreed() {
         for (boolean standIn : new boolean[] {false, true}) {
-            Swarm swarm = settled(5, 2, 4); // op0 has three, op1 two
+            FleetSimulation swarm = settled(5, 2, 4); // op0 has three, op1 two
             follow(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000, standIn, 50, 50)));
             assertThat(swarm.until(30 * S, () -> swarm.node(0).view().division().agreement() != null))
                     .isTrue();
             swarm.run(12 * S);
             Set<String> cut = Set.of("m001", "m003");
-            swarm.net = (a, b) -> cut.contains(a) == cut.contains(b);
+            swarm.setLinkFilter((a, b) -> cut.contains(a) == cut.contains(b));
             swarm.run(2 * S);
             assertThat(shares(swarm, 16, 16)).isTrue();
             swarm.run(76 * S);
             assertThat(shares(swarm, standIn ? 32 : 16, 0)).isTrue();
-            swarm.net = (a, b) -> true;
+            swarm.heal();
             assertThat(swarm.until(60 * S, () -> shares(swarm, 16, 16))).isTrue();
-            assertThat(swarm.broken).isEmpty();
+            assertThat(swarm.violations()).isEmpty();
         }
     }
 
     @Test
     void aNoticeEndsAnAgreementAfterItsTimeAndEachHasItsFloorThen() {
-        Swarm swarm = settled(4, 2, 5);
+        FleetSimulation swarm = settled(4, 2, 5);
         follow(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000, false, 75, 25)));
         assertThat(swarm.until(40 * S, () -> shares(swarm, 24, 8))).isTrue();
         follow(swarm, "op1", new Terms(null, 2, 0, 0, 0, 0, 0, true));
@@ -185,27 +185,27 @@
         assertThat(shares(swarm, 24, 8)).isTrue(); // 20 s of notice
         assertThat(swarm.until(60 * S, () -> shares(swarm, 16, 16))).isTrue();
         assertThat(swarm.node(0).view().division().expired()).isTrue();
-        assertThat(swarm.broken).isEmpty();
+        assertThat(swarm.violations()).isEmpty();
     }
 
     @Test
     void agreementsAndOwnersOutliveARestartOfAllAndOneOperatorsLossOfItsStores() {
-        Swarm swarm = settled(6, 2, 6);
+        FleetSimulation swarm = settled(6, 2, 6);
         follow(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000, false, 75, 25)));
         assertThat(swarm.until(40 * S, () -> shares(swarm, 24, 8))).isTrue();
         PartnerAgreement before = swarm.node(0).view().division().agreement();
         swarm.nodes().forEach(swarm::kill);
         swarm.run(2 * S);
-        swarm.nodes().forEach(n -> swarm.start(n, !n.operator.equals("op1") || n.gateway == 1));
+        swarm.nodes().forEach(n -> swarm.start(n, !n.operator().equals("op1") || n.gateway() == 1));
         assertThat(swarm.until(60 * S, swarm::isSettled)).isTrue();
         assertThat(swarm.until(40 * S, () -> shares(swarm, 24, 8))).isTrue();
         assertThat(swarm.node(0).view().division().agreement()).isEqualTo(before);
-        assertThat(swarm.broken).isEmpty();
+        assertThat(swarm.violations()).isEmpty();
     }
 
     @Test
     void anOwnerCutOffActsOnWhileItsShardMovesTwiceAndTheThirdWaitsForIt() {
-        Swarm swarm = settled(7, 3, 7); // op0 has three, op1 and op2 two each
+        FleetSimulation swarm = settled(7, 3, 7); // op0 has three, op1 and op2 two each
         int[][] owed = {{80, 10, 10}, {10, 80, 10}, {10, 10, 80}};
         for (int revision = 1; revision <= 3; revision++) {
             List<Party> parties = new ArrayList<>();
@@ -232,35 +232,35 @@
             if (revision == 1) {
                 swarm.run(25 * S);
                 assertThat(swarm.acting().get("op0")).isEqualTo(26);
-                swarm.net =
-                        (a, b) -> a.equals("m003") == b.equals("m003"); // one of op0's is cut off, and acts for 10 s
+                swarm.setLinkFilter(
+                        (a, b) -> a.equals("m003") == b.equals("m003")); // one of op0's is cut off, and acts for 10 s
             }
         }
         assertThat(swarm.acting().getOrDefault("op2", 0)).isLessThan(10);
         assertThat(swarm.until(30 * S, () -> swarm.acting().getOrDefault("op2", 0) == 26))
                 .isTrue();
-        assertThat(swarm.broken).isEmpty();
+        assertThat(swarm.violations()).isEmpty();
     }
 
     /** Whatever dies, pauses, is cut off, has a clock that is wrong by seconds or amends: no shard has two owners. */
     @Property(tries = 25, shrinking = ShrinkingMode.OFF)
     void noShardHasTwoOwnersThroughAnySchedule(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Swarm swarm = swarm(7, 3, seed);
-        swarm.stepUs = 20_000;
-        swarm.nodes().forEach(node -> node.wallOffMs = random.nextLong(-3_000, 3_000));
+        FleetSimulation swarm = swarm(7, 3, seed);
+        swarm.setStepUs(20_000);
+        swarm.nodes().forEach(node -> node.setClockOffsetMs(random.nextLong(-3_000, 3_000)));
         swarm.nodes().forEach(node -> swarm.start(node, false));
         swarm.until(60 * S, swarm::isSettled);
         int revision = 0;
         for (int i = 0; i < 25; i++) {
-            Node node = swarm.node(random.nextInt(7));
+            SimulatedNode node = swarm.node(random.nextInt(7));
             switch (random.nextInt(8)) {
                 case 0 -> swarm.kill(node);
                 case 1 -> swarm.pause(node, random.nextLong(12 * S));
-                case 2 -> swarm.net = (a, b) -> a.equals(node.name) == b.equals(node.name);
-                case 3 -> swarm.net = (a, b) -> a.compareTo(node.name) < 0 == b.compareTo(node.name) < 0;
-                case 4 -> swarm.net = (a, b) -> !a.equals(node.name);
-                case 5 -> swarm.loss = random.nextDouble() * 0.4;
+                case 2 -> swarm.setLinkFilter((a, b) -> a.equals(node.name()) == b.equals(node.name()));
+                case 3 -> swarm.setLinkFilter((a, b) -> a.compareTo(node.name()) < 0 == b.compareTo(node.name()) < 0);
+                case 4 -> swarm.setLinkFilter((a, b) -> !a.equals(node.name()));
+                case 5 -> swarm.setLoss(random.nextDouble() * 0.4);
                 default -> {
                     ShardAssignment d = node.isUp() ? node.view().division() : null;
                     int next = d == null || d.agreement() == null
@@ -269,7 +269,7 @@
                     revision = Math.max(revision, next);
                     follow(
                             swarm,
-                            node.operator,
+                            node.operator(),
                             proposes(terms(
                                     next,
                                     0,
@@ -281,17 +281,17 @@
                 }
             }
             swarm.run(random.nextLong(10 * S));
-            swarm.loss = 0;
+            swarm.setLoss(0);
             if (random.nextInt(3) == 0) {
-                swarm.net = (a, b) -> true;
+                swarm.heal();
             }
-            for (Node n : swarm.nodes()) {
+            for (SimulatedNode n : swarm.nodes()) {
                 if (!n.isUp() && random.nextBoolean()) {
                     swarm.start(n, random.nextInt(6) > 0);
                 }
             }
         }
-        assertThat(swarm.broken).as("seed %d", seed).isEmpty();
+        assertThat(swarm.violations()).as("seed %d", seed).isEmpty();
     }
 
     // ---- The rule alone ----
