--- /dev/null
+++ b/src/rig/java/hopdrum/rig/faulty/package-info.java
@@ -0,0 +1,5 @@
+/**
+ * Programs that a trial starts in place of the product: servers with a deliberate fault that the checker must catch, and
+ * reference servers that the product's placement is compared with. No flag of the product does any of this.
+ */
+package hopdrum.rig.faulty;
--- a/src/rig/java/hopdrum/rig/trial/Trial.java
+++ b/src/rig/java/hopdrum/rig/trial/Trial.java
@@ -492,7 +492,7 @@
                     "-cp",
                     home.resolve("target/hopdrum.jar") + File.pathSeparator + home.resolve("target/lib") + "/*"
                             + File.pathSeparator + home.resolve("target/test-classes"),
-                    "hopdrum.rig.planted.Planted",
+                    "hopdrum.rig.faulty.FaultyServer",
                     d.planted(),
                     fleet.toString()));
         }
