--- a/src/rig/java/hopdrum/rig/trial/DoorProcesses.java
+++ b/src/rig/java/hopdrum/rig/trial/DoorProcesses.java
@@ -94,7 +94,7 @@
                     target.resolve("lib") + "/*",
                     target.resolve("test-classes").toString());
             command.addAll(
-                    List.of("-cp", classPath, "hopdrum.rig.planted.Planted", door.planted(), fleetFile.toString()));
+                    List.of("-cp", classPath, "hopdrum.rig.faulty.FaultyServer", door.planted(), fleetFile.toString()));
         }
         return command;
     }
