--- a/src/main/java/hopdrum/fleet/shards/ShardTable.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardTable.java
@@ -1,5 +1,6 @@
 package hopdrum.fleet.shards;
 
+import hopdrum.host.CustomerOwner;
 import hopdrum.host.ShardOwnership;
 import java.nio.ByteBuffer;
 import java.util.List;
@@ -63,16 +64,18 @@
     }
 
     @Override
-    public long owner(long customer, boolean passedOn, long nowUs) {
+    public CustomerOwner owner(long customer, boolean passedOn, long nowUs) {
         int shard = shard(customer, tiers.length);
         boolean known = own[shard] && fromUs[shard] != Long.MAX_VALUE;
         if (known && nowUs < fromUs[shard]) {
-            return nowUs - fromUs[shard]; // whoever had it may still act on it
+            return CustomerOwner.unknown(fromUs[shard] - nowUs); // whoever had it may still act on it
         }
         if (known && nowUs < untilUs[shard]) {
-            return 0;
+            return CustomerOwner.THIS_TIER;
         }
-        return passedOn || tiers[shard] == NOBODY ? -retryUs : tiers[shard];
+        return passedOn || tiers[shard] == NOBODY
+                ? CustomerOwner.unknown(retryUs)
+                : CustomerOwner.partner((int) tiers[shard]);
     }
 
     @Override
--- a/src/main/java/hopdrum/frontdoor/FrontDoor.java
+++ b/src/main/java/hopdrum/frontdoor/FrontDoor.java
@@ -15,6 +15,7 @@
 import hopdrum.frontdoor.wire.MalformedMessageException;
 import hopdrum.frontdoor.wire.RequestHead;
 import hopdrum.frontdoor.wire.RingBuffer;
+import hopdrum.host.CustomerOwner;
 import hopdrum.host.Endpoint;
 import hopdrum.host.Host;
 import hopdrum.host.Outcome;
@@ -183,12 +184,14 @@
 
     /** Before anything is settled nobody knows who owns what. */
     @Override
-    public long ownerTier(long id, long customer) {
+    public CustomerOwner customerOwner(long id, long customer) {
         if (shards == null) {
-            return 0;
+            return CustomerOwner.THIS_TIER;
         }
         ShardOwnership settled = shards.get();
-        return settled == null ? -NOT_SETTLED_US : settled.owner(customer, rpcs.get(id).passedOn, nowUs());
+        return settled == null
+                ? CustomerOwner.unknown(NOT_SETTLED_US)
+                : settled.owner(customer, rpcs.get(id).passedOn, nowUs());
     }
 
     @Override
--- a/src/main/java/hopdrum/host/CreditGossip.java
+++ b/src/main/java/hopdrum/host/CreditGossip.java
@@ -2,10 +2,16 @@
 
 import java.nio.ByteBuffer;
 
-/** What a gateway tells others of a customer: the units that its store still holds. 9 bytes: customer 5, credit 4. */
+/**
+ * What a gateway tells others of a customer. On the wire 9 bytes, big-endian: customer 5, credit 4 as a float.
+ *
+ * @param customer the customer's key
+ * @param remainingUnits the units that its store still holds, as read from the counter
+ */
 public record CreditGossip(long customer, double remainingUnits) {
     private static final int BYTES = 9;
 
+    /** The message as it goes to other gateways. */
     public byte[] encode() {
         return ByteBuffer.allocate(BYTES)
                 .put((byte) (customer >> 32))
@@ -14,14 +20,14 @@
                 .array();
     }
 
-    /** Null for a message that is not of this kind. */
+    /** The content of a message; null for one that is not of this kind. */
     public static CreditGossip decode(byte[] message) {
         if (message.length != BYTES) {
             return null;
         }
-        ByteBuffer said = ByteBuffer.wrap(message);
-        long customer = (said.get() & 0xFFL) << 32 | (said.getInt() & 0xFFFFFFFFL);
-        float units = said.getFloat();
+        ByteBuffer bytes = ByteBuffer.wrap(message);
+        long customer = (bytes.get() & 0xFFL) << 32 | (bytes.getInt() & 0xFFFFFFFFL);
+        float units = bytes.getFloat();
         return Float.isFinite(units) ? new CreditGossip(customer, units) : null;
     }
 }
--- a/src/main/java/hopdrum/host/Outcome.java
+++ b/src/main/java/hopdrum/host/Outcome.java
@@ -1,7 +1,7 @@
 package hopdrum.host;
 
 /**
- * How an attempt, a probe or a call to the counter ended. UNREADABLE: an answer came that cannot be read; what was
+ * How an attempt, a health check or a call on the counter ended. UNREADABLE: an answer came that cannot be read; what was
  * asked for has run, and whoever was asked is no worse than others.
  */
 public enum Outcome {
--- a/src/main/java/hopdrum/host/QuotaLease.java
+++ b/src/main/java/hopdrum/host/QuotaLease.java
@@ -4,19 +4,25 @@
 import java.util.List;
 
 /**
- * Which gateways share the quotas of this tier's customers, as settled; handed out whole and never changed.
+ * Which gateways share the quotas of this tier's customers, as settled; never changed once it is handed out.
  *
- * @param untilUs the end of what this gateway may act on, in Host.nowUs(); in the past where it may act on nothing
+ * @param untilUs the end of the lease, in {@link Host#nowUs()}; in the past where this gateway may act on nothing
  * @param views the settled view and those before it of which others may still act: gateways by number
  */
 public record QuotaLease(long untilUs, List<BitSet> views) {
-    /** The most gateways of so many in a row from first, counted round, that any of the views has. */
-    public int maxGatewaysSharing(int first, int gateways, int all) {
+    /**
+     * The most gateways of a customer that any of the views has.
+     *
+     * @param firstGateway the customer's first gateway
+     * @param gateways how many in a row, counted round, serve it
+     * @param allGateways how many there are in the tier
+     */
+    public int maxGatewaysSharing(int firstGateway, int gateways, int allGateways) {
         int most = 1;
         for (BitSet view : views) {
             int count = 0;
             for (int i = 0; i < gateways; i++) {
-                count += view.get((first + i) % all) ? 1 : 0;
+                count += view.get((firstGateway + i) % allGateways) ? 1 : 0;
             }
             most = Math.max(most, count);
         }
--- a/src/main/java/hopdrum/host/ShardOwnership.java
+++ b/src/main/java/hopdrum/host/ShardOwnership.java
@@ -1,25 +1,26 @@
 package hopdrum.host;
 
-/** Who owns the shards that customers fall into, as partners have settled; handed out whole and never changed. */
+/** Who owns the shards that customers fall into, as partners have settled. Immutable; any thread may read it. */
 public interface ShardOwnership {
     /**
-     * 0: this gateway may act for the customer; above 0: the tier of that number is to be asked; below: nobody that is known
-     * here may, for about so many microseconds.
+     * Who may act for a customer.
      *
-     * @param passedOn whether another front door has passed its RPC on to here: then it goes no further, and it is never above 0
-     * @param nowUs as Host.nowUs()
+     * @param customer the customer's key
+     * @param forwarded whether a partner's front door has forwarded the request to here: then it goes no further, and the
+     *     answer is never a partner
+     * @param nowUs as {@link Host#nowUs()}
      */
-    long owner(long customer, boolean passedOn, long nowUs);
+    CustomerOwner owner(long customer, boolean forwarded, long nowUs);
 
-    /** How long this gateway's operator has owned the customer's shard without a break, as far as this gateway knows. */
+    /** How long this gateway's operator has owned the customer's shard without a break, as far as is known here. */
     long ownershipAgeUs(long customer, long nowUs);
 
     /**
-     * A front door of a tier that is to be asked.
+     * A front door of a partner's tier.
      *
-     * @param name its own, and its start's
+     * @param name its own name, and its incarnation's
      * @param site where it stands
-     * @param address a numeric address and a port, where it takes RPCs
+     * @param address a numeric address and a port, where it takes requests
      */
     record PartnerEndpoint(String name, String site, String address) {}
 }
--- a/src/main/java/hopdrum/policy/Policy.java
+++ b/src/main/java/hopdrum/policy/Policy.java
@@ -1,5 +1,6 @@
 package hopdrum.policy;
 
+import hopdrum.host.CustomerOwner;
 import hopdrum.host.Endpoint;
 import hopdrum.host.Host;
 import hopdrum.host.Outcome;
@@ -132,18 +133,18 @@
         // 1. Beyond quota for certain: too many open, or a reading not yet refilled says so. A late retry takes no
         // units.
         customer.touch();
-        long owner = host.ownerTier(request.id, customer.customer());
-        long waitUs = owner > 0 ? 0 : Math.max(-owner, customer.refillWaitUs(units));
+        CustomerOwner owner = host.customerOwner(request.id, customer.customer());
+        long waitUs = owner.isPartner() ? 0 : Math.max(owner.retryAfterUs(), customer.refillWaitUs(units));
         boolean late = request.isTooLate();
         if (late || customer.isAtConcurrencyLimit() || waitUs > 0) {
             dispatcher.finish(request, late ? 0 : customer.retryAfterUs(waitUs, units));
             return false;
         }
-        request.tier = (int) owner;
+        request.tier = owner.tier();
         boolean bucketFirst =
                 quotas.areCallsScarce() && !customer.isShareBelowOneRequest() && customer.bucketHolds(units);
         // 2. One call on the customer's count adds the units; its answer admits or rejects.
-        if (customer.plan().rate() <= 0 || owner > 0) { // a partner's customer is counted there, once
+        if (customer.plan().rate() <= 0 || owner.isPartner()) { // a partner's customer is counted there, once
             request.stage = Stage.QUEUED;
             return true;
         }
--- a/src/main/java/hopdrum/policy/backends/MethodStats.java
+++ b/src/main/java/hopdrum/policy/backends/MethodStats.java
@@ -1,6 +1,5 @@
 package hopdrum.policy.backends;
 
-import hopdrum.host.FrequentValueTracker;
 import hopdrum.host.Method;
 
 /** A method's settings and what its answers usually take, learned over all backends. */
--- a/src/main/java/hopdrum/policy/context/PolicyContext.java
+++ b/src/main/java/hopdrum/policy/context/PolicyContext.java
@@ -2,7 +2,6 @@
 
 import hopdrum.host.Host;
 import hopdrum.host.Settings;
-import hopdrum.host.Timers;
 import java.util.SplittableRandom;
 
 /**
@@ -48,7 +47,7 @@
 
     /** Runs an action at a time in microseconds of the host's clock, or as soon after as the host calls. */
     public void schedule(long atUs, Runnable action) {
-        timers.at(atUs, action);
+        timers.schedule(atUs, action);
     }
 
     /** Runs the actions that are due; false where an earlier wake-up has run them. */
--- a/src/test/java/hopdrum/frontdoor/FrontDoorStoryTest.java
+++ b/src/test/java/hopdrum/frontdoor/FrontDoorStoryTest.java
@@ -10,6 +10,7 @@
 import hopdrum.frontdoor.lifecycle.EventLoop;
 import hopdrum.frontdoor.lifecycle.Server;
 import hopdrum.frontdoor.lifecycle.Warmup;
+import hopdrum.host.CustomerOwner;
 import hopdrum.host.ShardOwnership;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -615,8 +616,8 @@
         loop.ask(() -> {
             door.shares(() -> new ShardOwnership() {
                 @Override
-                public long owner(long customer, boolean passedOn, long nowUs) {
-                    return passedOn ? -200_000 : 1;
+                public CustomerOwner owner(long customer, boolean passedOn, long nowUs) {
+                    return passedOn ? CustomerOwner.unknown(200_000) : CustomerOwner.partner(1);
                 }
 
                 @Override
--- a/src/test/java/hopdrum/policy/FakeHost.java
+++ b/src/test/java/hopdrum/policy/FakeHost.java
@@ -1,5 +1,6 @@
 package hopdrum.policy;
 
+import hopdrum.host.CustomerOwner;
 import hopdrum.host.Endpoint;
 import hopdrum.host.Host;
 import hopdrum.host.Method;
@@ -27,7 +28,7 @@
     Policy policy;
     QuotaLease sharers; // null: no fleet
     ZoneLatencies distances; // null: no map
-    long owner; // 0: this tier
+    CustomerOwner owner = CustomerOwner.THIS_TIER;
     long ownedForUs = Long.MAX_VALUE / 2;
     private long wakeUs = Long.MAX_VALUE;
     private long lastId;
@@ -127,7 +128,7 @@
     }
 
     @Override
-    public long ownerTier(long id, long customer) {
+    public CustomerOwner customerOwner(long request, long customer) {
         return owner;
     }
 
--- a/src/test/java/hopdrum/policy/PartnerForwardingTest.java
+++ b/src/test/java/hopdrum/policy/PartnerForwardingTest.java
@@ -2,6 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import hopdrum.host.CustomerOwner;
 import hopdrum.host.Endpoint;
 import hopdrum.host.Method;
 import hopdrum.host.Outcome;
@@ -23,7 +24,7 @@
                 List.of(
                         new Endpoint(11, 0, 0, 0, Endpoint.State.READY, 1, 0),
                         new Endpoint(12, 0, 0, 0, Endpoint.State.READY, 1, 0)));
-        door.owner = 2;
+        door.owner = CustomerOwner.partner(2);
     }
 
     private String lastAttempt() {
@@ -38,7 +39,7 @@
         assertThat(door.heard("add")).isEmpty();
         door.end(rpc, 0, Outcome.OK, 5_000);
         assertThat(rpc.isFinished()).isTrue();
-        door.owner = 0;
+        door.owner = CustomerOwner.THIS_TIER;
         Request own = door.takeInQuota();
         assertThat(lastAttempt()).matches("attempt 2 to [12]");
         door.end(own, 0, Outcome.OK, 5_000);
@@ -81,7 +82,7 @@
 
     @Test
     void aCustomerWhoseOwnerNobodyKnowsIsRefusedWithATimeAndNothingIsGuessed() {
-        door.owner = -300_000;
+        door.owner = CustomerOwner.unknown(300_000);
         Request rpc = door.take();
         assertThat(rpc.isFinished()).isTrue();
         assertThat(door.heard("refuse")).containsExactly("refuse 1 for 300000");
@@ -94,7 +95,7 @@
         door.plan = new Plan(2, 4, 0, 4, 8, 0);
         door.ownedForUs = 500_000; // one unit
         door.start(2);
-        door.owner = 0;
+        door.owner = CustomerOwner.THIS_TIER;
         Request rpc = door.take();
         door.policy.counterAnswered(
                 door.lastName(), Outcome.OK, 1, 1_000); // it made the name: only its own unit is there
@@ -111,7 +112,7 @@
         }
         int passedOn = door.heard("attempt").size();
         assertThat(passedOn).isLessThan(20);
-        door.owner = 0;
+        door.owner = CustomerOwner.THIS_TIER;
         door.takeInQuota();
         assertThat(lastAttempt()).matches("attempt 21 to [12]");
     }
