--- a/src/test/java/hopdrum/policy/FakeHost.java
+++ b/src/test/java/hopdrum/policy/FakeHost.java
@@ -12,12 +12,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The front door of the stories: a clock that the story moves, and a list of what the module asked for. */
+/** A host whose clock the test moves, and which records what the policy asks of it. */
 final class FakeHost implements Host {
     static final float[] NO_REPORT = {};
-    final List<String> asked = new ArrayList<>();
-    final List<Long> names = new ArrayList<>();
-    final List<Long> beginWithin = new ArrayList<>(); // of each attempt
+    final List<String> calls = new ArrayList<>();
+    final List<Long> counterNames = new ArrayList<>();
+    final List<Long> beginWithinUs = new ArrayList<>(); // of each attempt
     Method method =
             new Method(2_000_000, 7_500_000, Method.RetrySafety.IDEMPOTENT, Method.DeduplicationScope.ALL, 0, 0, false);
     Plan plan = new Plan(2, 4, 0, 0, 0, 0);
@@ -26,11 +26,11 @@
     boolean hedgingAllowed = true;
     long clockUs = 90_000_000;
     Policy policy;
-    QuotaLease sharers; // null: no fleet
-    ZoneLatencies distances; // null: no map
+    QuotaLease quotaLease; // null: no fleet
+    ZoneLatencies zoneLatencies; // null: no map
     CustomerOwner owner = CustomerOwner.THIS_TIER;
-    long ownedForUs = Long.MAX_VALUE / 2;
-    private long wakeUs = Long.MAX_VALUE;
+    long ownershipAgeUs = Long.MAX_VALUE / 2;
+    private long wakeUpAtUs = Long.MAX_VALUE;
     private long lastId;
 
     FakeHost start(int backends) {
@@ -60,71 +60,76 @@
                 7,
                 this);
         for (int i = 1; i <= backends; i++) {
-            list(i, Endpoint.State.READY, 0);
+            updateEndpoint(i, Endpoint.State.READY, 0);
         }
-        pass(10_000);
+        advance(10_000);
         return this;
     }
 
-    void list(long backend, Endpoint.State state, long startedAtUs) {
+    void updateEndpoint(long backend, Endpoint.State state, long startedAtUs) {
         policy.endpointsUpdated(
                 0,
                 Endpoint.UpdateKind.INCREMENTAL,
                 List.of(new Endpoint(backend, 0, 0, (int) backend % 2, state, 1, startedAtUs)));
     }
 
-    Request take() {
+    Request receive() {
         return policy.requestReceived(++lastId, 0, 11, 0, 1, 0, 2, 7_500_000);
     }
 
-    Request takeInQuota() {
-        return takeCounted(2);
+    Request receiveWithinQuota() {
+        return receiveCounted(2);
     }
 
-    /** Takes an RPC and has the counter answer its call with a total that leaves this much room. */
-    Request takeCounted(double room) {
-        Request rpc = take();
-        answer(room);
-        return rpc;
+    /** Receives a request and has the counter answer its call with a total that leaves so many units. */
+    Request receiveCounted(double remaining) {
+        Request request = receive();
+        answerCounter(remaining);
+        return request;
     }
 
-    void answer(double room) {
-        policy.counterAnswered(lastName(), Outcome.OK, totalFor(room), 1_000);
+    void answerCounter(double remaining) {
+        policy.counterAnswered(lastCounterName(), Outcome.OK, totalFor(remaining), 1_000);
     }
 
-    long lastName() {
-        return names.get(names.size() - 1);
+    long lastCounterName() {
+        return counterNames.get(counterNames.size() - 1);
     }
 
-    double totalFor(double room) {
-        long epochUs = (lastName() >>> 33) * 60_000_000;
-        long customer = lastName() & (1L << 33) - 1;
+    double totalFor(double remaining) {
+        long epochUs = (lastCounterName() >>> 33) * 60_000_000;
+        long customer = lastCounterName() & (1L << 33) - 1;
         long sinceUs = clockUs + Long.remainderUnsigned(customer * 0x9E3779B97F4A7C15L, 60_000_000) - epochUs;
-        return plan.burst() + plan.rate() * sinceUs / 1e6 - room;
+        return plan.burst() + plan.rate() * sinceUs / 1e6 - remaining;
     }
 
-    void end(Request rpc, int attempt, Outcome outcome, long tookUs) {
-        rpc.attemptEnded(attempt, outcome, tookUs, outcome == Outcome.OK, 0, NO_REPORT);
+    void endAttempt(Request request, int attempt, Outcome outcome, long tookUs) {
+        request.attemptEnded(attempt, outcome, tookUs, outcome == Outcome.OK, 0, NO_REPORT);
+    }
+
+    /** Receives a request within quota, whose first attempt is answered after so long. */
+    void serve(long tookUs) {
+        endAttempt(receiveWithinQuota(), 0, Outcome.OK, tookUs);
     }
 
     /** Lets time pass, with every wake-up that comes due. */
-    void pass(long us) {
+    void advance(long us) {
         long endUs = clockUs + us;
-        while (wakeUs <= endUs) {
-            clockUs = Math.max(clockUs, wakeUs);
-            wakeUs = Long.MAX_VALUE;
+        while (wakeUpAtUs <= endUs) {
+            clockUs = Math.max(clockUs, wakeUpAtUs);
+            wakeUpAtUs = Long.MAX_VALUE;
             policy.wakeUp();
         }
         clockUs = endUs;
     }
 
-    List<String> heard(String what) {
-        return asked.stream().filter(a -> a.startsWith(what)).toList();
+    List<String> callsStartingWith(String prefix) {
+        return calls.stream().filter(call -> call.startsWith(prefix)).toList();
     }
 
     @Override
     public ZoneLatencies zoneLatencies() {
-        return distances;
+        return zoneLatencies;
     }
 
     @Override
@@ -134,12 +139,12 @@
 
     @Override
     public long ownershipAgeUs(long customer) {
-        return ownedForUs;
+        return ownershipAgeUs;
     }
 
     @Override
     public QuotaLease quotaLease() {
-        return sharers;
+        return quotaLease;
     }
 
     @Override
@@ -148,44 +153,44 @@
     }
 
     @Override
-    public void startAttempt(long rpc, long backend, long timeOutUs, long beginWithinUs) {
-        asked.add("attempt " + rpc + " to " + backend);
-        beginWithin.add(beginWithinUs);
+    public void startAttempt(long request, long backend, long timeOutUs, long beginWithinUs) {
+        calls.add("attempt " + request + " to " + backend);
+        this.beginWithinUs.add(beginWithinUs);
     }
 
     @Override
-    public void cancelAttempt(long rpc, int attempt) {
-        asked.add("cancel " + rpc + " " + attempt);
+    public void cancelAttempt(long request, int attempt) {
+        calls.add("cancel " + request + " " + attempt);
     }
 
     @Override
-    public void reject(long rpc, long retryAfterUs) {
-        asked.add("refuse " + rpc + " for " + retryAfterUs);
+    public void reject(long request, long retryAfterUs) {
+        calls.add("reject " + request + " for " + retryAfterUs);
     }
 
     @Override
-    public void abort(long rpc) {
-        asked.add("abort " + rpc);
+    public void abort(long request) {
+        calls.add("abort " + request);
     }
 
     @Override
     public void addToCounter(long name, double units, long timeToLiveUs) {
-        asked.add("add " + units);
-        names.add(name);
+        calls.add("add " + units);
+        counterNames.add(name);
     }
 
     @Override
     public void sendToPeer(int gateway, byte[] message) {
-        asked.add("tell " + gateway);
+        calls.add("gossip " + gateway);
     }
 
     @Override
     public void scheduleWakeUp(long delayUs) {
-        wakeUs = Math.min(wakeUs, clockUs + delayUs);
+        wakeUpAtUs = Math.min(wakeUpAtUs, clockUs + delayUs);
     }
 
     @Override
     public void pollEndpointList() {
-        asked.add("follow");
+        calls.add("poll");
     }
 }
--- a/src/test/java/hopdrum/policy/SlowStartFleetTest.java
+++ b/src/test/java/hopdrum/policy/SlowStartFleetTest.java
@@ -39,14 +39,14 @@
         boolean step() {
             if (answerAtUs > 0 && host.clockUs >= answerAtUs) {
                 answerAtUs = 0;
-                host.end(waiting, 0, Outcome.OK, (long) WORK_US);
+                host.endAttempt(waiting, 0, Outcome.OK, (long) WORK_US);
             }
             if (waiting == null || waiting.isFinished()) {
-                waiting = host.take();
+                waiting = host.receive();
             }
-            host.pass(STEP_US);
+            host.advance(STEP_US);
             int before = sent;
-            sent = host.heard("attempt").size();
+            sent = host.callsStartingWith("attempt").size();
             if (sent > before) {
                 answerAtUs = host.clockUs + (long) WORK_US;
             }
@@ -64,7 +64,7 @@
     /** Told at once or late, when it has been on its ramp for a while; a third of the gateways start anew meanwhile. */
     @ParameterizedTest
     @ValueSource(longs = {0, 1_000_000, 3_000_000, 5_000_000, 7_000_000, 8_500_000})
-    void theSumOfThirtyGatewaysKeepsWithinAColdBackendsBudget(long toldAtAgeUs) {
+    void theSumOfThirtyGatewaysKeepsWithinASlowStartingBackendsBudget(long toldAtAgeUs) {
         long bornUs = 90_000_000;
         List<Gateway> gateways = new ArrayList<>();
         for (int i = 0; i < GATEWAYS; i++) {
@@ -75,9 +75,9 @@
             for (int i = 0; i < GATEWAYS; i++) {
                 if (i % 3 == 0 && ageUs == Math.max(toldAtAgeUs, 4_000_000) + 1_000_000) { // forgets what it has sent
                     gateways.set(i, new Gateway(i, bornUs + ageUs));
-                    gateways.get(i).host.list(1, Endpoint.State.READY, bornUs);
+                    gateways.get(i).host.updateEndpoint(1, Endpoint.State.READY, bornUs);
                 } else if (ageUs == toldAtAgeUs) {
-                    gateways.get(i).host.list(1, Endpoint.State.READY, bornUs);
+                    gateways.get(i).host.updateEndpoint(1, Endpoint.State.READY, bornUs);
                 }
                 if (gateways.get(i).step()) {
                     sentAtAge.add(ageUs);
--- a/src/test/java/hopdrum/policy/ZoneLatencyRoutingTest.java
+++ b/src/test/java/hopdrum/policy/ZoneLatencyRoutingTest.java
@@ -9,74 +9,75 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Where RPCs go when a map tells how far zones are: zone 0 is here, zone 1 is far. */
+/** Where requests go when a map tells how far zones are: zone 0 is here, zone 1 is far. */
 class ZoneLatencyRoutingTest {
-    private final FakeHost door = new FakeHost();
+    private final FakeHost host = new FakeHost();
 
     /** Backends 1 and 2 here, 3 and 4 far. */
     private void start(long farUs) {
-        door.gateways = 1;
-        door.start(0);
-        door.distances = new ZoneLatencies(new long[] {0, farUs});
+        host.gateways = 1;
+        host.start(0);
+        host.zoneLatencies = new ZoneLatencies(new long[] {0, farUs});
         for (int i = 1; i <= 4; i++) {
-            door.policy.endpointsUpdated(
+            host.policy.endpointsUpdated(
                     0,
                     Endpoint.UpdateKind.INCREMENTAL,
                     List.of(new Endpoint(i, i <= 2 ? 0 : 1, 0, i, Endpoint.State.READY, 1, 0)));
         }
-        door.pass(10_000);
+        host.advance(10_000);
     }
 
-    private List<String> sent(int rpcs) {
-        door.asked.clear();
-        for (int i = 0; i < rpcs; i++) {
-            door.takeInQuota();
+    private List<String> attemptsOf(int requests) {
+        host.calls.clear();
+        for (int i = 0; i < requests; i++) {
+            host.receiveWithinQuota();
         }
-        return door.heard("attempt");
+        return host.callsStartingWith("attempt");
     }
 
     @Test
-    void aFreeBackendNearIsTakenBeforeAFarOneAndAFarOneBeforeALongLine() {
+    void aFreeBackendNearIsPickedBeforeAFarOneAndAFarOneBeforeALongQueue() {
         start(700_000);
-        assertThat(sent(4))
-                .as("two here, then a second each: still sooner than the way")
+        assertThat(attemptsOf(4))
+                .as("two here, then a second each: still sooner than the round trip")
                 .isNotEmpty()
                 .noneMatch(c -> c.endsWith("3") || c.endsWith("4"));
-        assertThat(sent(6))
-                .as("the line here is longer than the way")
+        assertThat(attemptsOf(6))
+                .as("the queue here is longer than the round trip")
                 .anyMatch(c -> c.endsWith("3") || c.endsWith("4"));
     }
 
     @Test
-    void anRpcWithLittleTimeLeftStaysNearThoughTheLineIsLonger() {
+    void aRequestWithLittleTimeLeftStaysNearThoughTheQueueIsLonger() {
         start(1_900_000);
-        assertThat(sent(6)).isNotEmpty().noneMatch(c -> c.endsWith("3") || c.endsWith("4"));
+        assertThat(attemptsOf(6)).isNotEmpty().noneMatch(c -> c.endsWith("3") || c.endsWith("4"));
     }
 
     @Test
-    void anEjectedZoneHereLeavesTheFarOne() {
+    void anEjectedNearZoneLeavesTheFarOne() {
         start(100_000);
-        List<Request> rpcs = new ArrayList<>();
+        List<Request> requests = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            rpcs.add(door.takeInQuota());
+            requests.add(host.receiveWithinQuota());
         }
         for (int i = 0; i < 12; i++) {
-            String to = door.heard("attempt " + (i + 1) + " ").get(0);
-            door.end(rpcs.get(i), 0, to.endsWith("1") || to.endsWith("2") ? Outcome.ERROR : Outcome.OK, 150_000);
+            String to = host.callsStartingWith("attempt " + (i + 1) + " ").get(0);
+            host.endAttempt(
+                    requests.get(i), 0, to.endsWith("1") || to.endsWith("2") ? Outcome.ERROR : Outcome.OK, 150_000);
         }
-        assertThat(sent(2)).isNotEmpty().allMatch(c -> c.endsWith("3") || c.endsWith("4"));
+        assertThat(attemptsOf(2)).isNotEmpty().allMatch(c -> c.endsWith("3") || c.endsWith("4"));
     }
 
     @Test
-    void theWayIsNoSlownessOfABackendFarAway() {
+    void theNetworkRoundTripDoesNotCountAsSlownessOfAFarBackend() {
         start(400_000);
         for (int i = 0; i < 30; i++) {
-            Request rpc = door.takeInQuota();
-            String to = door.heard("attempt " + (i + 1) + " ").get(0);
-            door.end(rpc, 0, Outcome.OK, to.endsWith("3") || to.endsWith("4") ? 450_000 : 50_000);
+            Request request = host.receiveWithinQuota();
+            String to = host.callsStartingWith("attempt " + (i + 1) + " ").get(0);
+            host.endAttempt(request, 0, Outcome.OK, to.endsWith("3") || to.endsWith("4") ? 450_000 : 50_000);
         }
-        door.distances = null; // from here on as without a map: all four are as good
-        List<String> sent = sent(4);
+        host.zoneLatencies = null; // from here on as without a map: all four are as good
+        List<String> sent = attemptsOf(4);
         assertThat(sent).anyMatch(c -> c.endsWith("3") || c.endsWith("4"));
         assertThat(sent).anyMatch(c -> c.endsWith("1") || c.endsWith("2"));
     }
