--- a/src/main/java/hopdrum/frontdoor/PolicyHost.java
+++ b/src/main/java/hopdrum/frontdoor/PolicyHost.java
@@ -6,6 +6,7 @@
 import hopdrum.frontdoor.connection.ResourceBudget;
 import hopdrum.frontdoor.lifecycle.Config;
 import hopdrum.frontdoor.lifecycle.EventLoop;
+import hopdrum.host.CustomerOwner;
 import hopdrum.host.Host;
 import hopdrum.host.QuotaLease;
 import hopdrum.host.ShardOwnership;
@@ -135,13 +136,13 @@
 
     /** Before anything is settled nobody knows who owns which shard. */
     @Override
-    public long ownerTier(long requestId, long customer) {
+    public CustomerOwner customerOwner(long requestId, long customer) {
         if (!fleet.hasPartners()) {
-            return 0;
+            return CustomerOwner.THIS_TIER;
         }
         ShardOwnership ownership = fleet.shardOwnership();
         return ownership == null
-                ? -UNSETTLED_OWNERSHIP_RETRY_US
+                ? CustomerOwner.unknown(UNSETTLED_OWNERSHIP_RETRY_US)
                 : ownership.owner(customer, requests.get(requestId).isForwardedByPartner(), nowUs());
     }
 
