--- a/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
+++ b/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
@@ -222,7 +222,7 @@
                     close();
                 }
             } catch (MalformedMessageException e) {
-                LOG.warning("discovery's answer cannot be read", e.getMessage());
+                LOG.warning("discovery's response cannot be read", e.getMessage());
                 close();
             }
         }
--- a/src/main/java/hopdrum/frontdoor/RequestHandler.java
+++ b/src/main/java/hopdrum/frontdoor/RequestHandler.java
@@ -55,7 +55,7 @@
                 loop.nowUs() + remainingUs,
                 hasPartners && RequestHead.isPassedOn(client.receiveBuffer(), client.message()));
         if (request == null) {
-            throw new MalformedMessageException(409, "the X-Trace-Id is another RPC's that is open");
+            throw new MalformedMessageException(409, "the X-Trace-Id is that of another request in flight");
         }
         client.attachRequest(request);
         tally.requestReceived();
--- a/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
@@ -174,7 +174,7 @@
 
     /** The attempt has run; that its response is malformed says nothing about the backend's health. */
     private void responseUnreadable(String reason) {
-        LOG.warning("a backend's answer cannot be read", reason);
+        LOG.warning("a backend's response cannot be read", reason);
         Attempt ended = detach();
         close();
         listener.attemptEnded(ended, Outcome.UNREADABLE, NO_REPORT);
@@ -187,7 +187,7 @@
             if (attempt == watched && !isClosed() && remainingUs > 0) {
                 watchForStall(remainingUs, watched);
             } else if (attempt == watched && !isClosed()) {
-                responseUnreadable("it stops halfway");
+                responseUnreadable("it stalls before its end");
             }
         });
     }
--- /dev/null
+++ b/src/test/java/hopdrum/frontdoor/CounterOverSocketsTest.java
@@ -0,0 +1,110 @@
+package hopdrum.frontdoor;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import hopdrum.frontdoor.connection.ResourceBudget;
+import hopdrum.frontdoor.lifecycle.EventLoop;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** Calls to the counter, and what the front door does without its responses. */
+@Timeout(20)
+class CounterOverSocketsTest extends FrontDoorFixture {
+    @Test
+    void aCustomerBeyondItsQuotaIsRejectedWithRetryAfterAndNothingIsSent() throws Exception {
+        start();
+        for (int other = 10; other < 20; other++) { // the very first calls take longer than the counter's timeout
+            exchange(request("o" + other, "order", "").replace("0007", "00" + other));
+        }
+        List<String> others =
+                counter.requests.stream().map(FrontDoorFixture::pathOf).toList();
+        backend.requests.clear();
+        counter.responder = request -> okResponse("99");
+        assertThat(exchange(request("t1", "order", "")))
+                .startsWith("HTTP/1.1 429 ")
+                .contains("Retry-After: 0.");
+        assertThat(nextCallExcept(others)).contains("delta=1&");
+        assertThat(nextCallExcept(others)).contains("delta=-1&");
+        assertThat(backend.requests).isEmpty();
+    }
+
+    @Test
+    void aSilentCounterIsNotWaitedForAndItsConnectionIsReplaced() throws Exception {
+        counter.responder = request -> NO_RESPONSE;
+        start();
+        assertThat(exchange(request("t1", "checkout", ""))).endsWith("for t1");
+        assertThat(counter.closedConnections.poll(10, TimeUnit.SECONDS))
+                .as("abandoned")
+                .isNotNull();
+        counter.requests.clear();
+        counter.responder = request -> okResponse("1");
+        while (counter.requests.isEmpty()) {
+            assertThat(exchange(request("t2", "checkout", ""))).startsWith("HTTP/1.1 ");
+        }
+        assertThat(counter.sockets).as("a new one").hasSizeGreaterThan(1);
+    }
+
+    @Test
+    void aMalformedResponseOfTheCounterEndsItsCallAndThoseBehindIt() throws Exception {
+        loop = new EventLoop();
+        BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+        CounterClient calls = new CounterClient(
+                loop,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), counter.listener.getLocalPort()),
+                5_000_000,
+                new ResourceBudget(1024, 1 << 20, 50_000),
+                (name, outcome, total, tookUs) -> ends.add(outcome + " " + total));
+        runInBackground(loop::run);
+        for (String malformed :
+                new String[] {okResponse("no number"), "HTTP/1.1 2", "HTTP/1.1 418 Other\r\nContent-Length: 0\r\n\r\n"
+                }) {
+            CompletableFuture<Void> both = new CompletableFuture<>();
+            counter.responder = request -> {
+                both.join();
+                return malformed;
+            };
+            loop.ask(() -> calls.add(1, 1, 1000));
+            loop.ask(() -> calls.add(1, 1, 1000));
+            assertThat(counter.nextRequest()).isNotNull();
+            both.complete(null);
+            assertThat(ends.poll(10, TimeUnit.SECONDS)).isEqualTo("UNREADABLE 0.0");
+            assertThat(ends.poll(10, TimeUnit.SECONDS)).isEqualTo("RESET 0.0");
+            counter.responder = request -> okResponse("7");
+            loop.ask(() -> calls.add(1, 1, 1000));
+            assertThat(ends.poll(10, TimeUnit.SECONDS))
+                    .as("on a connection of its own")
+                    .isEqualTo("OK 7.0");
+            counter.requests.clear();
+        }
+        loop.ask(loop::stop);
+    }
+
+    @Test
+    void aConnectionToTheCounterThatFallsSilentAloneIsReplacedWithItsFirstTimeout() throws Exception {
+        loop = new EventLoop();
+        BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+        CounterClient calls = new CounterClient(
+                loop,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), counter.listener.getLocalPort()),
+                50_000,
+                new ResourceBudget(1024, 1 << 20, 50_000),
+                (name, outcome, total, tookUs) -> ends.add(name + " " + outcome));
+        runInBackground(loop::run);
+        counter.responder = request -> request.contains("/1?") ? NO_RESPONSE : okResponse("1");
+        loop.ask(() -> calls.add(1, 1, 1000));
+        loop.ask(() -> loop.in(10_000, () -> calls.add(2, 1, 1000))); // on the other connection
+        assertThat(ends.poll(10, TimeUnit.SECONDS)).isEqualTo("2 OK");
+        assertThat(ends.poll(10, TimeUnit.SECONDS))
+                .as("no timeout of the counter")
+                .isEqualTo("1 RESET");
+        assertThat(counter.closedConnections.poll(10, TimeUnit.SECONDS)).isEqualTo(1);
+        loop.ask(loop::stop);
+    }
+}
--- a/src/test/java/hopdrum/frontdoor/FrontDoorFixture.java
+++ b/src/test/java/hopdrum/frontdoor/FrontDoorFixture.java
@@ -1,13 +1,17 @@
 package hopdrum.frontdoor;
 
+import static org.assertj.core.api.Assertions.assertThat;
+
 import hopdrum.frontdoor.lifecycle.Config;
 import hopdrum.frontdoor.lifecycle.EventLoop;
 import java.io.IOException;
 import java.io.InputStream;
+import java.net.ConnectException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketAddress;
+import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,10 +19,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
 import org.junit.jupiter.api.AfterEach;
 
-/** A front door on loopback, and tiny stand-ins for backends, the counter, discovery and clients. */
+/** A front door on loopback, with stand-ins for backends, the counter, discovery and clients. */
 abstract class FrontDoorFixture {
     static final String SETTINGS = """
             {"Lanes":[{"Name":"checkout","AimUs":2000000,"GiveUpUs":4000000,"Effect":"dedup","Group":"all","WindowUs":6000000},
@@ -28,93 +33,98 @@
              "Bounds":{"AttemptsCap":1,"Cancel":true,"RetryAfter":true,"MaxRetryAfterUs":900000,"SecondCopies":true,
              "DialTimeoutUs":250000,"ConnIdleUs":400000},"Report":{"Fields":["depth"]},
              "Rules":{"ColdFrom":0.2,"WarmAfterUs":1000000,"OverloadFactor":2,"FallUs":1000000}}""";
-    static final String HANGS = "";
-    static final String WATCH = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    final List<AutoCloseable> open = new ArrayList<>();
-    final StandIn backend = new StandIn(request -> ok("for " + field(request, "X-Trace-Id")));
-    final StandIn counter = new StandIn(request -> ok("1"));
-    final StandIn discovery = new StandIn(request -> WATCH + chunk("{\"seq\":41,\"whole\":false,\"hosts\":[]}\n"));
-    /** What a stand-in does with a connection once an answer is written on it. */
-    enum After {
-        KEEP,
-        END,
+    static final String NO_RESPONSE = "";
+    static final String WATCH_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    final List<AutoCloseable> resources = new ArrayList<>();
+    final StandIn backend = new StandIn(request -> okResponse("for " + field(request, "X-Trace-Id")));
+    final StandIn counter = new StandIn(request -> okResponse("1"));
+    final StandIn discovery = new StandIn(request -> WATCH_HEAD + chunk("{\"seq\":41,\"whole\":false,\"hosts\":[]}\n"));
+
+    /** What a stand-in does with a connection once it has written a response. */
+    enum AfterResponse {
+        KEEP_OPEN,
+        CLOSE,
         RESET
     }
 
     String settings = SETTINGS;
     int sockets = 1024;
     EventLoop loop;
-    FrontDoor door;
-    CompletableFuture<Void> running;
+    FrontDoor frontDoor;
+    CompletableFuture<Void> loopEnded;
     Runnable warmUp = () -> {};
 
-    /** Answers each request of each connection; what it was asked can be waited for. */
+    /** Answers each request of each connection; the requests that it received can be waited for. */
     final class StandIn implements AutoCloseable {
         final ServerSocket listener;
-        final SocketAddress where;
+        final SocketAddress address;
         final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-        final BlockingQueue<Integer> ends = new LinkedBlockingQueue<>();
+        /** For each connection that has ended, how many requests it served. */
+        final BlockingQueue<Integer> closedConnections = new LinkedBlockingQueue<>();
+
         final List<Socket> sockets = new ArrayList<>();
-        volatile Function<String, String> answer;
-        volatile After after = After.KEEP;
+        volatile Function<String, String> responder; // null breaks the connection
+        volatile AfterResponse afterResponse = AfterResponse.KEEP_OPEN;
 
-        StandIn(Function<String, String> answer) {
-            this.answer = answer;
+        StandIn(Function<String, String> responder) {
+            this.responder = responder;
             try {
                 listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-                where = listener.getLocalSocketAddress();
+                address = listener.getLocalSocketAddress();
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
-            open.add(this);
-            thread(() -> {
+            resources.add(this);
+            runInBackground(() -> {
                 while (true) {
                     Socket socket = listener.accept();
                     socket.setTcpNoDelay(true);
                     synchronized (sockets) {
                         sockets.add(socket);
                     }
-                    thread(() -> talk(socket));
+                    runInBackground(() -> serve(socket));
                 }
             });
         }
 
-        void talk(Socket socket) throws IOException {
-            int talked = 0;
+        void serve(Socket socket) throws IOException {
+            int served = 0;
             try (socket) {
-                for (String request; (request = message(socket.getInputStream())) != null; talked++) {
+                for (String request; (request = readMessage(socket.getInputStream())) != null; served++) {
                     requests.add(request);
-                    String said = answer.apply(request);
-                    if (said == null) {
-                        return; // breaks the connection after a whole request
+                    String response = responder.apply(request);
+                    if (response == null) {
+                        return; // breaks the connection after a complete request
                     }
-                    socket.getOutputStream().write(said.getBytes(StandardCharsets.ISO_8859_1));
-                    if (after == After.END) {
+                    socket.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
+                    if (afterResponse == AfterResponse.CLOSE) {
                         return;
-                    } else if (after == After.RESET) {
+                    } else if (afterResponse == AfterResponse.RESET) {
                         reset(socket);
                         return;
                     }
                 }
             } finally {
-                ends.add(talked);
+                closedConnections.add(served);
             }
         }
 
-        void say(String text) throws IOException {
+        /** Sends bytes on the newest connection. */
+        void send(String text) throws IOException {
             synchronized (sockets) {
                 sockets.get(sockets.size() - 1).getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             }
         }
 
-        /** The newest of its connections. */
-        Socket newest() {
+        /** The connection that was accepted last. */
+        Socket newestConnection() {
             synchronized (sockets) {
                 return sockets.get(sockets.size() - 1);
             }
         }
 
-        String asked() throws InterruptedException {
+        /** Waits for the next request; null if none arrives in time. */
+        String nextRequest() throws InterruptedException {
             return requests.poll(10, TimeUnit.SECONDS);
         }
 
@@ -133,30 +143,31 @@
         }
     }
 
-    interface Work {
+    /** Work of a background thread. */
+    interface ThrowingRunnable {
         void run() throws Exception;
     }
 
-    /** Ends a connection by a reset: what it had not sent is lost. */
+    /** Resets a connection: what it had not sent is lost. */
     static void reset(Socket socket) throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
     }
 
-    static void thread(Work work) {
+    static void runInBackground(ThrowingRunnable work) {
         Thread thread = new Thread(() -> {
             try {
                 work.run();
             } catch (Exception e) {
-                // the other side is gone, or the story is over
+                // the other side is gone, or the test is over
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** One message with its body, or null at the end. */
-    static String message(InputStream in) throws IOException {
+    /** Reads one message with its body; null at the end of the connection. */
+    static String readMessage(InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
         while (text.indexOf("\r\n\r\n") < 0) {
             int b = in.read();
@@ -178,7 +189,7 @@
                 .orElse(null);
     }
 
-    static String ok(String body) {
+    static String okResponse(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
@@ -186,20 +197,22 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    static String rpc(String trace, String method, String more) {
-        return "POST /api HTTP/1.1\r\nX-Trace-Id: " + trace + "\r\nX-Qos: " + method
+    /** A client's request. */
+    static String request(String traceId, String method, String extraFields) {
+        return "POST /api HTTP/1.1\r\nX-Trace-Id: " + traceId + "\r\nX-Qos: " + method
                 + "\r\nPlan: team\r\nCookie: key=0000000000000007\r\n"
-                + "X-Expires-In-Ms: 4000\r\nIdempotency-Key: k\r\nQuota-Info: units=1,spread=1,first=0\r\n" + more
+                + "X-Expires-In-Ms: 4000\r\nIdempotency-Key: k\r\nQuota-Info: units=1,spread=1,first=0\r\n"
+                + extraFields
                 + "\r\n";
     }
 
-    String host(String name, String address, String health) {
+    String hostJson(String name, String address, String health) {
         return "{\"host\":\"" + name + "\",\"dial\":\"" + address
                 + "\",\"site\":\"z\",\"class\":\"m\",\"block\":0,\"health\":\"" + health
                 + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
-    String config(String hosts) {
+    String configJson(String hosts) {
         return "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.address() + "\",\"counter\":\""
                 + counter.address()
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"memory_mb\":192,\"sockets\":" + sockets
@@ -207,33 +220,39 @@
     }
 
     void start() throws IOException {
-        start(host("b", backend.address(), "in_service"));
+        start(hostJson("b", backend.address(), "in_service"));
     }
 
     void start(String hosts) throws IOException {
         loop = new EventLoop();
         warmUp.run();
-        door = new FrontDoor(Config.parse(config(hosts)), loop);
-        running = new CompletableFuture<>();
-        thread(() -> {
+        frontDoor = new FrontDoor(Config.parse(configJson(hosts)), loop);
+        loopEnded = new CompletableFuture<>();
+        runInBackground(() -> {
             try {
                 loop.run();
-                door.close();
+                frontDoor.close();
                 loop.close();
-                running.complete(null);
+                loopEnded.complete(null);
             } catch (Throwable e) {
-                running.completeExceptionally(e);
+                loopEnded.completeExceptionally(e);
             }
         });
     }
 
+    /** Has the resource closed when the test ends. */
+    <T extends AutoCloseable> T closeAtEnd(T resource) {
+        resources.add(resource);
+        return resource;
+    }
+
     @AfterEach
-    void end() throws Exception {
-        if (running != null && !running.isDone()) {
+    void stopAndClose() throws Exception {
+        if (loopEnded != null && !loopEnded.isDone()) {
             loop.ask(loop::stop);
-            running.get(10, TimeUnit.SECONDS);
+            loopEnded.get(10, TimeUnit.SECONDS);
         }
-        for (AutoCloseable closeable : open) {
+        for (AutoCloseable closeable : resources) {
             closeable.close();
         }
     }
@@ -243,7 +262,7 @@
 
         Client() throws IOException {
             socket = new Socket();
-            socket.connect(door.address());
+            socket.connect(frontDoor.address());
             socket.setSoTimeout(10_000);
         }
 
@@ -252,31 +271,103 @@
             return this;
         }
 
-        String hears() throws IOException {
-            return message(socket.getInputStream());
+        String receive() throws IOException {
+            return readMessage(socket.getInputStream());
         }
     }
 
-    /** Until a connection to a backend that was just used may be used again. */
-    void rest() throws Exception {
+    /** Waits until a connection to a backend that was just used may be used again. */
+    void awaitReusableConnection() throws Exception {
         CompletableFuture<Void> rested = new CompletableFuture<>();
         loop.ask(() -> loop.in(5_000, () -> rested.complete(null)));
         rested.get(10, TimeUnit.SECONDS);
     }
 
-    /** The next call on the counter that is on no name of these calls. */
-    String askedBut(List<String> others) throws InterruptedException {
-        String call = counter.asked();
-        while (call != null && others.contains(call.split("[?]")[0])) {
-            call = counter.asked();
+    /** The path of a call on the counter, which names what is counted. */
+    static String pathOf(String call) {
+        int query = call.indexOf('?');
+        return query < 0 ? call : call.substring(0, query);
+    }
+
+    /** The next call on the counter whose path is none of these. */
+    String nextCallExcept(List<String> others) throws InterruptedException {
+        String call = counter.nextRequest();
+        while (call != null && others.contains(pathOf(call))) {
+            call = counter.nextRequest();
         }
         return call;
     }
 
-    String ask(String text) throws IOException {
-        Client client = new Client().send(text);
-        String answer = client.hears();
+    /** Sends a message on a connection of its own, and returns the response. */
+    String exchange(String message) throws IOException {
+        Client client = new Client().send(message);
+        String response = client.receive();
         client.socket.close();
-        return answer;
+        return response;
+    }
+
+    /** The same request of another customer. */
+    static String withCustomer(int number, String request) {
+        return request.replace("key=0000000000000007", "key=%016x".formatted(number));
+    }
+
+    /** Replaces text of the settings, which must hold it. */
+    void changeSetting(String setting, String value) {
+        assertThat(settings).contains(setting);
+        settings = settings.replace(setting, value);
+    }
+
+    /** The backend holds each response, this body and the request's trace id, until then. */
+    void holdResponsesUntil(CompletableFuture<Void> released, String body) {
+        backend.responder = request -> {
+            released.join();
+            return okResponse(body + field(request, "X-Trace-Id"));
+        };
+    }
+
+    /** Waits until all that has reached the front door's sockets by now has been handled. */
+    void awaitPendingEvents() throws Exception {
+        for (int i = 0; i < 2; i++) {
+            CompletableFuture<Void> handled = new CompletableFuture<>();
+            loop.ask(() -> handled.complete(null));
+            handled.get(10, TimeUnit.SECONDS);
+        }
+    }
+
+    /** Waits that long by the loop's clock. */
+    void awaitLoopDelay(long delayUs) throws Exception {
+        CompletableFuture<Void> due = new CompletableFuture<>();
+        loop.ask(() -> loop.in(delayUs, () -> due.complete(null)));
+        due.get(10, TimeUnit.SECONDS);
+    }
+
+    /** Closes a stand-in and waits until it refuses connections. */
+    static void shutDown(StandIn server) throws IOException {
+        server.close();
+        for (boolean refuses = false; !refuses; ) {
+            try (Socket probe = new Socket()) {
+                probe.connect(server.address);
+            } catch (SocketException e) {
+                refuses = e instanceof ConnectException; // a connection accepted during the close is reset
+            }
+        }
+    }
+
+    /** Discovery is silent on so many watches, then sends a complete list that names the backend c alone. */
+    void discoveryRespondsAfter(int silentWatches, StandIn c) {
+        AtomicInteger watches = new AtomicInteger();
+        String list = "{\"seq\":42,\"whole\":true,\"hosts\":[" + hostJson("c", c.address(), "in_service") + "]}\n";
+        discovery.responder =
+                request -> watches.getAndIncrement() < silentWatches ? NO_RESPONSE : WATCH_HEAD + chunk(list);
+    }
+
+    /** Sends requests until the backend c has received one; returns how long that took, seconds. */
+    double secondsUntilRequested(StandIn c) throws Exception {
+        long fromNanos = System.nanoTime();
+        for (int i = 100; c.requests.isEmpty(); i++) {
+            exchange(withCustomer(i, request("t" + i, "order", "")));
+            awaitLoopDelay(20_000);
+        }
+        return (System.nanoTime() - fromNanos) / 1e9;
     }
 }
--- /dev/null
+++ b/src/test/java/hopdrum/frontdoor/GracefulShutdownTest.java
@@ -0,0 +1,125 @@
+package hopdrum.frontdoor;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** Connections that close, by SIGTERM or with their last response, lose no request. */
+@Timeout(20)
+class GracefulShutdownTest extends FrontDoorFixture {
+    @Test
+    void onSigtermRequestsInFlightAreFinishedAndTheLoopEnds() throws Exception {
+        start();
+        CompletableFuture<Void> leave = new CompletableFuture<>();
+        backend.responder = request -> {
+            leave.join();
+            return okResponse("late");
+        };
+        Client taken = new Client().send(request("t1", "order", ""));
+        assertThat(backend.nextRequest()).contains("t1");
+        loop.ask(frontDoor::stop);
+        String ready;
+        do {
+            ready = exchange("GET /health/ready HTTP/1.1\r\n\r\n");
+        } while (ready.startsWith("HTTP/1.1 200 "));
+        assertThat(ready).as("still accepted").startsWith("HTTP/1.1 503 ").contains("Connection: close");
+        leave.complete(null);
+        assertThat(taken.receive()).contains("Connection: close").endsWith("late");
+        loopEnded.get(10, TimeUnit.SECONDS);
+    }
+
+    @Test
+    void aRequestThatArrivesWithSigtermIsAnsweredAndItsConnectionClosedWithTheResponse() throws Exception {
+        start();
+        Client idle = new Client();
+        assertThat(idle.send(request("t1", "order", "")).receive()).endsWith("for t1");
+        loop.ask(frontDoor::stop);
+        assertThat(idle.send(request("t2", "order", "")).receive())
+                .contains("Connection: close")
+                .endsWith("for t2");
+        assertThat(idle.receive()).isNull();
+        loopEnded.get(10, TimeUnit.SECONDS);
+    }
+
+    @Test
+    void aRequestHalfWrittenAtSigtermIsAnsweredOnceItIsComplete() throws Exception {
+        start();
+        String request = request("t1", "order", "");
+        Client half = new Client().send(request.substring(0, 40));
+        awaitPendingEvents();
+        loop.ask(frontDoor::stop);
+        awaitLoopDelay(700_000); // no connection is accepted any more, and idle ones are closed
+        assertThat(half.send(request.substring(40)).receive())
+                .contains("Connection: close")
+                .endsWith("for t1");
+        loopEnded.get(10, TimeUnit.SECONDS);
+    }
+
+    @Test
+    void requestsPipelinedBeforeSigtermAreAllAnsweredAndTheLastResponseClosesTheConnection() throws Exception {
+        CompletableFuture<Void> release = new CompletableFuture<>();
+        holdResponsesUntil(release, "for ");
+        start();
+        Client client = new Client()
+                .send(withCustomer(1, request("t1", "order", ""))
+                        + withCustomer(2, request("t2", "order", ""))
+                        + withCustomer(3, request("t3", "order", "")));
+        assertThat(backend.nextRequest()).contains("t1");
+        awaitPendingEvents();
+        loop.ask(frontDoor::stop);
+        awaitPendingEvents();
+        release.complete(null);
+        assertThat(client.receive()).doesNotContain("Connection: close").endsWith("for t1");
+        assertThat(client.receive()).doesNotContain("Connection: close").endsWith("for t2");
+        assertThat(client.receive()).contains("Connection: close").endsWith("for t3");
+        assertThat(client.receive()).isNull();
+        loopEnded.get(10, TimeUnit.SECONDS);
+    }
+
+    @Test
+    void aRequestOnAConnectionThatHasItsLastResponseIsNotForwardedAndMeetsNoReset() throws Exception {
+        start();
+        Client client = new Client().send(request("t1", "order", "Connection: close\r\n"));
+        assertThat(client.receive()).contains("Connection: close").endsWith("for t1");
+        assertThat(client.receive()).as("its side is closed").isNull();
+        client.send(request("t2", "order", ""));
+        awaitPendingEvents();
+        assertThat(client.socket.getInputStream().read()).as("an end, no reset").isEqualTo(-1);
+        assertThat(backend.requests).hasSize(1);
+    }
+
+    @Test
+    void aRequestThatCrossesTheCloseOfAnIdleConnectionIsNotForwardedAndMeetsNoReset() throws Exception {
+        start();
+        Client idle = new Client();
+        assertThat(idle.send(request("t1", "order", "")).receive()).endsWith("for t1");
+        loop.ask(frontDoor::stop);
+        assertThat(idle.receive()).as("closed while idle").isNull();
+        String crossing = request("t2", "order", "");
+        idle.send(crossing.substring(0, 40));
+        CompletableFuture<Void> handled = new CompletableFuture<>();
+        loop.ask(() -> handled.complete(null));
+        CompletableFuture.anyOf(handled, loopEnded).get(10, TimeUnit.SECONDS);
+        idle.send(crossing.substring(40)); // fails after a reset
+        assertThat(idle.socket.getInputStream().read()).as("an end, no reset").isEqualTo(-1);
+        loopEnded.get(10, TimeUnit.SECONDS);
+        assertThat(backend.requests).as("dropped").hasSize(1);
+    }
+
+    @Test
+    void aLongResponseThatItsClientReadsOnlyAfterTheProcessHasEndedIsComplete() throws Exception {
+        String body = "0123456789abcdef".repeat(60_000);
+        CompletableFuture<Void> release = new CompletableFuture<>();
+        holdResponsesUntil(release, body);
+        start();
+        Client slow = new Client().send(request("t1", "order", ""));
+        assertThat(backend.nextRequest()).contains("t1");
+        loop.ask(frontDoor::stop);
+        release.complete(null);
+        loopEnded.get(10, TimeUnit.SECONDS);
+        assertThat(slow.receive()).as("nothing is lost with the process").endsWith(body + "t1");
+    }
+}
--- a/src/test/java/hopdrum/frontdoor/EndIT.java
+++ b/src/test/java/hopdrum/frontdoor/ProcessShutdownIT.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The process's end, with the jar as it was built. */
-class EndIT {
+/** The end of the process, with the jar as it was built. */
+class ProcessShutdownIT {
     @TempDir
     Path folder;
 
-    /** The configuration is a pipe, so that the start stands still while it is read. */
+    /** The configuration is a pipe, so that the start blocks while it is read. */
     @Test
-    void aProcessToldToEndBeforeItListensEndsAtOnceAsASuccess() throws Exception {
+    void aProcessTerminatedBeforeItListensExitsAtOnceWithSuccess() throws Exception {
         Path config = folder.resolve("config.json");
         assertThat(new ProcessBuilder("mkfifo", config.toString()).start().waitFor())
                 .isZero();
