--- a/src/main/java/hopdrum/FleetServer.java
+++ b/src/main/java/hopdrum/FleetServer.java
@@ -5,7 +5,9 @@
 import hopdrum.fleet.TermsFile;
 import hopdrum.fleet.shards.Terms;
 import hopdrum.frontdoor.FrontDoor;
-import hopdrum.frontdoor.lifecycle.Server;
+import hopdrum.frontdoor.lifecycle.EventLoop;
+import hopdrum.frontdoor.server.Companion;
+import hopdrum.frontdoor.server.Server;
 import java.io.IOException;
 import java.nio.file.Path;
 
@@ -13,6 +15,7 @@
 final class FleetServer {
     private FleetServer() {}
 
+    /** Runs until SIGTERM; returns the process's exit code. */
     static int serve(String configFile, String fleetFile) {
         FleetFile file;
         Terms terms;
@@ -29,26 +32,29 @@
             Fleet fleet =
                     Fleet.start(file, terms, termsMs, config.settings().ordinal(), config.seed(), loop.offsetUs());
             fleet.setBackendZones(config.zones());
-            return new Server.Beside() {
-                @Override
-                public void serves(FrontDoor door) {
-                    door.knows(fleet, fleet::zoneLatencies);
-                    if (fleet.sharesCustomers()) {
-                        door.shares(fleet::shards);
-                        fleet.setDoorListener((tier, there) -> loop.ask(() -> door.partners(tier, there)));
-                    }
-                }
+            return new FleetCompanion(fleet, loop);
+        });
+    }
 
-                @Override
-                public void stopping() {
-                    fleet.leave();
-                }
+    /** The fleet's runtime, which follows the lifecycle of its front door. */
+    private record FleetCompanion(Fleet fleet, EventLoop loop) implements Companion {
+        @Override
+        public void started(FrontDoor door) {
+            door.knows(fleet, fleet::zoneLatencies);
+            if (fleet.sharesCustomers()) {
+                door.shares(fleet::shards);
+                fleet.setDoorListener((tier, there) -> loop.execute(() -> door.partners(tier, there)));
+            }
+        }
 
-                @Override
-                public void close() throws IOException {
-                    fleet.close();
-                }
-            };
-        });
+        @Override
+        public void stopping() {
+            fleet.leave();
+        }
+
+        @Override
+        public void close() throws IOException {
+            fleet.close();
+        }
     }
 }
--- a/src/main/java/hopdrum/Main.java
+++ b/src/main/java/hopdrum/Main.java
@@ -1,7 +1,7 @@
 package hopdrum;
 
 import hopdrum.benchlink.BenchLink;
-import hopdrum.frontdoor.lifecycle.Server;
+import hopdrum.frontdoor.server.Server;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
 import java.io.FileOutputStream;
@@ -9,44 +9,54 @@
 
 /** The command line. */
 public final class Main {
+    private static final String USAGE = """
+            usage: hopdrum serve       (a front door on sockets, as LB_CONFIG describes)
+                   hopdrum serve --fleet FILE   (the same as one of a fleet, as FILE describes)
+                   hopdrum train       (start and end among nobody; the build makes its class archive so)
+                   hopdrum benchlink   (decide on the bench's wire, standard input to output)""";
+    private static final int FAILURE = 1;
+    private static final int WRONG_ARGUMENTS = 2;
+
     private Main() {}
 
+    /**
+     * Runs one command. The exit code is 0 for success, 1 if the configuration or the input cannot be used or the front
+     * door cannot run, and 2 for wrong arguments.
+     *
+     * @param args the command and its options
+     */
     public static void main(String[] args) {
+        int exitCode = run(args);
+        // Leaving main() ends the process by itself, and after SIGTERM an exit from here would wait for its own hook.
+        if (exitCode != 0) {
+            System.exit(exitCode);
+        }
+    }
+
+    private static int run(String[] args) {
+        String configFile = System.getenv("LB_CONFIG");
         if (args.length == 3 && args[0].equals("serve") && args[1].equals("--fleet")) {
-            exitUnlessZero(FleetServer.serve(System.getenv("LB_CONFIG"), args[2]));
-            return;
+            return FleetServer.serve(configFile, args[2]);
         }
         String command = args.length == 1 ? args[0] : "";
-        switch (command) {
-            case "serve" -> exitUnlessZero(Server.serve(System.getenv("LB_CONFIG")));
-            case "train" -> exitUnlessZero(Server.train(System.getenv("LB_CONFIG")));
-            case "benchlink" -> exitUnlessZero(benchlink());
+        return switch (command) {
+            case "serve" -> Server.serve(configFile);
+            case "train" -> Server.train(configFile);
+            case "benchlink" -> runBenchLink();
             default -> {
-                System.err.println("""
-                                   usage: hopdrum serve       (a front door on sockets, as LB_CONFIG describes)
-                                          hopdrum serve --fleet FILE   (the same as one of a fleet, as FILE describes)
-                                          hopdrum train       (start and end among nobody; the build makes its class archive so)
-                                          hopdrum benchlink   (decide on the bench's wire, standard input to output)\
-                                   """);
-                System.exit(2);
+                System.err.println(USAGE);
+                yield WRONG_ARGUMENTS;
             }
-        }
+        };
     }
 
-    private static int benchlink() {
+    private static int runBenchLink() {
         try {
             new BenchLink(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out)).run();
             return 0;
         } catch (IOException e) {
             System.err.println("hopdrum benchlink: " + e.getMessage());
-            return 1;
-        }
-    }
-
-    /** Leaving main() ends the process by itself, and after SIGTERM an exit from here would wait for its own hook. */
-    private static void exitUnlessZero(int code) {
-        if (code != 0) {
-            System.exit(code);
+            return FAILURE;
         }
     }
 }
--- a/src/main/java/hopdrum/frontdoor/ClientListener.java
+++ b/src/main/java/hopdrum/frontdoor/ClientListener.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 
 /** The listening socket and the connections that clients opened. */
-final class ClientListener implements EventLoop.Ready, ClientConnection.Owner {
+final class ClientListener implements EventLoop.ChannelHandler, ClientConnection.Owner {
     private static final Log LOG = new Log("clients");
     private static final int BACKLOG = 1024;
     private static final long PAUSE_US = 50_000;
@@ -167,7 +167,7 @@
     }
 
     @Override
-    public void broken(Exception e) {
+    public void failed(Exception e) {
         pause(e.getMessage());
     }
 
@@ -212,7 +212,7 @@
         lingering.remove(client);
         open.remove(client);
         if (paused) {
-            loop.soon(this::resume);
+            loop.runAfterCurrentEvent(this::resume);
         }
     }
 
--- a/src/main/java/hopdrum/frontdoor/CounterClient.java
+++ b/src/main/java/hopdrum/frontdoor/CounterClient.java
@@ -71,7 +71,7 @@
         } catch (IOException e) {
             LOG.warning("no connection to the counter", e.getMessage());
         }
-        loop.soon(() -> owner.counted(name, Outcome.CONNECT_FAILED, 0, 0));
+        loop.runAfterCurrentEvent(() -> owner.counted(name, Outcome.CONNECT_FAILED, 0, 0));
     }
 
     @Override
--- a/src/main/java/hopdrum/frontdoor/FrontDoor.java
+++ b/src/main/java/hopdrum/frontdoor/FrontDoor.java
@@ -33,7 +33,7 @@
 /**
  * One front door: Policy's Host on sockets. What comes in turns into calls on Policy, and Policy's calls into bytes;
  * nothing is decided here. Policy is never called from inside one of its own calls: what ends there is told by
- * EventLoop.soon().
+ * EventLoop.runAfterCurrentEvent().
  */
 public final class FrontDoor
         implements Host, ClientListener.Owner, BackendConnection.Owner, CounterClient.Owner, DiscoveryClient.Owner {
@@ -90,7 +90,7 @@
                 config.plans(),
                 config.settings().methods(),
                 config.settings().gateways(),
-                config.mostUnits());
+                config.maxUnits());
         policy = new Policy(config.settings(), config.seed(), this);
         counter = new CounterClient(loop, config.counter(), config.settings().counterTimeoutUs(), budget, this);
         peers = config.peerListen() == null || !config.settings().gossipAllowed()
@@ -100,7 +100,7 @@
         discovery = new DiscoveryClient(loop, config.discovery(), version, budget, this);
         discovery.start();
         clients = new ClientListener(loop, config.listen(), budget, this);
-        loop.ask(() -> loop.in(NO_LIST_US, this::openClients)); // its clock stands still till then
+        loop.execute(() -> loop.in(NO_LIST_US, this::openClients)); // its clock stands still till then
         loop.in(CHECK_US, this::check);
         loop.in(TALLY_US, this::tell);
     }
@@ -111,7 +111,7 @@
 
     /** The list as this front door last had it, and its version; -1 without one. */
     private long known() {
-        Map<?, ?> known = config.known();
+        Map<?, ?> known = config.cachedEndpointList();
         if (known == null || !(known.get("seq") instanceof Double seq)) {
             return -1;
         }
@@ -139,9 +139,9 @@
     }
 
     private void check() {
-        if (config.idleUs() > 0) {
+        if (config.idleTimeoutUs() > 0) {
             for (ConnectionPool pool : directory.pools()) {
-                pool.closeIdleSince(nowUs() - config.idleUs() * 3 / 4);
+                pool.closeIdleSince(nowUs() - config.idleTimeoutUs() * 3 / 4);
             }
         }
         directory.sweep();
@@ -372,7 +372,7 @@
         attempt.timeOut = loop.in(timeOutUs, () -> timedOut(attempt));
         ConnectionPool pool = directory.get(backend);
         if (rpc.client == null || pool == null) {
-            loop.soon(() -> ended(attempt, Outcome.INVALID_REQUEST, NO_REPORT));
+            loop.runAfterCurrentEvent(() -> ended(attempt, Outcome.INVALID_REQUEST, NO_REPORT));
             return;
         }
         BackendConnection connection = pool.takeIdle(nowUs());
@@ -384,7 +384,7 @@
             LOG.warning("no connection to a backend", e.getMessage());
         }
         if (connection == null || !connection.send(attempt)) {
-            loop.soon(() -> ended(attempt, Outcome.CONNECT_FAILED, NO_REPORT));
+            loop.runAfterCurrentEvent(() -> ended(attempt, Outcome.CONNECT_FAILED, NO_REPORT));
         }
     }
 
@@ -397,7 +397,7 @@
             return null;
         }
         BackendConnection connection = new BackendConnection(
-                loop, pool, config.dialTimeOutUs(), config.settings().reportFields(), budget, this);
+                loop, pool, config.connectTimeoutUs(), config.settings().reportFields(), budget, this);
         budget.backend(1);
         pool.opened(connection);
         return connection;
@@ -409,7 +409,7 @@
         Attempt attempt = rpc == null || number >= rpc.attempts.size() ? null : rpc.attempts.get(number);
         if (attempt != null && !attempt.ended) {
             giveUp(attempt);
-            loop.soon(() -> ended(attempt, Outcome.CANCELLED, NO_REPORT));
+            loop.runAfterCurrentEvent(() -> ended(attempt, Outcome.CANCELLED, NO_REPORT));
         }
     }
 
--- a/src/main/java/hopdrum/frontdoor/PeerMessenger.java
+++ b/src/main/java/hopdrum/frontdoor/PeerMessenger.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 
 /** Short messages to and from the other front doors, by UDP. Owns the one datagram socket. */
-final class PeerMessenger implements EventLoop.Ready {
+final class PeerMessenger implements EventLoop.ChannelHandler {
     private static final Log LOG = new Log("peers");
     private static final int MOST = 256;
     private final DatagramChannel channel;
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void broken(Exception e) {
+    public void failed(Exception e) {
         LOG.warning("the datagram socket failed to read", e.getMessage());
     }
 
--- a/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
@@ -97,12 +97,12 @@
             return;
         }
         if (rpc != null) {
-            behindUs = behindUs == 0 ? loop.unseenSinceUs() : behindUs;
+            behindUs = behindUs == 0 ? loop.earliestArrivalUs() : behindUs;
             return;
         }
         if (arrivedUs == 0) {
             stopClock();
-            arrivedUs = loop.unseenSinceUs();
+            arrivedUs = loop.earliestArrivalUs();
             owner.busy(this);
         }
         next();
@@ -194,7 +194,7 @@
     public void answer(int status, long retryAfterUs, boolean close) {
         boolean last = close || !reader.keepAlive() || owner.closesWithAnswer(in.size() > reader.end());
         if (!HttpWriter.emptyResponse(status, retryAfterUs, last, out)) {
-            loop.soon(this::close);
+            loop.runAfterCurrentEvent(this::close);
             return;
         }
         answered(last);
@@ -217,7 +217,7 @@
             slow = loop.in(ANSWER_US, this::tooSlow); // guards against clients that do not take their answers
         }
         if (!last) {
-            loop.soon(this::again);
+            loop.runAfterCurrentEvent(this::again);
         }
     }
 
@@ -228,7 +228,7 @@
             } else if (in.isEmpty()) {
                 goesIdle();
             }
-            interest();
+            updateInterest();
         }
     }
 
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Config.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Config.java
@@ -12,7 +12,28 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a front door is told at its start. */
+/**
+ * What a front door is configured with at its start.
+ *
+ * @param name the front door's name
+ * @param listen where clients connect
+ * @param discovery where the endpoint list is watched
+ * @param counter the shared counter's address; null without one
+ * @param peerListen where gossip comes in; null without peers
+ * @param peers the gossip addresses of all front doors, in the order of their ordinals
+ * @param seed the seed of the policy's random numbers
+ * @param memoryMb the memory that the process may take, in MiB
+ * @param sockets how many descriptors the process may open
+ * @param cachedEndpointList the endpoint list as it was last known, in the form of discovery's; null without one
+ * @param settings what the policy decides by
+ * @param methods the methods' names, in the order of the settings
+ * @param plans the plans' names, in the order of the settings
+ * @param zones the zones' names, in the order of the settings
+ * @param kinds the names of the kinds of backends, in the order of the settings
+ * @param connectTimeoutUs how long a connection to a backend may take to come up, in microseconds
+ * @param idleTimeoutUs after how long backends close idle connections, in microseconds; 0 for never
+ * @param maxUnits the most units that an RPC may draw; 0 if the settings name no bound
+ */
 public record Config(
         String name,
         InetSocketAddress listen,
@@ -23,119 +44,141 @@
         long seed,
         int memoryMb,
         int sockets,
-        Map<?, ?> known,
+        Map<?, ?> cachedEndpointList,
         Settings settings,
         List<String> methods,
         List<String> plans,
         List<String> zones,
         List<String> kinds,
-        long dialTimeOutUs,
-        long idleUs,
-        double mostUnits) {
+        long connectTimeoutUs,
+        long idleTimeoutUs,
+        double maxUnits) {
 
-    /** Throws IllegalArgumentException with one plain sentence where the file cannot be used. */
+    private static final int DEFAULT_MEMORY_MB = 192;
+    private static final int DEFAULT_SOCKETS = 1024;
+    private static final long MIN_CONNECT_TIMEOUT_US = 1000;
+
+    /**
+     * Reads the configuration file.
+     *
+     * @throws IllegalArgumentException with one plain sentence if the file cannot be used; an {@link
+     *     InvalidConfigException} unless it is no JSON or the settings are at fault
+     */
     public static Config read(Path file) {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new IllegalArgumentException("the configuration cannot be read: " + e, e);
+            throw new InvalidConfigException("the configuration cannot be read: " + e, e);
         }
         return parse(text);
     }
 
+    /**
+     * Reads a configuration from its text.
+     *
+     * @throws IllegalArgumentException as {@link #read}
+     */
     public static Config parse(String text) {
-        if (!(JsonReader.parse(text) instanceof Map<?, ?> all)) {
-            throw new IllegalArgumentException("the configuration is no object");
+        if (!(JsonReader.parse(text) instanceof Map<?, ?> root)) {
+            throw new InvalidConfigException("the configuration is no object");
         }
-        Map<String, String> pairs = new LinkedHashMap<>();
-        flatten("", all.get("settings"), pairs);
-        Settings settings = SettingsReader.read(pairs);
+        Map<String, String> flat = new LinkedHashMap<>();
+        flatten("", root.get("settings"), flat);
+        Settings settings = SettingsReader.read(flat);
         List<InetSocketAddress> peers = new ArrayList<>();
-        if (all.get("peers") instanceof List<?> list) {
+        if (root.get("peers") instanceof List<?> list) {
             for (Object peer : list) {
                 peers.add(address("peers", peer));
             }
         }
-        Map<?, ?> limits = all.get("limits") instanceof Map<?, ?> map ? map : Map.of();
+        Map<?, ?> limits = root.get("limits") instanceof Map<?, ?> map ? map : Map.of();
         return new Config(
-                String.valueOf(all.get("name")),
-                needed(all, "listen"),
-                needed(all, "discovery"),
-                optional(all, "counter"),
-                optional(all, "peer_listen"),
+                String.valueOf(root.get("name")),
+                requiredAddress(root, "listen"),
+                requiredAddress(root, "discovery"),
+                optionalAddress(root, "counter"),
+                optionalAddress(root, "peer_listen"),
                 peers,
-                seed(all.get("seed")),
-                whole(limits.get("memory_mb"), 192),
-                whole(limits.get("sockets"), 1024),
-                all.get("known") instanceof Map<?, ?> known ? known : null,
+                seed(root.get("seed")),
+                intOrDefault(limits.get("memory_mb"), DEFAULT_MEMORY_MB),
+                intOrDefault(limits.get("sockets"), DEFAULT_SOCKETS),
+                root.get("known") instanceof Map<?, ?> list ? list : null,
                 settings,
-                names(pairs, "Lanes.", "Name"),
-                names(pairs, "Packages.", "Name"),
-                words(pairs, "Azs"),
-                words(pairs, "Flavors"),
-                Math.max(1000, figure(pairs, "Bounds.DialTimeoutUs")),
-                figure(pairs, "Bounds.ConnIdleUs"),
-                Double.parseDouble(pairs.getOrDefault("FamilyInfo.Largest", "0")));
+                names(flat, "Lanes."),
+                names(flat, "Packages."),
+                commaSeparated(flat, "Azs"),
+                commaSeparated(flat, "Flavors"),
+                Math.max(MIN_CONNECT_TIMEOUT_US, longOrZero(flat, "Bounds.DialTimeoutUs")),
+                longOrZero(flat, "Bounds.ConnIdleUs"),
+                Double.parseDouble(flat.getOrDefault("FamilyInfo.Largest", "0")));
     }
 
-    /** Nested JSON to the paths of the bench's wire: a list of objects has its length under .count. */
-    private static void flatten(String path, Object value, Map<String, String> pairs) {
+    /** Nested JSON to the paths of the bench's protocol: a list of objects has its length under .count. */
+    private static void flatten(String path, Object value, Map<String, String> flat) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((k, v) -> flatten(path.isEmpty() ? k.toString() : path + "." + k, v, pairs));
+            map.forEach((k, v) -> flatten(path.isEmpty() ? k.toString() : path + "." + k, v, flat));
         } else if (value instanceof List<?> list && list.stream().anyMatch(v -> v instanceof Map)) {
-            pairs.put(path + ".count", Integer.toString(list.size()));
+            flat.put(path + ".count", Integer.toString(list.size()));
             for (int i = 0; i < list.size(); i++) {
-                flatten(path + "." + i, list.get(i), pairs);
+                flatten(path + "." + i, list.get(i), flat);
             }
         } else if (value instanceof List<?> list) {
-            pairs.put(path, String.join(",", list.stream().map(String::valueOf).toList()));
+            flat.put(path, String.join(",", list.stream().map(String::valueOf).toList()));
         } else if (value != null) {
-            pairs.put(path, value.toString());
+            flat.put(path, value.toString());
         }
     }
 
-    private static List<String> names(Map<String, String> pairs, String list, String key) {
+    /** The names of a list's entries. */
+    private static List<String> names(Map<String, String> flat, String listPrefix) {
         List<String> names = new ArrayList<>();
-        for (int i = 0; pairs.containsKey(list + i + "." + key); i++) {
-            names.add(pairs.get(list + i + "." + key));
+        for (int i = 0; flat.containsKey(listPrefix + i + ".Name"); i++) {
+            names.add(flat.get(listPrefix + i + ".Name"));
         }
         return names;
     }
 
-    private static List<String> words(Map<String, String> pairs, String key) {
-        String value = pairs.getOrDefault(key, "");
-        return value.isEmpty() ? List.of() : List.of(value.split(","));
+    private static List<String> commaSeparated(Map<String, String> flat, String key) {
+        String value = flat.getOrDefault(key, "");
+        return value.isEmpty() ? List.of() : List.of(value.split(",", 0));
     }
 
-    private static long figure(Map<String, String> pairs, String key) {
-        return (long) Double.parseDouble(pairs.getOrDefault(key, "0"));
+    private static long longOrZero(Map<String, String> flat, String key) {
+        return (long) Double.parseDouble(flat.getOrDefault(key, "0"));
     }
 
-    private static int whole(Object value, int absent) {
-        return value instanceof Double d ? (int) Math.min(Integer.MAX_VALUE, d) : absent;
+    private static int intOrDefault(Object value, int absent) {
+        return value instanceof Double number ? (int) Math.min(Integer.MAX_VALUE, number) : absent;
     }
 
     private static long seed(Object value) {
         try {
-            return value instanceof Double d ? d.longValue() : Long.parseUnsignedLong(String.valueOf(value), 16);
+            return value instanceof Double number
+                    ? number.longValue()
+                    : Long.parseUnsignedLong(String.valueOf(value), 16);
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("the configuration's seed is no hexadecimal number", e);
+            throw new InvalidConfigException("the configuration's seed is no hexadecimal number", e);
         }
     }
 
-    private static InetSocketAddress needed(Map<?, ?> all, String key) {
-        if (all.get(key) == null) {
-            throw new IllegalArgumentException("the configuration lacks " + key);
+    private static InetSocketAddress requiredAddress(Map<?, ?> root, String key) {
+        if (root.get(key) == null) {
+            throw new InvalidConfigException("the configuration lacks " + key);
         }
-        return address(key, all.get(key));
+        return address(key, root.get(key));
     }
 
-    private static InetSocketAddress optional(Map<?, ?> all, String key) {
-        return all.get(key) == null ? null : address(key, all.get(key));
+    private static InetSocketAddress optionalAddress(Map<?, ?> root, String key) {
+        return root.get(key) == null ? null : address(key, root.get(key));
     }
 
-    /** A numeric address and a port; there is no DNS. */
+    /**
+     * A numeric address and a port, as in 127.0.0.1:80 or [::1]:80; there is no DNS.
+     *
+     * @param key what the address is of, for the message
+     * @throws InvalidConfigException if the value is no such text
+     */
     public static InetSocketAddress address(String key, Object value) {
         String text = String.valueOf(value);
         int colon = text.lastIndexOf(':');
@@ -146,7 +189,7 @@
             }
             return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException("the configuration's " + key + " is no address: " + text, e);
+            throw new InvalidConfigException("the configuration's " + key + " is no address: " + text, e);
         }
     }
 }
--- a/src/main/java/hopdrum/frontdoor/lifecycle/EventLoop.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/EventLoop.java
@@ -9,30 +9,39 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** The one thread: waits for sockets and timers and calls their owners. Owns the selector and the clock. */
+/**
+ * Waits for sockets and timers on one thread and calls their owners. Owns the selector and the clock. All methods but
+ * {@link #execute} are called on the loop's thread, or before {@link #run}.
+ */
 public final class EventLoop {
-    /** What a socket's key carries. */
-    public interface Ready {
+    /** The owner of a channel, attached to its key. */
+    public interface ChannelHandler {
+        /**
+         * The channel is ready for an operation of interest.
+         *
+         * @throws IOException if the channel has failed; {@link #failed} is called with it
+         */
         void ready(SelectionKey key) throws IOException;
 
-        /** Its handling threw: the socket is given up. */
-        void broken(Exception e);
+        /** Handling an event has thrown: the channel is to be given up. */
+        void failed(Exception e);
     }
 
-    /** A time to call at; a cancelled one stays in its queue until it is the next. */
+    /** A time at which a task runs; a cancelled one stays in its queue until it is the next. */
     public static final class Timer implements Comparable<Timer> {
         private final long atUs;
-        private final long order;
-        private Runnable what;
+        private final long order; // of timers for the same time
+        private Runnable task; // null once cancelled
 
-        private Timer(long atUs, long order, Runnable what) {
+        private Timer(long atUs, long order, Runnable task) {
             this.atUs = atUs;
             this.order = order;
-            this.what = what;
+            this.task = task;
         }
 
+        /** The task does not run, unless it already has. */
         public void cancel() {
-            what = null;
+            task = null;
         }
 
         @Override
@@ -42,150 +51,183 @@
     }
 
     private static final Log LOG = new Log("loop");
-    private static final long AT_ONCE_US = 50;
+    private static final long IMMEDIATE_US = 50; // a selection that takes less has not waited
+    private static final long MAX_WAIT_US = 1_000_000;
+
     private final Selector selector;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>(); // emptied as they come due
-    private final Deque<Runnable> soon = new ArrayDeque<>(); // emptied after each call
-    // Names of counts and the list's times are shared between machines: so time starts at the wall clock's, and
-    // from there one monotonic clock alone moves it.
-    private final long wallAtStartUs = System.currentTimeMillis() * 1000;
+    private final Deque<Runnable> afterEvent = new ArrayDeque<>(); // emptied after each event
+    private final Queue<Runnable> submitted = new ConcurrentLinkedQueue<>(); // emptied after each selection
+    // Names of counters and the endpoint list's times are shared between machines: so time starts at the wall clock's,
+    // and from there one monotonic clock alone moves it.
+    private final long wallClockAtStartUs = System.currentTimeMillis() * 1000;
     private final long nanosAtStart = System.nanoTime();
-    private long nowUs = wallAtStartUs;
+    private long nowUs = wallClockAtStartUs;
     private long selectedUs = nowUs; // when the selector was entered, then when it last returned
-    private boolean returned;
-    private long unseenSinceUs = nowUs;
-    private long orders;
-    private final Queue<Runnable> asked =
-            new ConcurrentLinkedQueue<>(); // by other threads; emptied after each selection
+    private boolean hasReturned; // the selector, since it was last entered
+    private long earliestArrivalUs = nowUs;
+    private long nextOrder;
     private boolean stopped;
 
+    /**
+     * A loop that does not run yet.
+     *
+     * @throws IOException if the system gives no selector
+     */
     public EventLoop() throws IOException {
         selector = Selector.open();
     }
 
+    /** Where channels are registered, each with its {@link ChannelHandler} attached. */
     public Selector selector() {
         return selector;
     }
 
-    /** The time of the event being handled. */
+    /** The time of the event being handled, in microseconds since 1970. */
     public long nowUs() {
         return nowUs;
     }
 
-    /** What this clock is ahead of the machine's monotonic one, microseconds. */
+    /** How far this clock is ahead of the machine's monotonic one, in microseconds. */
     public long offsetUs() {
-        return wallAtStartUs - nanosAtStart / 1000;
+        return wallClockAtStartUs - nanosAtStart / 1000;
     }
 
-    /** Bytes that are found now came in no earlier than this. */
-    public long unseenSinceUs() {
-        return unseenSinceUs;
+    /** Bytes that are found now have arrived no earlier than this, by the loop's clock. */
+    public long earliestArrivalUs() {
+        return earliestArrivalUs;
     }
 
-    public Timer at(long atUs, Runnable what) {
-        Timer timer = new Timer(atUs, orders++, what);
+    /** Runs a task at a time of the loop's clock, in microseconds; at once if it has passed. */
+    public Timer at(long atUs, Runnable task) {
+        Timer timer = new Timer(atUs, nextOrder++, task);
         timers.add(timer);
         return timer;
     }
 
-    public Timer in(long delayUs, Runnable what) {
-        return at(nowUs + delayUs, what);
+    /** Runs a task after a delay in microseconds from the present event's time. */
+    public Timer in(long delayUs, Runnable task) {
+        return at(nowUs + delayUs, task);
     }
 
-    /** Calls after the present event is handled: what may not be called from inside of Policy's calls on its Host. */
-    public void soon(Runnable what) {
-        soon.add(what);
+    /** Runs a task once the present event is handled: for what may not happen inside Policy's calls on its Host. */
+    public void runAfterCurrentEvent(Runnable task) {
+        afterEvent.add(task);
     }
 
-    /** May be called from any thread, any number of times, before the loop runs too: calls in the loop, in order. */
-    public void ask(Runnable what) {
-        asked.add(what);
+    /** Runs a task in the loop. May be called from any thread, before the loop runs too; tasks run in order. */
+    public void execute(Runnable task) {
+        submitted.add(task);
         selector.wakeup();
     }
 
+    /** Ends {@link #run} once the present round of events is handled. */
     public void stop() {
         stopped = true;
     }
 
+    /**
+     * Handles events until {@link #stop}.
+     *
+     * @throws IOException if the selector fails
+     */
     public void run() throws IOException {
         while (!stopped) {
-            while (!timers.isEmpty() && timers.peek().what == null) {
-                timers.poll(); // guards against waking for what was cancelled
-            }
-            long waitUs = timers.isEmpty() ? 1_000_000 : timers.peek().atUs - tick();
-            unseenSinceUs = selectedUs;
-            selectedUs = nowUs;
-            returned = false;
-            if (!soon.isEmpty() || waitUs <= 0) {
-                selector.selectNow(this::ready);
-            } else {
-                selector.select(this::ready, (waitUs + 999) / 1000);
-            }
-            tick();
-            hasReturned();
-            for (Runnable what = asked.poll(); what != null; what = asked.poll()) {
-                guarded(what);
+            removeCancelledTimers();
+            select();
+            for (Runnable task = submitted.poll(); task != null; task = submitted.poll()) {
+                runGuarded(task);
             }
             while (!timers.isEmpty() && timers.peek().atUs <= nowUs) {
-                Runnable what = timers.poll().what;
-                if (what != null) {
-                    guarded(what);
+                Runnable task = timers.poll().task;
+                if (task != null) {
+                    runGuarded(task);
                 }
             }
         }
     }
 
+    /** Guards against waking for what was cancelled. */
+    private void removeCancelledTimers() {
+        while (!timers.isEmpty() && timers.peek().task == null) {
+            timers.poll();
+        }
+    }
+
+    private void select() throws IOException {
+        long waitUs = MAX_WAIT_US;
+        if (!timers.isEmpty()) {
+            tick();
+            waitUs = timers.peek().atUs - nowUs;
+        }
+        earliestArrivalUs = selectedUs;
+        selectedUs = nowUs;
+        hasReturned = false;
+        if (!afterEvent.isEmpty() || waitUs <= 0) {
+            selector.selectNow(this::ready);
+        } else {
+            selector.select(this::ready, (waitUs + 999) / 1000);
+        }
+        tick();
+        selectionReturned();
+    }
+
+    /**
+     * Gives the selector back.
+     *
+     * @throws IOException if that fails
+     */
     public void close() throws IOException {
         selector.close();
     }
 
-    private long tick() {
-        return nowUs = wallAtStartUs + (System.nanoTime() - nanosAtStart) / 1000;
+    private void tick() {
+        nowUs = wallClockAtStartUs + (System.nanoTime() - nanosAtStart) / 1000;
     }
 
     private void ready(SelectionKey key) {
         tick();
-        hasReturned();
-        Ready owner = (Ready) key.attachment();
+        selectionReturned();
+        ChannelHandler handler = (ChannelHandler) key.attachment();
         try {
-            owner.ready(key);
+            handler.ready(key);
         } catch (IOException | RuntimeException e) {
-            guarded(() -> owner.broken(e));
+            runGuarded(() -> handler.failed(e));
         }
-        runSoon();
+        runAfterEvent();
     }
 
     /**
-     * Guards time limits that others count against work that kept this thread away: what was ready at once came in
-     * at any time since the selector returned before; what had to be waited for came in now.
+     * Guards time limits that others count against work that kept this thread away: what was ready at once arrived at any
+     * time since the selector returned before; what had to be waited for arrived now.
      */
-    private void hasReturned() {
-        if (!returned) {
-            returned = true;
-            if (nowUs - selectedUs > AT_ONCE_US) {
-                unseenSinceUs = nowUs;
+    private void selectionReturned() {
+        if (!hasReturned) {
+            hasReturned = true;
+            if (nowUs - selectedUs > IMMEDIATE_US) {
+                earliestArrivalUs = nowUs;
             }
             selectedUs = nowUs;
         }
     }
 
-    private void guarded(Runnable what) {
-        try {
-            what.run();
-        } catch (RuntimeException e) { // a fault in one event must not end all others
-            LOG.fault("an event's handling failed", e);
+    private void runGuarded(Runnable task) {
+        runLoggingFaults(task);
+        runAfterEvent();
+    }
+
+    private void runAfterEvent() {
+        while (!afterEvent.isEmpty()) {
+            runLoggingFaults(afterEvent.poll());
         }
-        runSoon();
     }
 
-    private void runSoon() {
-        while (!soon.isEmpty()) {
-            Runnable what = soon.poll();
-            try {
-                what.run();
-            } catch (RuntimeException e) { // as above
-                LOG.fault("an event's handling failed", e);
-            }
+    /** A fault in one event must not end all others. */
+    private static void runLoggingFaults(Runnable task) {
+        try {
+            task.run();
+        } catch (RuntimeException e) {
+            LOG.fault("an event's handling failed", e);
         }
     }
 }
--- a/src/main/java/hopdrum/frontdoor/lifecycle/StreamConnection.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/StreamConnection.java
@@ -9,41 +9,63 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * One TCP connection: the thin driver that moves bytes between its socket and its two rings. What the bytes mean is
- * its subclass's. close() is the one place where the socket, its key and the rings' memory are given back.
+ * One TCP connection: moves bytes between its socket and its two rings, while a subclass knows what they mean. {@link
+ * #close} is the one place where the socket, its key and the rings' memory are given back. All methods are called on the
+ * event loop's thread.
  */
-public abstract class StreamConnection implements EventLoop.Ready {
+public abstract class StreamConnection implements EventLoop.ChannelHandler {
+    /** How the other side ended a connection. */
+    public enum Ending {
+        /** By the end of its stream. */
+        IN_ORDER,
+        /** By a reset, a refusal or a failure. */
+        BROKEN
+    }
+
+    private static final int MAX_READ_BYTES = 16 << 10; // per event: guards all others against one at full speed
+
+    /** The loop that this connection belongs to. */
     protected final EventLoop loop;
+    /** What has come in and is not handled yet. */
     protected final RingBuffer in;
+    /** What is to be written. */
     protected final RingBuffer out;
-    private static final int TURN = 16 << 10; // bytes read at a time: guards all others against one at full speed
+
     private final SocketChannel channel;
     private final SelectionKey key;
     private boolean connected;
     private boolean closed;
-    private boolean breaking; // it broke while it may not be told yet
-    private boolean ended;
+    private boolean failureScheduled; // a write failed where the subclass may not be notified at once
+    private boolean inputEnded;
 
-    /** An accepted connection. */
-    protected StreamConnection(
-            EventLoop loop, SocketChannel channel, int mostIn, int mostOut, RingBuffer.Account account)
+    /**
+     * An accepted connection.
+     *
+     * @param maxIn the most bytes of input that are held
+     * @param maxOut the most bytes of output that are held
+     * @param account notified of the rings' memory
+     * @throws IOException if the channel cannot be set up; it is closed then
+     */
+    protected StreamConnection(EventLoop loop, SocketChannel channel, int maxIn, int maxOut, RingBuffer.Account account)
             throws IOException {
-        this(loop, channel, mostIn, mostOut, account, true);
+        this(loop, channel, maxIn, maxOut, account, true);
     }
 
-    /** A connection to be opened. */
-    protected StreamConnection(EventLoop loop, SocketAddress to, int mostIn, int mostOut, RingBuffer.Account account)
+    /**
+     * A connection to be opened; {@link #connected} is called once it is up, unless it is at once.
+     *
+     * @param maxIn the most bytes of input that are held
+     * @param maxOut the most bytes of output that are held
+     * @param account notified of the rings' memory
+     * @throws IOException if the system refuses a socket or the connection at once
+     */
+    protected StreamConnection(EventLoop loop, SocketAddress to, int maxIn, int maxOut, RingBuffer.Account account)
             throws IOException {
-        this(loop, opened(to), mostIn, mostOut, account, false);
+        this(loop, open(to), maxIn, maxOut, account, false);
     }
 
     private StreamConnection(
-            EventLoop loop,
-            SocketChannel channel,
-            int mostIn,
-            int mostOut,
-            RingBuffer.Account account,
-            boolean accepted)
+            EventLoop loop, SocketChannel channel, int maxIn, int maxOut, RingBuffer.Account account, boolean accepted)
             throws IOException {
         this.loop = loop;
         this.channel = channel;
@@ -56,11 +78,11 @@
             channel.close();
             throw e;
         }
-        in = new RingBuffer(mostIn, account);
-        out = new RingBuffer(mostOut, account);
+        in = new RingBuffer(maxIn, account);
+        out = new RingBuffer(maxOut, account);
     }
 
-    private static SocketChannel opened(SocketAddress to) throws IOException {
+    private static SocketChannel open(SocketAddress to) throws IOException {
         SocketChannel channel = SocketChannel.open();
         try {
             channel.configureBlocking(false);
@@ -75,28 +97,27 @@
     /** Bytes have come in. */
     protected abstract void received();
 
-    /** How the other side ended a connection: by the end of its stream, or by a reset, a refusal or a failure. */
-    public enum Ending {
-        IN_ORDER,
-        BROKEN
-    }
-
-    /** The other side has ended the connection, or it broke; called once, and not after close(). */
+    /** The other side has ended the connection, or it broke; called once, and not after {@link #close}. */
     protected abstract void ended(Ending ending);
 
     /** The connection has come up. */
     protected void connected() {}
 
+    /** A number of bytes has been written to the socket. */
+    protected void wrote(int count) {}
+
     /** All that was to be written is written. */
     protected void drained() {}
 
-    /** Called by close(): what counts connections learns that this one is gone. */
+    /** Called by {@link #close}: what counts connections learns that this one is gone. */
     protected abstract void released();
 
+    /** Whether the connection has come up and is not closed on this side. */
     public final boolean isConnected() {
         return connected && !closed;
     }
 
+    /** Whether the connection is closed on this side. */
     public final boolean isClosed() {
         return closed;
     }
@@ -123,14 +144,14 @@
     }
 
     @Override
-    public final void broken(Exception e) {
+    public final void failed(Exception e) {
         if (!(e instanceof IOException)) {
             new Log("link").fault("a connection's handling failed", e);
         }
         end(Ending.BROKEN);
     }
 
-    /** Looks for bytes that have come in without having been told of; what they cause happens at once. */
+    /** Reads bytes that have come in before the selector says so; what they cause happens at once. */
     public final void readNow() {
         if (!closed && connected) {
             try {
@@ -144,20 +165,20 @@
     private void read() throws IOException {
         boolean any = false;
         boolean end = false;
-        int from = in.size();
-        while (!in.isFull() && in.size() - from < TURN) {
+        int sizeBefore = in.size();
+        while (!in.isFull() && in.size() - sizeBefore < MAX_READ_BYTES) {
             if (in.size() > 0 && in.space().remaining() == 0 && !in.reserve(1)) {
                 break;
             }
             ByteBuffer space = in.space();
-            int room = space.remaining();
+            int capacity = space.remaining();
             int count = channel.read(space);
             if (count > 0) {
                 in.filled(count);
                 any = true;
             }
             end = count < 0;
-            if (count < room) {
+            if (count < capacity) {
                 break;
             }
         }
@@ -165,14 +186,14 @@
             received();
         }
         if (end && !closed) {
-            ended = true;
+            inputEnded = true;
             end(Ending.IN_ORDER);
         } else if (!closed) {
-            interest();
+            updateInterest();
         }
     }
 
-    /** Writes what is in the ring out as far as the socket takes it. Safe inside Policy's calls: a failure comes later. */
+    /** Writes as much as the socket takes. Safe inside Policy's calls: the subclass is notified of a failure later. */
     protected final void flush() {
         if (closed || !connected) {
             return;
@@ -180,9 +201,9 @@
         try {
             write();
         } catch (IOException e) {
-            if (!breaking) {
-                breaking = true;
-                loop.soon(() -> end(Ending.BROKEN));
+            if (!failureScheduled) {
+                failureScheduled = true;
+                loop.runAfterCurrentEvent(() -> end(Ending.BROKEN));
             }
         }
     }
@@ -198,19 +219,18 @@
                 break;
             }
         }
-        interest();
+        updateInterest();
         if (any && out.isEmpty()) {
             out.shrink();
             drained();
         }
     }
 
-    protected void wrote(int count) {}
-
     /** A ring that is full stops reading; bytes that the socket does not take wait for it to be writable. */
-    protected final void interest() {
+    protected final void updateInterest() {
         if (!closed && connected && key.isValid()) {
-            int ops = (in.isFull() || ended ? 0 : SelectionKey.OP_READ) | (out.isEmpty() ? 0 : SelectionKey.OP_WRITE);
+            int ops = (in.isFull() || inputEnded ? 0 : SelectionKey.OP_READ)
+                    | (out.isEmpty() ? 0 : SelectionKey.OP_WRITE);
             if (ops != key.interestOps()) {
                 key.interestOps(ops);
             }
@@ -233,6 +253,7 @@
         }
     }
 
+    /** Closes the connection and gives its resources back; without effect once it is closed. */
     public final void close() {
         if (closed) {
             return;
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Warmup.java
+++ b/src/main/java/hopdrum/frontdoor/server/Warmup.java
@@ -1,7 +1,9 @@
-package hopdrum.frontdoor.lifecycle;
+package hopdrum.frontdoor.server;
 
 import static hopdrum.frontdoor.wire.Ascii.ascii;
 
+import hopdrum.frontdoor.lifecycle.Config;
+import hopdrum.frontdoor.lifecycle.Log;
 import hopdrum.frontdoor.wire.BackendResponse;
 import hopdrum.frontdoor.wire.CounterProtocol;
 import hopdrum.frontdoor.wire.HttpReader;
@@ -24,31 +26,34 @@
 import java.util.Map;
 
 /**
- * Loads and compiles the ordinary path before the first client comes: guards against the first RPCs of a process
- * taking so long that their calls on the counter time out. Parsers, writers and a Policy of its own handle made-up
- * RPCs in made-up time, without a socket; nothing of it is kept.
+ * Loads and compiles the ordinary path before the first client comes: guards against the first RPCs of a process taking
+ * so long that their calls to the counter time out. Parsers, writers and a Policy of its own handle simulated RPCs on a
+ * simulated clock, without a socket; nothing of it is kept.
  */
 public final class Warmup implements Host {
-    private static final int MOST_RPCS = 500;
-    private static final long MOST_NANOS = 400_000_000L;
-    private static final RingBuffer.Account NOBODY = byBytes -> {};
-
+    private static final int MAX_RPCS = 500;
+    private static final long MAX_NANOS = 400_000_000L;
+    private static final RingBuffer.Account NO_ACCOUNT = byBytes -> {};
+    private static final int RING_BYTES = 1 << 17;
+    private static final int COUNTER_RING_BYTES = 1 << 16;
+    private static final long STEP_US = 500;
+    private static final int STEPS_PER_RPC = 4;
     private static final int CUSTOMERS = 10;
-    private static final byte[] ANSWER =
+    private static final byte[] BACKEND_RESPONSE =
             ascii("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 8\r\n\r\n12345678");
-    private static final byte[] TOTAL = ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n12.5");
+    private static final byte[] COUNTER_RESPONSE = ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n12.5");
 
     private final Config config;
-    private final List<byte[]> rpcsAsSent = new ArrayList<>();
+    private final List<byte[]> requests = new ArrayList<>();
     private final RequestHead head;
-    private final RingBuffer client = new RingBuffer(1 << 17, NOBODY);
-    private final RingBuffer toClient = new RingBuffer(1 << 17, NOBODY);
-    private final RingBuffer backend = new RingBuffer(1 << 17, NOBODY);
-    private final RingBuffer counter = new RingBuffer(1 << 16, NOBODY);
+    private final RingBuffer client = new RingBuffer(RING_BYTES, NO_ACCOUNT);
+    private final RingBuffer toClient = new RingBuffer(RING_BYTES, NO_ACCOUNT);
+    private final RingBuffer backend = new RingBuffer(RING_BYTES, NO_ACCOUNT);
+    private final RingBuffer counter = new RingBuffer(COUNTER_RING_BYTES, NO_ACCOUNT);
     private final HttpReader request = new HttpReader(HttpReader.Kind.REQUEST);
-    private final HttpReader answer = new HttpReader(HttpReader.Kind.RESPONSE);
-    private final Deque<Runnable> later = new ArrayDeque<>();
-    private final Map<Long, Policy.Rpc> open = new HashMap<>();
+    private final HttpReader response = new HttpReader(HttpReader.Kind.RESPONSE);
+    private final Deque<Runnable> replies = new ArrayDeque<>();
+    private final Map<Long, Policy.Rpc> openRpcs = new HashMap<>();
     private final Policy policy;
     private long nowUs = 1_000_000_000_000L;
     private long wakeAtUs = Long.MAX_VALUE;
@@ -60,23 +65,24 @@
                 config.plans(),
                 config.settings().methods(),
                 config.settings().gateways(),
-                config.mostUnits());
-        compose();
+                config.maxUnits());
+        composeRequests();
         policy = new Policy(config.settings(), 1, this);
-        policy.endpointsUpdated(0, Endpoint.UpdateKind.CACHED, List.of(listed(1), listed(2), listed(3)));
+        policy.endpointsUpdated(0, Endpoint.UpdateKind.CACHED, List.of(endpoint(1), endpoint(2), endpoint(3)));
     }
 
-    private static Endpoint listed(long backend) {
+    private static Endpoint endpoint(long backend) {
         return new Endpoint(backend, 0, 0, 0, Endpoint.State.READY, 1, 0);
     }
 
+    /** Handles some hundred RPCs, or as many as there is time for, with a configuration's settings. */
     public static void run(Config config) {
         long start = System.nanoTime();
         Warmup warmup = new Warmup(config);
         int rpcs = 0;
         try {
-            while (rpcs < MOST_RPCS && System.nanoTime() - start < MOST_NANOS) {
-                warmup.rpc(rpcs++);
+            while (rpcs < MAX_RPCS && System.nanoTime() - start < MAX_NANOS) {
+                warmup.runRpc(rpcs++);
             }
         } catch (MalformedMessageException e) {
             throw new IllegalStateException("a message of this program's own cannot be read", e);
@@ -84,8 +90,8 @@
         new Log("warmup").info("warmed up", rpcs + " RPCs in " + (System.nanoTime() - start) / 1_000_000 + " ms");
     }
 
-    private void rpc(int number) throws MalformedMessageException {
-        put(client, rpcsAsSent.get(number % rpcsAsSent.size()));
+    private void runRpc(int number) throws MalformedMessageException {
+        put(client, requests.get(number % requests.size()));
         request.read(client);
         head.read(client, request);
         long id = number;
@@ -98,48 +104,48 @@
                 head.firstGateway,
                 head.gateways,
                 head.timeLeftMs * 1000);
-        open.put(id, rpc);
-        for (int i = 0; i < 4; i++) {
-            nowUs += 500;
-            for (int n = later.size(); n > 0; n--) {
-                later.poll().run();
+        openRpcs.put(id, rpc);
+        for (int i = 0; i < STEPS_PER_RPC; i++) {
+            nowUs += STEP_US;
+            for (int n = replies.size(); n > 0; n--) {
+                replies.poll().run();
             }
             if (nowUs >= wakeAtUs) {
                 wakeAtUs = Long.MAX_VALUE;
                 policy.wakeUp();
             }
         }
-        open.values().removeIf(Policy.Rpc::over);
+        openRpcs.values().removeIf(Policy.Rpc::over);
         request.done(client);
         toClient.skip(toClient.size());
     }
 
-    /** One of each method and plan, from a few customers each. */
-    private void compose() {
+    /** One request of each method and plan, from a few customers each. */
+    private void composeRequests() {
         for (int i = 0; i < CUSTOMERS; i++) {
             for (int plan = 0; plan < config.plans().size(); plan++) {
                 for (String method : config.methods()) {
-                    boolean gets = config.settings()
+                    boolean isGet = config.settings()
                                     .methods()
                                     .get(config.methods().indexOf(method))
                                     .retrySafety()
                             == Method.RetrySafety.IDEMPOTENT;
-                    rpcsAsSent.add(ascii((gets ? "GET" : "POST")
+                    requests.add(ascii((isGet ? "GET" : "POST")
                             + " /api HTTP/1.1\r\nHost: backend\r\nX-Trace-Id: 9b1f03aa5c7e2d41\r\nX-Qos: "
                             + method + "\r\nPlan: " + config.plans().get(plan) + "\r\nCookie: key=00000000000000"
                             + (char) ('0' + i) + (char) ('0' + plan % 10)
                             + "\r\nX-Expires-In-Ms: 2000\r\nIdempotency-Key: 5c0f6e1a\r\n"
-                            + (gets ? "" : "Content-Length: 8\r\n")
-                            + "Quota-Info: units=1,spread=1,first=0\r\n\r\n" + (gets ? "" : "12345678")));
+                            + (isGet ? "" : "Content-Length: 8\r\n")
+                            + "Quota-Info: units=1,spread=1,first=0\r\n\r\n" + (isGet ? "" : "12345678")));
                 }
             }
         }
     }
 
-    /** A look at readiness and one RPC, as a client would write them. */
+    /** A readiness check and one RPC, as a client would write them. */
     static byte[] examples(Config config) {
         byte[] ready = ascii("GET /health/ready HTTP/1.1\r\n\r\n");
-        byte[] rpc = new Warmup(config).rpcsAsSent.get(0);
+        byte[] rpc = new Warmup(config).requests.get(0);
         byte[] both = Arrays.copyOf(ready, ready.length + rpc.length);
         System.arraycopy(rpc, 0, both, ready.length, rpc.length);
         return both;
@@ -159,28 +165,28 @@
     public void startAttempt(long id, long to, long timeOutUs, long beginWithinUs) {
         RequestForwarder.forward(client, request, timeOutUs / 1000, false, backend);
         backend.skip(backend.size());
-        later.add(() -> {
-            Policy.Rpc rpc = open.get(id);
+        replies.add(() -> {
+            Policy.Rpc rpc = openRpcs.get(id);
             if (rpc != null) {
-                put(backend, ANSWER);
+                put(backend, BACKEND_RESPONSE);
                 try {
-                    answer.read(backend);
+                    response.read(backend);
                 } catch (MalformedMessageException e) {
                     throw new IllegalStateException(e);
                 }
-                Outcome outcome = BackendResponse.outcome(backend, answer);
-                HttpWriter.forwardResponse(backend, answer, false, toClient);
+                Outcome outcome = BackendResponse.outcome(backend, response);
+                HttpWriter.forwardResponse(backend, response, false, toClient);
                 float[] report = BackendResponse.loadReport(
-                        backend, answer, config.settings().reportFields());
-                answer.done(backend);
-                rpc.attemptEnded(0, outcome, 500, true, 0, report);
+                        backend, response, config.settings().reportFields());
+                response.done(backend);
+                rpc.attemptEnded(0, outcome, STEP_US, true, 0, report);
             }
         });
     }
 
     @Override
     public void cancelAttempt(long id, int attempt) {
-        // every attempt here is answered
+        // every attempt here gets its response
     }
 
     @Override
@@ -197,13 +203,13 @@
     public void addToCounter(long name, double units, long timeToLiveUs) {
         CounterProtocol.writeCall(name, units, timeToLiveUs / 1000, counter);
         counter.skip(counter.size());
-        later.add(() -> {
-            put(counter, TOTAL);
+        replies.add(() -> {
+            put(counter, COUNTER_RESPONSE);
             try {
-                answer.read(counter);
-                double total = CounterProtocol.total(counter, answer);
-                answer.done(counter);
-                policy.counterAnswered(name, Outcome.OK, total, 500);
+                response.read(counter);
+                double total = CounterProtocol.total(counter, response);
+                response.done(counter);
+                policy.counterAnswered(name, Outcome.OK, total, STEP_US);
             } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
@@ -212,7 +218,7 @@
 
     @Override
     public void sendToPeer(int gateway, byte[] message) {
-        // nobody listens
+        // there are no peers
     }
 
     @Override
@@ -222,6 +228,6 @@
 
     @Override
     public void pollEndpointList() {
-        // the list is made up
+        // the endpoint list is simulated
     }
 }
--- a/src/rig/java/hopdrum/rig/planted/Baseline.java
+++ b/src/rig/java/hopdrum/rig/planted/Baseline.java
@@ -6,7 +6,8 @@
 import hopdrum.fleet.FleetFile;
 import hopdrum.fleet.shards.Terms;
 import hopdrum.frontdoor.FrontDoor;
-import hopdrum.frontdoor.lifecycle.Server;
+import hopdrum.frontdoor.server.Companion;
+import hopdrum.frontdoor.server.Server;
 import hopdrum.host.ZoneLatencies;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -38,9 +39,9 @@
             Thread looks = new Thread(() -> look(ways, file.site(), config.zones(), allKnowing), "ways");
             looks.setDaemon(true);
             looks.start();
-            return new Server.Beside() {
+            return new Companion() {
                 @Override
-                public void serves(FrontDoor door) {
+                public void started(FrontDoor door) {
                     door.knows(fleet, () -> distances);
                 }
 
--- a/src/test/java/hopdrum/frontdoor/EndingPathsTest.java
+++ b/src/test/java/hopdrum/frontdoor/EndingPathsTest.java
@@ -109,14 +109,14 @@
     private void settle() throws Exception {
         for (int i = 0; i < 2; i++) {
             CompletableFuture<Void> handled = new CompletableFuture<>();
-            loop.ask(() -> handled.complete(null));
+            loop.execute(() -> handled.complete(null));
             handled.get(10, TimeUnit.SECONDS);
         }
     }
 
     private void inLoop(long delayUs) throws Exception {
         CompletableFuture<Void> due = new CompletableFuture<>();
-        loop.ask(() -> loop.in(delayUs, () -> due.complete(null)));
+        loop.execute(() -> loop.in(delayUs, () -> due.complete(null)));
         due.get(10, TimeUnit.SECONDS);
     }
 
@@ -147,7 +147,7 @@
         start();
         Client resting = new Client();
         assertThat(resting.send(rpc("t1", "order", "")).hears()).endsWith("for t1");
-        loop.ask(door::stop);
+        loop.execute(door::stop);
         assertThat(resting.send(rpc("t2", "order", "")).hears())
                 .contains("Connection: close")
                 .endsWith("for t2");
@@ -161,7 +161,7 @@
         String request = rpc("t1", "order", "");
         Client half = new Client().send(request.substring(0, 40));
         settle();
-        loop.ask(door::stop);
+        loop.execute(door::stop);
         inLoop(700_000); // nothing is accepted any more, and what is idle has been closed
         assertThat(half.send(request.substring(40)).hears())
                 .contains("Connection: close")
@@ -180,7 +180,7 @@
                         + customer(3, rpc("t3", "order", "")));
         assertThat(backend.asked()).contains("t1");
         settle();
-        loop.ask(door::stop);
+        loop.execute(door::stop);
         settle();
         answer.complete(null);
         assertThat(client.hears()).doesNotContain("Connection: close").endsWith("for t1");
@@ -207,12 +207,12 @@
         start();
         Client resting = new Client();
         assertThat(resting.send(rpc("t1", "order", "")).hears()).endsWith("for t1");
-        loop.ask(door::stop);
+        loop.execute(door::stop);
         assertThat(resting.hears()).as("closed while it rests").isNull();
         String crossing = rpc("t2", "order", "");
         resting.send(crossing.substring(0, 40));
         CompletableFuture<Void> handled = new CompletableFuture<>();
-        loop.ask(() -> handled.complete(null));
+        loop.execute(() -> handled.complete(null));
         CompletableFuture.anyOf(handled, running).get(10, TimeUnit.SECONDS);
         resting.send(crossing.substring(40)); // fails after a reset
         assertThat(resting.socket.getInputStream().read())
@@ -230,7 +230,7 @@
         start();
         Client slow = new Client().send(rpc("t1", "order", ""));
         assertThat(backend.asked()).contains("t1");
-        loop.ask(door::stop);
+        loop.execute(door::stop);
         answer.complete(null);
         running.get(10, TimeUnit.SECONDS);
         assertThat(slow.hears()).as("nothing of it is lost with the process").endsWith(body + "t1");
@@ -560,7 +560,7 @@
         Config fresh = Config.parse(
                 config(host("b", backend.address(), "in_service")).replace(discovery.address(), moved.address()));
         goesDown(discovery);
-        loop.ask(() -> door.follow(fresh));
+        loop.execute(() -> door.follow(fresh));
         assertThat(secondsUntil(c)).as("4 s after SIGHUP it counts as told").isLessThan(3);
     }
 
--- a/src/test/java/hopdrum/frontdoor/FrontDoorFixture.java
+++ b/src/test/java/hopdrum/frontdoor/FrontDoorFixture.java
@@ -230,7 +230,7 @@
     @AfterEach
     void end() throws Exception {
         if (running != null && !running.isDone()) {
-            loop.ask(loop::stop);
+            loop.execute(loop::stop);
             running.get(10, TimeUnit.SECONDS);
         }
         for (AutoCloseable closeable : open) {
@@ -260,7 +260,7 @@
     /** Until a connection to a backend that was just used may be used again. */
     void rest() throws Exception {
         CompletableFuture<Void> rested = new CompletableFuture<>();
-        loop.ask(() -> loop.in(5_000, () -> rested.complete(null)));
+        loop.execute(() -> loop.in(5_000, () -> rested.complete(null)));
         rested.get(10, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/hopdrum/frontdoor/FrontDoorStoryTest.java
+++ b/src/test/java/hopdrum/frontdoor/FrontDoorStoryTest.java
@@ -8,8 +8,8 @@
 import hopdrum.frontdoor.connection.ResourceBudget;
 import hopdrum.frontdoor.lifecycle.Config;
 import hopdrum.frontdoor.lifecycle.EventLoop;
-import hopdrum.frontdoor.lifecycle.Server;
-import hopdrum.frontdoor.lifecycle.Warmup;
+import hopdrum.frontdoor.server.ConfigReload;
+import hopdrum.frontdoor.server.Warmup;
 import hopdrum.host.ShardOwnership;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -122,7 +122,7 @@
             peer.send(new DatagramPacket("yes".getBytes(UTF_8), 3, got.getSocketAddress()));
             assertThat(heard.poll(10, TimeUnit.SECONDS)).isEqualTo("yes");
             peers.close();
-            loop.ask(loop::stop);
+            loop.execute(loop::stop);
         }
     }
 
@@ -191,7 +191,7 @@
             assertThat(message(slow.getInputStream())).startsWith("HTTP/1.1 408 ");
             assertThat(slow.getInputStream().read()).isEqualTo(-1);
         }
-        loop.ask(loop::stop);
+        loop.execute(loop::stop);
     }
 
     @Test
@@ -241,7 +241,7 @@
         counter.answer = request -> {
             CompletableFuture<Void> held = new CompletableFuture<>();
             CompletableFuture<Void> go = new CompletableFuture<>();
-            loop.ask(() -> {
+            loop.execute(() -> {
                 held.complete(null);
                 go.join();
             });
@@ -278,20 +278,20 @@
                 both.join();
                 return spoilt;
             };
-            loop.ask(() -> calls.add(1, 1, 1000));
-            loop.ask(() -> calls.add(1, 1, 1000));
+            loop.execute(() -> calls.add(1, 1, 1000));
+            loop.execute(() -> calls.add(1, 1, 1000));
             assertThat(counter.asked()).isNotNull();
             both.complete(null);
             assertThat(ends.poll(10, TimeUnit.SECONDS)).isEqualTo("UNREADABLE 0.0");
             assertThat(ends.poll(10, TimeUnit.SECONDS)).isEqualTo("RESET 0.0");
             counter.answer = request -> ok("7");
-            loop.ask(() -> calls.add(1, 1, 1000));
+            loop.execute(() -> calls.add(1, 1, 1000));
             assertThat(ends.poll(10, TimeUnit.SECONDS))
                     .as("on a connection of its own")
                     .isEqualTo("OK 7.0");
             counter.requests.clear();
         }
-        loop.ask(loop::stop);
+        loop.execute(loop::stop);
     }
 
     @Test
@@ -306,14 +306,14 @@
                 (name, outcome, total, tookUs) -> ends.add(name + " " + outcome));
         thread(loop::run);
         counter.answer = request -> request.contains("/1?") ? HANGS : ok("1");
-        loop.ask(() -> calls.add(1, 1, 1000));
-        loop.ask(() -> loop.in(10_000, () -> calls.add(2, 1, 1000))); // on the other connection
+        loop.execute(() -> calls.add(1, 1, 1000));
+        loop.execute(() -> loop.in(10_000, () -> calls.add(2, 1, 1000))); // on the other connection
         assertThat(ends.poll(10, TimeUnit.SECONDS)).isEqualTo("2 OK");
         assertThat(ends.poll(10, TimeUnit.SECONDS))
                 .as("no time-out of the counter's")
                 .isEqualTo("1 RESET");
         assertThat(counter.ends.poll(10, TimeUnit.SECONDS)).isEqualTo(1);
-        loop.ask(loop::stop);
+        loop.execute(loop::stop);
     }
 
     @Test
@@ -436,7 +436,7 @@
         };
         start();
         Client early = new Client().send(rpc("t1", "order", ""));
-        loop.ask(() -> loop.in(50_000, () -> spoken.complete(null)));
+        loop.execute(() -> loop.in(50_000, () -> spoken.complete(null)));
         assertThat(early.hears()).endsWith("second");
         assertThat(backend.requests).isEmpty();
     }
@@ -501,7 +501,7 @@
         };
         Client taken = new Client().send(rpc("t1", "order", ""));
         assertThat(backend.asked()).contains("t1");
-        loop.ask(door::stop);
+        loop.execute(door::stop);
         String ready;
         do {
             ready = ask("GET /health/ready HTTP/1.1\r\n\r\n");
@@ -523,8 +523,8 @@
                 .replace(discovery.address(), newDiscovery.address());
         Path file = Files.createTempFile("hopdrum", ".json");
         open.add(() -> Files.delete(file));
-        Server.Reload reload = new Server.Reload(file, loop, file.toFile().lastModified());
-        loop.ask(() -> reload.follows(door));
+        ConfigReload reload = new ConfigReload(file, loop, file.toFile().lastModified());
+        loop.execute(() -> reload.attach(door));
         Files.writeString(file, "{\"half");
         Signal.raise(new Signal("HUP"));
         Files.writeString(file, moved);
@@ -563,8 +563,8 @@
                 config(host("b", backend.address(), "in_service"))
                         .replace(discovery.address(), newDiscovery.address()));
         start(host("gone", "127.0.0.1:9", "in_service"));
-        Server.Reload reload = new Server.Reload(file, loop, 0);
-        loop.ask(() -> reload.follows(door));
+        ConfigReload reload = new ConfigReload(file, loop, 0);
+        loop.execute(() -> reload.attach(door));
         assertThat(newDiscovery.asked()).contains("GET /registry/instances");
         assertThat(ask(rpc("t1", "order", "")))
                 .as("by the list of where discovery is now")
@@ -577,7 +577,7 @@
         start();
         assertThat(ask(rpc("t1", "order", ""))).endsWith("for t1");
         rest();
-        loop.ask(() -> door.told(
+        loop.execute(() -> door.told(
                 Map.of("hosts", List.of(Map.of("host", "b", "dial", backend.address(), "health", "in_service"))),
                 true));
         assertThat(ask(rpc("t2", "order", ""))).endsWith("for t2");
@@ -612,7 +612,7 @@
     /** All customers are a partner's, whose front doors these are; what was passed on to here is nobody's. */
     private void shares(StandIn... doors) throws Exception {
         CompletableFuture<Void> told = new CompletableFuture<>();
-        loop.ask(() -> {
+        loop.execute(() -> {
             door.shares(() -> new ShardOwnership() {
                 @Override
                 public long owner(long customer, boolean passedOn, long nowUs) {
