--- a/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
@@ -3,6 +3,7 @@
 import hopdrum.frontdoor.lifecycle.EventLoop;
 import hopdrum.frontdoor.lifecycle.StreamConnection;
 import hopdrum.frontdoor.wire.CounterProtocol;
+import hopdrum.frontdoor.wire.CounterReply;
 import hopdrum.frontdoor.wire.HttpReader;
 import hopdrum.frontdoor.wire.MalformedMessageException;
 import hopdrum.host.Outcome;
@@ -133,8 +134,7 @@
         lastHeardUs = loop.nowUs();
         try {
             while (!isClosed() && reader.read(in)) {
-                Outcome outcome = CounterProtocol.outcome(reader);
-                double total = outcome == Outcome.OK ? CounterProtocol.total(in, reader) : 0;
+                CounterReply reply = CounterProtocol.readReply(in, reader);
                 Call call = unanswered.poll();
                 if (call == null) {
                     close();
@@ -143,7 +143,7 @@
                 awaited.remove(call);
                 boolean keeps = reader.keepAlive();
                 reader.done(in);
-                report(call, outcome, total);
+                report(call, reply.outcome(), reply.total());
                 if ((!keeps || (leaves && unanswered.isEmpty())) && !isClosed()) {
                     endCalls();
                     close();
--- a/src/main/java/hopdrum/frontdoor/server/Server.java
+++ b/src/main/java/hopdrum/frontdoor/server/Server.java
@@ -86,7 +86,7 @@
         try (Socket socket = new Socket()) {
             SocketAddress address = door.address();
             socket.connect(address);
-            socket.getOutputStream().write(Warmup.examples(config));
+            socket.getOutputStream().write(ExampleRequests.readinessCheckAndRpc(config));
             socket.shutdownOutput();
             socket.getInputStream().readAllBytes();
         } catch (IOException e) {
--- a/src/main/java/hopdrum/frontdoor/server/Warmup.java
+++ b/src/main/java/hopdrum/frontdoor/server/Warmup.java
@@ -14,12 +14,9 @@
 import hopdrum.frontdoor.wire.RingBuffer;
 import hopdrum.host.Endpoint;
 import hopdrum.host.Host;
-import hopdrum.host.Method;
 import hopdrum.host.Outcome;
 import hopdrum.policy.Policy;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.List;
@@ -38,13 +35,12 @@
     private static final int COUNTER_RING_BYTES = 1 << 16;
     private static final long STEP_US = 500;
     private static final int STEPS_PER_RPC = 4;
-    private static final int CUSTOMERS = 10;
     private static final byte[] BACKEND_RESPONSE =
             ascii("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 8\r\n\r\n12345678");
     private static final byte[] COUNTER_RESPONSE = ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n12.5");
 
     private final Config config;
-    private final List<byte[]> requests = new ArrayList<>();
+    private final List<byte[]> requests;
     private final RequestHead head;
     private final RingBuffer client = new RingBuffer(RING_BYTES, NO_ACCOUNT);
     private final RingBuffer toClient = new RingBuffer(RING_BYTES, NO_ACCOUNT);
@@ -66,7 +62,7 @@
                 config.settings().methods(),
                 config.settings().gateways(),
                 config.maxUnits());
-        composeRequests();
+        requests = ExampleRequests.rpcs(config);
         policy = new Policy(config.settings(), 1, this);
         policy.endpointsUpdated(0, Endpoint.UpdateKind.CACHED, List.of(endpoint(1), endpoint(2), endpoint(3)));
     }
@@ -120,37 +116,6 @@
         toClient.skip(toClient.size());
     }
 
-    /** One request of each method and plan, from a few customers each. */
-    private void composeRequests() {
-        for (int i = 0; i < CUSTOMERS; i++) {
-            for (int plan = 0; plan < config.plans().size(); plan++) {
-                for (String method : config.methods()) {
-                    boolean isGet = config.settings()
-                                    .methods()
-                                    .get(config.methods().indexOf(method))
-                                    .retrySafety()
-                            == Method.RetrySafety.IDEMPOTENT;
-                    requests.add(ascii((isGet ? "GET" : "POST")
-                            + " /api HTTP/1.1\r\nHost: backend\r\nX-Trace-Id: 9b1f03aa5c7e2d41\r\nX-Qos: "
-                            + method + "\r\nPlan: " + config.plans().get(plan) + "\r\nCookie: key=00000000000000"
-                            + (char) ('0' + i) + (char) ('0' + plan % 10)
-                            + "\r\nX-Expires-In-Ms: 2000\r\nIdempotency-Key: 5c0f6e1a\r\n"
-                            + (isGet ? "" : "Content-Length: 8\r\n")
-                            + "Quota-Info: units=1,spread=1,first=0\r\n\r\n" + (isGet ? "" : "12345678")));
-                }
-            }
-        }
-    }
-
-    /** A readiness check and one RPC, as a client would write them. */
-    static byte[] examples(Config config) {
-        byte[] ready = ascii("GET /health/ready HTTP/1.1\r\n\r\n");
-        byte[] rpc = new Warmup(config).requests.get(0);
-        byte[] both = Arrays.copyOf(ready, ready.length + rpc.length);
-        System.arraycopy(rpc, 0, both, ready.length, rpc.length);
-        return both;
-    }
-
     private static void put(RingBuffer ring, byte[] bytes) {
         ring.reserve(bytes.length);
         ring.put(bytes);
@@ -165,23 +130,29 @@
     public void startAttempt(long id, long to, long timeOutUs, long beginWithinUs) {
         RequestForwarder.forward(client, request, timeOutUs / 1000, false, backend);
         backend.skip(backend.size());
-        replies.add(() -> {
-            Policy.Rpc rpc = openRpcs.get(id);
-            if (rpc != null) {
-                put(backend, BACKEND_RESPONSE);
-                try {
-                    response.read(backend);
-                } catch (MalformedMessageException e) {
-                    throw new IllegalStateException(e);
-                }
-                Outcome outcome = BackendResponse.outcome(backend, response);
-                HttpWriter.forwardResponse(backend, response, false, toClient);
-                float[] report = BackendResponse.loadReport(
-                        backend, response, config.settings().reportFields());
-                response.done(backend);
-                rpc.attemptEnded(0, outcome, STEP_US, true, 0, report);
-            }
-        });
+        replies.add(() -> respond(id));
+    }
+
+    private void respond(long id) {
+        Policy.Rpc rpc = openRpcs.get(id);
+        if (rpc != null) {
+            readResponse(backend, BACKEND_RESPONSE);
+            Outcome outcome = BackendResponse.outcome(backend, response);
+            HttpWriter.forwardResponse(backend, response, false, toClient);
+            float[] report = BackendResponse.loadReport(
+                    backend, response, config.settings().reportFields());
+            response.done(backend);
+            rpc.attemptEnded(0, outcome, STEP_US, true, 0, report);
+        }
+    }
+
+    private void readResponse(RingBuffer ring, byte[] bytes) {
+        put(ring, bytes);
+        try {
+            response.read(ring);
+        } catch (MalformedMessageException e) {
+            throw new IllegalStateException(e);
+        }
     }
 
     @Override
@@ -203,17 +174,18 @@
     public void addToCounter(long name, double units, long timeToLiveUs) {
         CounterProtocol.writeCall(name, units, timeToLiveUs / 1000, counter);
         counter.skip(counter.size());
-        replies.add(() -> {
-            put(counter, COUNTER_RESPONSE);
-            try {
-                response.read(counter);
-                double total = CounterProtocol.total(counter, response);
-                response.done(counter);
-                policy.counterAnswered(name, Outcome.OK, total, STEP_US);
-            } catch (MalformedMessageException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        replies.add(() -> reply(name));
+    }
+
+    private void reply(long name) {
+        readResponse(counter, COUNTER_RESPONSE);
+        try {
+            double total = CounterProtocol.readReply(counter, response).total();
+            response.done(counter);
+            policy.counterAnswered(name, Outcome.OK, total, STEP_US);
+        } catch (MalformedMessageException e) {
+            throw new IllegalStateException(e);
+        }
     }
 
     @Override
--- a/src/main/java/hopdrum/frontdoor/wire/CounterProtocol.java
+++ b/src/main/java/hopdrum/frontdoor/wire/CounterProtocol.java
@@ -49,24 +49,22 @@
     }
 
     /**
-     * How a call ended by the status of its response.
+     * Reads the counter's response to a call.
      *
-     * @throws MalformedMessageException if the counter gives no such status
+     * @param ring the ring with the response at its front
+     * @param response the reader that has read it
+     * @throws MalformedMessageException if the counter gives no such status, or the total is no finite number
      */
-    public static Outcome outcome(HttpReader response) throws MalformedMessageException {
+    public static CounterReply readReply(RingBuffer ring, HttpReader response) throws MalformedMessageException {
         return switch (response.status()) {
-            case 200 -> Outcome.OK;
-            case 400, 404, 503 -> Outcome.AT_CAPACITY;
+            case 200 -> new CounterReply(Outcome.OK, total(ring, response));
+            case 400, 404, 503 -> new CounterReply(Outcome.AT_CAPACITY, 0);
             default -> throw new MalformedMessageException(400, "the counter answers " + response.status());
         };
     }
 
-    /**
-     * The number's total in units, from a response of status 200.
-     *
-     * @throws MalformedMessageException if the body is no finite number
-     */
-    public static double total(RingBuffer ring, HttpReader response) throws MalformedMessageException {
+    /** The number's total in units, from a response of status 200. */
+    static double total(RingBuffer ring, HttpReader response) throws MalformedMessageException {
         try {
             double total = Double.parseDouble(
                     ring.text(response.bodyFrom(), response.bodyTo()).strip());
