--- a/src/main/java/hopdrum/FleetServer.java
+++ b/src/main/java/hopdrum/FleetServer.java
@@ -6,7 +6,9 @@
 import hopdrum.fleet.config.TermsFile;
 import hopdrum.fleet.shards.AgreementTerms;
 import hopdrum.frontdoor.FrontDoor;
-import hopdrum.frontdoor.lifecycle.Server;
+import hopdrum.frontdoor.lifecycle.EventLoop;
+import hopdrum.frontdoor.server.Companion;
+import hopdrum.frontdoor.server.Server;
 import java.io.IOException;
 import java.nio.file.Path;
 
@@ -14,6 +16,7 @@
 final class FleetServer {
     private FleetServer() {}
 
+    /** Runs until SIGTERM; returns the process's exit code. */
     static int serve(String configFile, String fleetFile) {
         FleetFile file;
         AgreementTerms terms;
@@ -30,27 +33,29 @@
             Fleet fleet =
                     Fleet.start(file, terms, termsMs, config.settings().ordinal(), config.seed(), loop.offsetUs());
             fleet.setBackendZones(config.zones());
-            return new Server.Beside() {
-                @Override
-                public void serves(FrontDoor door) {
-                    door.setFleet(fleet, fleet::zoneLatencies);
-                    if (fleet.sharesCustomers()) {
-                        door.setShardOwnership(fleet::shards);
-                        fleet.setPartnerEndpointListener(
-                                (tier, there) -> loop.ask(() -> door.updatePartners(tier, there)));
-                    }
-                }
+            return new FleetCompanion(fleet, loop);
+        });
+    }
 
-                @Override
-                public void stopping() {
-                    fleet.leave();
-                }
+    /** The fleet's runtime, which follows the lifecycle of its front door. */
+    private record FleetCompanion(Fleet fleet, EventLoop loop) implements Companion {
+        @Override
+        public void started(FrontDoor door) {
+            door.setFleet(fleet, fleet::zoneLatencies);
+            if (fleet.sharesCustomers()) {
+                door.setShardOwnership(fleet::shards);
+                fleet.setPartnerEndpointListener((tier, there) -> loop.execute(() -> door.updatePartners(tier, there)));
+            }
+        }
 
-                @Override
-                public void close() throws IOException {
-                    fleet.close();
-                }
-            };
-        });
+        @Override
+        public void stopping() {
+            fleet.leave();
+        }
+
+        @Override
+        public void close() throws IOException {
+            fleet.close();
+        }
     }
 }
--- a/src/main/java/hopdrum/frontdoor/AttemptDispatcher.java
+++ b/src/main/java/hopdrum/frontdoor/AttemptDispatcher.java
@@ -53,7 +53,7 @@
         attempt.armTimeout(loop, () -> attemptTimedOut(attempt));
         ConnectionPool pool = directory.get(backendId);
         if (request.client() == null || pool == null) {
-            loop.soon(() -> attemptEnded(attempt, Outcome.INVALID_REQUEST, NO_REPORT));
+            loop.runAfterCurrentEvent(() -> attemptEnded(attempt, Outcome.INVALID_REQUEST, NO_REPORT));
             return;
         }
         BackendConnection connection = pool.acquireIdle(loop.nowUs());
@@ -65,7 +65,7 @@
             LOG.warning("no connection to a backend", e.getMessage());
         }
         if (connection == null || !connection.send(attempt)) {
-            loop.soon(() -> attemptEnded(attempt, Outcome.CONNECT_FAILED, NO_REPORT));
+            loop.runAfterCurrentEvent(() -> attemptEnded(attempt, Outcome.CONNECT_FAILED, NO_REPORT));
         }
     }
 
@@ -79,7 +79,7 @@
             return null;
         }
         BackendConnection connection = new BackendConnection(
-                loop, pool, config.dialTimeOutUs(), config.settings().reportFields(), budget, this);
+                loop, pool, config.connectTimeoutUs(), config.settings().reportFields(), budget, this);
         budget.backendOpened();
         pool.add(connection);
         return connection;
@@ -91,7 +91,7 @@
         Attempt attempt = request == null ? null : request.attempt(number);
         if (attempt != null && !attempt.isEnded()) {
             attempt.abandon();
-            loop.soon(() -> attemptEnded(attempt, Outcome.CANCELLED, NO_REPORT));
+            loop.runAfterCurrentEvent(() -> attemptEnded(attempt, Outcome.CANCELLED, NO_REPORT));
         }
     }
 
--- a/src/main/java/hopdrum/frontdoor/ClientListener.java
+++ b/src/main/java/hopdrum/frontdoor/ClientListener.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 
 /** Accepts clients' connections on the listening socket and keeps track of them until they close. */
-final class ClientListener implements EventLoop.Ready, ClientConnection.Listener {
+final class ClientListener implements EventLoop.ChannelHandler, ClientConnection.Listener {
     private static final Log LOG = new Log("clients");
     private static final int BACKLOG = 1024;
     private static final long PAUSE_US = 50_000;
@@ -179,7 +179,7 @@
     }
 
     @Override
-    public void broken(Exception e) {
+    public void failed(Exception e) {
         pauseAccepting(e.getMessage());
     }
 
@@ -224,7 +224,7 @@
         lingering.remove(client);
         open.remove(client);
         if (paused) {
-            loop.soon(this::resumeAccepting);
+            loop.runAfterCurrentEvent(this::resumeAccepting);
         }
     }
 
--- a/src/main/java/hopdrum/frontdoor/CounterClient.java
+++ b/src/main/java/hopdrum/frontdoor/CounterClient.java
@@ -73,7 +73,7 @@
         } catch (IOException e) {
             LOG.warning("no connection to the counter", e.getMessage());
         }
-        loop.soon(() -> listener.callEnded(name, Outcome.CONNECT_FAILED, 0, 0));
+        loop.runAfterCurrentEvent(() -> listener.callEnded(name, Outcome.CONNECT_FAILED, 0, 0));
     }
 
     @Override
--- a/src/main/java/hopdrum/frontdoor/FrontDoor.java
+++ b/src/main/java/hopdrum/frontdoor/FrontDoor.java
@@ -59,7 +59,7 @@
         AttemptDispatcher attempts = new AttemptDispatcher(config, loop, directory, requests, budget, tally);
         host = new PolicyHost(config, loop, budget, requests, attempts, tally, fleet);
         endpoints = new EndpointUpdater(directory, host.policy());
-        long version = endpoints.applyCached(config.known());
+        long version = endpoints.applyCached(config.cachedEndpointList());
         discovery = new DiscoveryClient(loop, config.discovery(), version, budget, new DiscoveryClient.Listener() {
             @Override
             public void endpointListReceived(List<DiscoveredBackend> backends, boolean complete) {
@@ -77,7 +77,7 @@
                 config.listen(),
                 budget,
                 new RequestHandler(config, loop, host.policy(), requests, tally, fleet, endpoints));
-        loop.ask(() -> loop.in(DISCOVERY_TIMEOUT_US, this::startAccepting)); // the loop's clock stands still till then
+        loop.execute(() -> loop.in(DISCOVERY_TIMEOUT_US, this::startAccepting)); // the loop's clock stands still till then
         loop.in(HOUSEKEEPING_INTERVAL_US, this::closeUnusedConnections);
         tally.start();
     }
@@ -129,9 +129,9 @@
     }
 
     private void closeUnusedConnections() {
-        if (config.idleUs() > 0) {
+        if (config.idleTimeoutUs() > 0) {
             for (ConnectionPool pool : directory.pools()) {
-                pool.closeIdleSince(loop.nowUs() - config.idleUs() * 3 / 4);
+                pool.closeIdleSince(loop.nowUs() - config.idleTimeoutUs() * 3 / 4);
             }
         }
         directory.removeWithdrawn();
--- a/src/main/java/hopdrum/frontdoor/PeerMessenger.java
+++ b/src/main/java/hopdrum/frontdoor/PeerMessenger.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 
 /** Sends short messages to the other front doors and receives theirs, by UDP. Owns the one datagram socket. */
-final class PeerMessenger implements EventLoop.Ready {
+final class PeerMessenger implements EventLoop.ChannelHandler {
     private static final Log LOG = new Log("peers");
     private static final int MAX_MESSAGE_BYTES = 256;
     private static final int MAX_RECEIVED_AT_ONCE = 64; // so that other sockets get their turn
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public void broken(Exception e) {
+    public void failed(Exception e) {
         LOG.warning("the datagram socket failed to read", e.getMessage());
     }
 
--- a/src/main/java/hopdrum/frontdoor/RequestHandler.java
+++ b/src/main/java/hopdrum/frontdoor/RequestHandler.java
@@ -37,7 +37,7 @@
         this.endpoints = endpoints;
         gateways = config.settings().gateways();
         head = new RequestHead(
-                config.methods(), config.plans(), config.settings().methods(), gateways, config.mostUnits());
+                config.methods(), config.plans(), config.settings().methods(), gateways, config.maxUnits());
     }
 
     @Override
--- a/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
@@ -112,12 +112,12 @@
             return;
         }
         if (request != null) {
-            nextMessageSinceUs = nextMessageSinceUs == 0 ? loop.unseenSinceUs() : nextMessageSinceUs;
+            nextMessageSinceUs = nextMessageSinceUs == 0 ? loop.earliestArrivalUs() : nextMessageSinceUs;
             return;
         }
         if (messageSinceUs == 0) {
             cancelTimeout();
-            messageSinceUs = loop.unseenSinceUs();
+            messageSinceUs = loop.earliestArrivalUs();
             listener.connectionBusy(this);
         }
         handleMessages();
@@ -221,7 +221,7 @@
     public void respond(int status, long retryAfterUs, boolean close) {
         boolean last = close || !reader.keepAlive() || listener.closesAfterResponse(in.size() > reader.end());
         if (!HttpWriter.emptyResponse(status, retryAfterUs, last, out)) {
-            loop.soon(this::close);
+            loop.runAfterCurrentEvent(this::close);
             return;
         }
         responseBuffered(last);
@@ -244,7 +244,7 @@
             timeout = loop.in(READ_RESPONSE_TIMEOUT_US, this::transferTimedOut); // the client may never read it
         }
         if (!last) {
-            loop.soon(this::resumeAfterResponse);
+            loop.runAfterCurrentEvent(this::resumeAfterResponse);
         }
     }
 
@@ -255,7 +255,7 @@
             } else if (in.isEmpty()) {
                 becomeIdle();
             }
-            interest();
+            updateInterest();
         }
     }
 
--- a/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
@@ -3,6 +3,8 @@
 import hopdrum.frontdoor.lifecycle.EventLoop;
 import hopdrum.frontdoor.lifecycle.StreamConnection;
 import hopdrum.frontdoor.wire.CounterProtocol;
+import hopdrum.frontdoor.wire.CounterReply;
+import hopdrum.frontdoor.wire.CounterReply;
 import hopdrum.frontdoor.wire.HttpReader;
 import hopdrum.frontdoor.wire.MalformedMessageException;
 import hopdrum.host.Outcome;
@@ -152,8 +154,7 @@
         lastReceivedUs = loop.nowUs();
         try {
             while (!isClosed() && reader.read(in)) {
-                Outcome outcome = CounterProtocol.outcome(reader);
-                double total = outcome == Outcome.OK ? CounterProtocol.total(in, reader) : 0;
+                CounterReply reply = CounterProtocol.readReply(in, reader);
                 Call call = pending.poll();
                 if (call == null) {
                     close();
@@ -162,7 +163,7 @@
                 awaited.remove(call);
                 boolean keepAlive = reader.keepAlive();
                 reader.done(in);
-                report(call, outcome, total);
+                report(call, reply.outcome(), reply.total());
                 if ((!keepAlive || (draining && pending.isEmpty())) && !isClosed()) {
                     endCalls();
                     close();
--- a/src/rig/java/hopdrum/rig/faulty/ReferencePlacementServer.java
+++ b/src/rig/java/hopdrum/rig/faulty/ReferencePlacementServer.java
@@ -7,7 +7,8 @@
 import hopdrum.fleet.config.InvalidFileException;
 import hopdrum.fleet.shards.AgreementTerms;
 import hopdrum.frontdoor.FrontDoor;
-import hopdrum.frontdoor.lifecycle.Server;
+import hopdrum.frontdoor.server.Companion;
+import hopdrum.frontdoor.server.Server;
 import hopdrum.host.ZoneLatencies;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -49,9 +50,9 @@
                     new Thread(() -> pollTruth(truthFile, file.site(), config.zones(), allKnowing), "true-latencies");
             poller.setDaemon(true);
             poller.start();
-            return new Server.Beside() {
+            return new Companion() {
                 @Override
-                public void serves(FrontDoor door) {
+                public void started(FrontDoor door) {
                     door.setFleet(fleet, () -> latencies);
                 }
 
--- a/src/test/java/hopdrum/frontdoor/BackendResponseOverSocketsTest.java
+++ b/src/test/java/hopdrum/frontdoor/BackendResponseOverSocketsTest.java
@@ -62,7 +62,7 @@
         counter.responder = request -> {
             CompletableFuture<Void> held = new CompletableFuture<>();
             CompletableFuture<Void> go = new CompletableFuture<>();
-            loop.ask(() -> {
+            loop.execute(() -> {
                 held.complete(null);
                 go.join();
             });
--- a/src/test/java/hopdrum/frontdoor/ClientLimitsTest.java
+++ b/src/test/java/hopdrum/frontdoor/ClientLimitsTest.java
@@ -52,7 +52,7 @@
             assertThat(readMessage(slow.getInputStream())).startsWith("HTTP/1.1 408 ");
             assertThat(slow.getInputStream().read()).isEqualTo(-1);
         }
-        loop.ask(loop::stop);
+        loop.execute(loop::stop);
     }
 
     @Test
--- a/src/test/java/hopdrum/frontdoor/ConfigurationReloadTest.java
+++ b/src/test/java/hopdrum/frontdoor/ConfigurationReloadTest.java
@@ -4,8 +4,8 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import hopdrum.frontdoor.lifecycle.Config;
-import hopdrum.frontdoor.lifecycle.Server;
-import hopdrum.frontdoor.lifecycle.Warmup;
+import hopdrum.frontdoor.server.ConfigReload;
+import hopdrum.frontdoor.server.Warmup;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -69,8 +69,8 @@
                 .replace(discovery.address(), newDiscovery.address());
         Path file = Files.createTempFile("hopdrum", ".json");
         resources.add(() -> Files.delete(file));
-        Server.Reload reload = new Server.Reload(file, loop, file.toFile().lastModified());
-        loop.ask(() -> reload.follows(frontDoor));
+        ConfigReload reload = new ConfigReload(file, loop, file.toFile().lastModified());
+        loop.execute(() -> reload.attach(frontDoor));
         Files.writeString(file, "{\"half");
         Signal.raise(new Signal("HUP"));
         Files.writeString(file, moved);
@@ -107,7 +107,7 @@
         Config fresh = Config.parse(configJson(hostJson("b", backend.address(), "in_service"))
                 .replace(discovery.address(), moved.address()));
         shutDown(discovery);
-        loop.ask(() -> frontDoor.reload(fresh));
+        loop.execute(() -> frontDoor.reload(fresh));
         assertThat(secondsUntilRequested(c))
                 .as("4 s after SIGHUP the change counts as notified")
                 .isLessThan(3);
@@ -127,8 +127,8 @@
                 configJson(hostJson("b", backend.address(), "in_service"))
                         .replace(discovery.address(), newDiscovery.address()));
         start(hostJson("gone", "127.0.0.1:9", "in_service"));
-        Server.Reload reload = new Server.Reload(file, loop, 0);
-        loop.ask(() -> reload.follows(frontDoor));
+        ConfigReload reload = new ConfigReload(file, loop, 0);
+        loop.execute(() -> reload.attach(frontDoor));
         assertThat(newDiscovery.nextRequest()).contains("GET /registry/instances");
         assertThat(exchange(request("t1", "order", "")))
                 .as("by the list of the new discovery")
--- a/src/test/java/hopdrum/frontdoor/CounterOverSocketsTest.java
+++ b/src/test/java/hopdrum/frontdoor/CounterOverSocketsTest.java
@@ -70,20 +70,20 @@
                 both.join();
                 return malformed;
             };
-            loop.ask(() -> calls.add(1, 1, 1000));
-            loop.ask(() -> calls.add(1, 1, 1000));
+            loop.execute(() -> calls.add(1, 1, 1000));
+            loop.execute(() -> calls.add(1, 1, 1000));
             assertThat(counter.nextRequest()).isNotNull();
             both.complete(null);
             assertThat(ends.poll(10, TimeUnit.SECONDS)).isEqualTo("UNREADABLE 0.0");
             assertThat(ends.poll(10, TimeUnit.SECONDS)).isEqualTo("RESET 0.0");
             counter.responder = request -> okResponse("7");
-            loop.ask(() -> calls.add(1, 1, 1000));
+            loop.execute(() -> calls.add(1, 1, 1000));
             assertThat(ends.poll(10, TimeUnit.SECONDS))
                     .as("on a connection of its own")
                     .isEqualTo("OK 7.0");
             counter.requests.clear();
         }
-        loop.ask(loop::stop);
+        loop.execute(loop::stop);
     }
 
     @Test
@@ -98,13 +98,13 @@
                 (name, outcome, total, tookUs) -> ends.add(name + " " + outcome));
         runInBackground(loop::run);
         counter.responder = request -> request.contains("/1?") ? NO_RESPONSE : okResponse("1");
-        loop.ask(() -> calls.add(1, 1, 1000));
-        loop.ask(() -> loop.in(10_000, () -> calls.add(2, 1, 1000))); // on the other connection
+        loop.execute(() -> calls.add(1, 1, 1000));
+        loop.execute(() -> loop.in(10_000, () -> calls.add(2, 1, 1000))); // on the other connection
         assertThat(ends.poll(10, TimeUnit.SECONDS)).isEqualTo("2 OK");
         assertThat(ends.poll(10, TimeUnit.SECONDS))
                 .as("no timeout of the counter")
                 .isEqualTo("1 RESET");
         assertThat(counter.closedConnections.poll(10, TimeUnit.SECONDS)).isEqualTo(1);
-        loop.ask(loop::stop);
+        loop.execute(loop::stop);
     }
 }
--- a/src/test/java/hopdrum/frontdoor/DiscoveryWatchTest.java
+++ b/src/test/java/hopdrum/frontdoor/DiscoveryWatchTest.java
@@ -4,7 +4,7 @@
 
 import hopdrum.frontdoor.connection.DiscoveredBackend;
 import hopdrum.frontdoor.lifecycle.Config;
-import hopdrum.frontdoor.lifecycle.Warmup;
+import hopdrum.frontdoor.server.Warmup;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -49,7 +49,7 @@
         };
         start();
         Client early = new Client().send(request("t1", "order", ""));
-        loop.ask(() -> loop.in(50_000, () -> spoken.complete(null)));
+        loop.execute(() -> loop.in(50_000, () -> spoken.complete(null)));
         assertThat(early.receive()).endsWith("second");
         assertThat(backend.requests).isEmpty();
     }
@@ -85,7 +85,7 @@
         start();
         assertThat(exchange(request("t1", "order", ""))).endsWith("for t1");
         awaitReusableConnection();
-        loop.ask(() -> frontDoor.endpointListReceived(
+        loop.execute(() -> frontDoor.endpointListReceived(
                 DiscoveredBackend.parseList(Map.of(
                         "hosts", List.of(Map.of("host", "b", "dial", backend.address(), "health", "in_service")))),
                 true));
--- a/src/test/java/hopdrum/frontdoor/FrontDoorFixture.java
+++ b/src/test/java/hopdrum/frontdoor/FrontDoorFixture.java
@@ -249,7 +249,7 @@
     @AfterEach
     void stopAndClose() throws Exception {
         if (loopEnded != null && !loopEnded.isDone()) {
-            loop.ask(loop::stop);
+            loop.execute(loop::stop);
             loopEnded.get(10, TimeUnit.SECONDS);
         }
         for (AutoCloseable closeable : resources) {
@@ -279,7 +279,7 @@
     /** Waits until a connection to a backend that was just used may be used again. */
     void awaitReusableConnection() throws Exception {
         CompletableFuture<Void> rested = new CompletableFuture<>();
-        loop.ask(() -> loop.in(5_000, () -> rested.complete(null)));
+        loop.execute(() -> loop.in(5_000, () -> rested.complete(null)));
         rested.get(10, TimeUnit.SECONDS);
     }
 
@@ -329,7 +329,7 @@
     void awaitPendingEvents() throws Exception {
         for (int i = 0; i < 2; i++) {
             CompletableFuture<Void> handled = new CompletableFuture<>();
-            loop.ask(() -> handled.complete(null));
+            loop.execute(() -> handled.complete(null));
             handled.get(10, TimeUnit.SECONDS);
         }
     }
@@ -337,7 +337,7 @@
     /** Waits that long by the loop's clock. */
     void awaitLoopDelay(long delayUs) throws Exception {
         CompletableFuture<Void> due = new CompletableFuture<>();
-        loop.ask(() -> loop.in(delayUs, () -> due.complete(null)));
+        loop.execute(() -> loop.in(delayUs, () -> due.complete(null)));
         due.get(10, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/hopdrum/frontdoor/PartnerFrontDoorTest.java
+++ b/src/test/java/hopdrum/frontdoor/PartnerFrontDoorTest.java
@@ -17,7 +17,7 @@
     /** All customers belong to a partner with these front doors; a request forwarded to here has no known owner. */
     private void setPartners(StandIn... partners) throws Exception {
         CompletableFuture<Void> updated = new CompletableFuture<>();
-        loop.ask(() -> {
+        loop.execute(() -> {
             frontDoor.setShardOwnership(() -> new ShardOwnership() {
                 @Override
                 public CustomerOwner owner(long customer, boolean forwardedByPartner, long nowUs) {
--- a/src/test/java/hopdrum/frontdoor/PeerMessengerTest.java
+++ b/src/test/java/hopdrum/frontdoor/PeerMessengerTest.java
@@ -43,7 +43,7 @@
             peer.send(new DatagramPacket("yes".getBytes(UTF_8), 3, got.getSocketAddress()));
             assertThat(received.poll(10, TimeUnit.SECONDS)).isEqualTo("yes");
             peers.close();
-            loop.ask(loop::stop);
+            loop.execute(loop::stop);
         }
     }
 }
