--- a/src/main/java/hopdrum/fleet/Fleet.java
+++ b/src/main/java/hopdrum/fleet/Fleet.java
@@ -74,7 +74,7 @@
         public void heard(Member from, Message message) {
             synchronized (Fleet.this) {
                 if (!closed) {
-                    membership.heard(from, message, nowUs());
+                    membership.onMessage(from, message, nowUs());
                     publishAndSend();
                 }
             }
@@ -336,7 +336,7 @@
         shards = shardCoordinator.table(
                 membership.viewConsensus().leases(),
                 file.operators(),
-                leaving || membership.isOut(now),
+                leaving || membership.isInactive(now),
                 loopOffsetUs,
                 now);
         Map<String, List<ShardOwnership.PartnerEndpoint>> before = doors;
--- a/src/main/java/hopdrum/fleet/QuotaLeasePublisher.java
+++ b/src/main/java/hopdrum/fleet/QuotaLeasePublisher.java
@@ -35,10 +35,10 @@
     /** A new snapshot, if what may be claimed has changed; what it lets this gateway claim is logged first. */
     void publishIfChanged(Membership membership, long nowUs) {
         Leases leases = membership.viewConsensus().leases();
-        long until = membership.isOut(nowUs) ? Long.MIN_VALUE / 2 : leases.untilUs(nowUs);
+        long until = membership.isInactive(nowUs) ? Long.MIN_VALUE / 2 : leases.expiresAtUs(nowUs);
         List<BitSet> views = new ArrayList<>();
         int most = 0;
-        for (View view : leases.live(nowUs)) {
+        for (View view : leases.liveViews(nowUs)) {
             BitSet gateways = new BitSet();
             for (Member m : view.members()) {
                 if (m.operator().equals(operator)) {
--- a/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
@@ -252,7 +252,7 @@
      * @param leaves whether this member has said good-bye: then it acts on nothing
      */
     public ShardTable table(Leases leases, List<String> operators, boolean leaves, long offsetUs, long nowUs) {
-        long since = leaves ? Long.MIN_VALUE / 2 : leases.sinceUs(nowUs);
+        long since = leaves ? Long.MIN_VALUE / 2 : leases.heldSinceUs(nowUs);
         ShardLeases.Rights rights = ownership.rights(since, nowUs, wallMs.getAsLong() * 1000);
         if (rights == null) {
             return null;
--- /dev/null
+++ b/src/main/java/hopdrum/fleet/view/Acceptor.java
@@ -0,0 +1,108 @@
+package hopdrum.fleet.view;
+
+import hopdrum.fleet.message.Ballot;
+import hopdrum.fleet.message.Member;
+import hopdrum.fleet.message.Message;
+import hopdrum.fleet.message.View;
+import hopdrum.fleet.store.Store.DurableState;
+
+/**
+ * The Paxos acceptor for the view that follows the settled one. A promise or an acceptance binds it at once, and is sent
+ * only when it is durable, so that a restart cannot forget a vote. Meanwhile the member goes on: a slow disk makes no slow
+ * member.
+ */
+final class Acceptor {
+    private static final Runnable NO_CONTINUATION = () -> {};
+
+    private final Member self;
+    private final DurableStateWriter writer;
+    private final ConsensusSender sender;
+    private final ShardAssigner shardAssigner;
+    private final ConsensusLog log;
+    private Ballot promised;
+    private Ballot acceptedBallot; // null if nothing is accepted
+    private View acceptedView;
+
+    /** @param restored what was durable before this start; null if nothing was */
+    Acceptor(
+            Member self,
+            DurableState restored,
+            DurableStateWriter writer,
+            ConsensusSender sender,
+            ShardAssigner shardAssigner,
+            ConsensusLog log) {
+        this.self = self;
+        this.writer = writer;
+        this.sender = sender;
+        this.shardAssigner = shardAssigner;
+        this.log = log;
+        this.promised = restored == null || restored.promised() == null ? Ballot.NONE : restored.promised();
+        this.acceptedBallot = restored == null ? null : restored.acceptedIn();
+        this.acceptedView = restored == null ? null : restored.accepted();
+    }
+
+    /** Whether this member has voted for a successor of the settled view: it then no longer counts as holding that one. */
+    boolean hasAccepted() {
+        return acceptedBallot != null;
+    }
+
+    /** The highest round that this acceptor has promised. */
+    long promisedRound() {
+        return promised.round();
+    }
+
+    /**
+     * Answers a prepare on the settled view with a promise, or by naming the higher ballot that was promised.
+     *
+     * @return whether it was promised
+     */
+    boolean onPrepare(View view, Member from, Message.Prepare prepare) {
+        if (isPreempted(prepare.ballot())) {
+            sender.send(from, new Message.Preempted(prepare.era(), prepare.number(), promised));
+            return false;
+        }
+        Message promise =
+                new Message.Promise(prepare.era(), prepare.number(), prepare.ballot(), acceptedBallot, acceptedView);
+        promised = prepare.ballot();
+        persist(view, () -> sender.send(from, promise));
+        return true;
+    }
+
+    /** Accepts a proposal, unless a higher ballot was promised or its shard assignment breaks the rule. */
+    void onAccept(View view, Member from, Message.Accept accept) {
+        if (isPreempted(accept.ballot())) {
+            sender.send(from, new Message.Preempted(accept.era(), accept.number(), promised));
+            return;
+        }
+        View proposed = accept.view();
+        String objection = shardAssigner.objection(view, proposed);
+        if (objection != null) {
+            log.objected(accept.era(), proposed, objection);
+            return;
+        }
+        promised = accept.ballot();
+        acceptedBallot = accept.ballot();
+        acceptedView = proposed;
+        persist(view, () -> {
+            log.accepted(proposed, accept.ballot(), self.voter());
+            sender.send(from, new Message.Accepted(accept.era(), accept.number(), accept.ballot()));
+        });
+    }
+
+    private boolean isPreempted(Ballot ballot) {
+        return ballot.compareTo(promised) < 0;
+    }
+
+    /** A view has been settled. Nothing waits for this write: a start that has lost it asks for the view again. */
+    void reset(View settled) {
+        promised = Ballot.NONE;
+        acceptedBallot = null;
+        acceptedView = null;
+        persist(settled, NO_CONTINUATION);
+    }
+
+    private void persist(View view, Runnable continuation) {
+        DurableState state = new DurableState(self.voter(), self.start(), view, promised, acceptedBallot, acceptedView);
+        writer.write(state, continuation);
+    }
+}
--- /dev/null
+++ b/src/main/java/hopdrum/fleet/view/ChangeDetector.java
@@ -0,0 +1,152 @@
+package hopdrum.fleet.view;
+
+import hopdrum.fleet.message.GossipUpdate.State;
+import hopdrum.fleet.message.Member;
+import hopdrum.fleet.message.ShardAssignment;
+import hopdrum.fleet.message.View;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * Compares the settled view with what the failure detector sees, and says which view to propose next. Changes wait until
+ * they have been stable for a period and no suspicion is open, and so come in batches (after Rapid, Suresh and others
+ * 2018); they wait a bounded time.
+ */
+final class ChangeDetector {
+    private static final int STABLE_PERIODS = 1;
+    private static final int MAX_BATCH_PERIODS = 6; // then a change is proposed though others are still under way
+    private static final long NEVER = Long.MIN_VALUE / 2;
+
+    private final Member self;
+    private final FleetTiming timing;
+    private final Electorate electorate;
+    private final FailureDetector failureDetector;
+    private final ShardAssigner shardAssigner;
+    private List<Member> target; // the members that the next view should have; null if no change is wanted
+    private long targetSinceUs;
+    private long changeSinceUs = NEVER;
+
+    ChangeDetector(
+            MemberContext context,
+            Electorate electorate,
+            FailureDetector failureDetector,
+            ShardAssigner shardAssigner) {
+        this.self = context.self();
+        this.timing = context.timing();
+        this.electorate = electorate;
+        this.failureDetector = failureDetector;
+        this.shardAssigner = shardAssigner;
+    }
+
+    /** A view has been settled: what was wanted of the one before is void. */
+    void reset() {
+        target = null;
+        changeSinceUs = NEVER;
+    }
+
+    /**
+     * Looks for changes; called in each tick of a voter.
+     *
+     * @param view the settled view
+     * @param mayPropose whether the proposer is idle and not backing off
+     * @return the view to propose now, if any
+     */
+    Optional<View> nextView(View view, boolean mayPropose, long nowUs) {
+        Optional<List<Member>> members = Electorate.isUnfounded(view) ? foundingMembers() : nextMembers(view, nowUs);
+        boolean coordinator = electorate.isCoordinator(view);
+        ShardAssignment assignment = coordinator && members.isPresent()
+                ? shardAssigner.nextAssignment(view, members.get())
+                : view.division();
+        if (members.isEmpty() || !isChange(view, members.get(), assignment)) {
+            reset();
+            return Optional.empty();
+        }
+        track(members.get(), nowUs);
+        if (!isDue(view, nowUs) || !mayPropose || !coordinator) {
+            return Optional.empty();
+        }
+        long era = Electorate.isUnfounded(view) ? System.currentTimeMillis() * 1000 : view.era();
+        return Optional.of(new View(era, view.number() + 1, target, assignment));
+    }
+
+    private static boolean isChange(View view, List<Member> members, ShardAssignment assignment) {
+        boolean reassigns = assignment != null && !assignment.isLike(view.division());
+        return reassigns || !haveSameStarts(members, view.members());
+    }
+
+    private void track(List<Member> members, long nowUs) {
+        if (target == null || !haveSameStarts(members, target)) {
+            target = members;
+            targetSinceUs = nowUs;
+        }
+        if (changeSinceUs == NEVER) {
+            changeSinceUs = nowUs;
+        }
+    }
+
+    private boolean isDue(View view, long nowUs) {
+        boolean stable = nowUs - targetSinceUs >= STABLE_PERIODS * timing.periodUs() && !hasSuspect(view);
+        return stable || nowUs - changeSinceUs >= MAX_BATCH_PERIODS * timing.periodUs();
+    }
+
+    private boolean hasSuspect(View view) {
+        return view.members().stream().anyMatch(member -> failureDetector.state(member.name()) == State.SUSPECT);
+    }
+
+    /** Empty until all founders are alive. */
+    private Optional<List<Member>> foundingMembers() {
+        List<Member> members = new ArrayList<>();
+        for (String name : electorate.founders()) {
+            Member founder = failureDetector.latestStart(name);
+            if (founder == null || failureDetector.state(name) != State.ALIVE) {
+                return Optional.empty();
+            }
+            members.add(founder);
+        }
+        return Optional.of(members);
+    }
+
+    private Optional<List<Member>> nextMembers(View view, long nowUs) {
+        List<Member> next = new ArrayList<>();
+        for (Member member : view.members()) {
+            Member latest = failureDetector.latestStart(member.name());
+            State state = failureDetector.state(member.name());
+            boolean restarted = latest != null && latest.start() > member.start();
+            if (restarted && state == State.ALIVE) {
+                next.add(latest);
+            } else if (latest == null
+                    || latest.start() < member.start()
+                    || state == State.ALIVE
+                    || state == State.SUSPECT) {
+                next.add(member); // nothing newer is known of it, or its suspicion is not decided yet
+            }
+        }
+        for (Member member : failureDetector.present()) {
+            if (view.named(member.name()) == null && mayJoin(member, nowUs)) {
+                next.add(member);
+            }
+        }
+        next.sort(Comparator.comparing(Member::name));
+        return Optional.of(next);
+    }
+
+    private boolean mayJoin(Member member, long nowUs) {
+        long aliveForUs = nowUs - failureDetector.stateSinceUs(member.name());
+        return failureDetector.state(member.name()) == State.ALIVE
+                && (member.is(self) || aliveForUs >= STABLE_PERIODS * timing.periodUs());
+    }
+
+    private static boolean haveSameStarts(List<Member> some, List<Member> others) {
+        if (some.size() != others.size()) {
+            return false;
+        }
+        for (int i = 0; i < some.size(); i++) {
+            if (!some.get(i).is(others.get(i))) {
+                return false;
+            }
+        }
+        return true;
+    }
+}
--- /dev/null
+++ b/src/main/java/hopdrum/fleet/view/LatencySharing.java
@@ -0,0 +1,68 @@
+package hopdrum.fleet.view;
+
+import hopdrum.fleet.latency.LatencyMap;
+import hopdrum.fleet.message.Member;
+import hopdrum.fleet.message.Message;
+import java.util.List;
+
+/** Measures and shares latencies: each period some peers of the sites measured longest ago are asked and told. */
+final class LatencySharing {
+    private static final int PEERS_PER_PERIOD = 3;
+
+    private final MemberContext context;
+    private final FailureDetector failureDetector;
+    private final LatencyMap map;
+    private long nextExchangeUs;
+    private long lastTickUs;
+
+    LatencySharing(MemberContext context, FailureDetector failureDetector, LatencyMap map) {
+        this.context = context;
+        this.failureDetector = failureDetector;
+        this.map = map;
+    }
+
+    /** Called in each tick, also while this member is inactive: a longer gap is a pause, which spoils measurements. */
+    void noteTick(long nowUs) {
+        if (nowUs - lastTickUs > context.timing().periodUs()) {
+            map.woke();
+        }
+        lastTickUs = nowUs;
+    }
+
+    /** Exchanges readings with peers, once a period. */
+    void tick(long nowUs) {
+        if (nowUs < nextExchangeUs) {
+            return;
+        }
+        nextExchangeUs = nowUs + context.timing().periodUs();
+        List<Member> candidates = failureDetector.present();
+        candidates.removeIf(member -> member.is(context.self()));
+        RandomOrder.shuffle(candidates, context.random());
+        for (int i = 0; i < PEERS_PER_PERIOD && !candidates.isEmpty(); i++) {
+            Member peer = measuredLongestAgo(candidates);
+            candidates.removeIf(member -> member.site().equals(peer.site()));
+            long sequence = map.asks(peer, nowUs);
+            context.sender().send(peer.address(), new Message.LatencyExchange(sequence, false, map.readings(nowUs)));
+        }
+    }
+
+    private Member measuredLongestAgo(List<Member> candidates) {
+        Member oldest = candidates.get(0);
+        for (Member candidate : candidates) {
+            if (map.sampledAtUs(candidate.site()) < map.sampledAtUs(oldest.site())) {
+                oldest = candidate;
+            }
+        }
+        return oldest;
+    }
+
+    void onExchange(Member from, Message.LatencyExchange exchange, long nowUs) {
+        map.heard(exchange.readings(), nowUs);
+        if (!exchange.answer()) {
+            context.sender()
+                    .send(from.address(), new Message.LatencyExchange(exchange.seq(), true, map.readings(nowUs)));
+        } else if (nowUs - lastTickUs < context.timing().periodUs()) { // else a pause may be part of the round trip
+            map.answered(from, exchange.seq(), nowUs);
+        }
+    }
+}
--- a/src/main/java/hopdrum/fleet/view/Leases.java
+++ b/src/main/java/hopdrum/fleet/view/Leases.java
@@ -4,188 +4,120 @@
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.message.View;
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 
 /**
- * How long a member may act on its settled view. The chair asks all in rounds; an answer carries the answerer's own
- * clock. Once a majority has answered a round, each is told the time of its last answer that the chair had before that
- * round began: whoever votes for a later view does so after answering the round, so after that time. A lease is that
- * time and the settings' length, by the holder's own clock alone: clocks that are seconds apart do no harm.
- * Not thread-safe. Times are microseconds of one monotonic clock.
+ * This member's lease on its settled view: how long it may act on it, by its own clock alone. The coordinator grants it
+ * (see {@link LeaseCoordinator}); it lasts for the configured time from the granted moment on.
+ *
+ * <p>Not thread-safe: called under the lock of {@link Membership}. Times are microseconds of one monotonic clock.
  */
 public final class Leases {
-    private static final int ROUNDS_A_LEASE = 5;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** What may be claimed by a view until its successor has surely taken its place everywhere. */
-    public record Claim(View view, long untilUs) {}
+    /** A former view under which other members may still hold leases until the given time. */
+    private record FormerView(View view, long untilUs) {}
 
     private final Member self;
     private final FleetTiming timing;
-    private final MessageSender out;
     private final DecisionLog log;
     private final long startedUs;
-    private final List<Claim> former = new ArrayList<>(); // emptied as they lapse
-    private final Map<String, Long> answered = new HashMap<>(); // the chair's: by member, its clock; emptied by a view
-    private final Set<String> inRound = new HashSet<>(); // emptied by the next round
-    private Map<String, Long> before = Map.of(); // as answered stood when the round began
-    private long round;
-    private boolean roundHeld;
-    private long nextRoundUs;
+    private final List<FormerView> formerViews = new ArrayList<>(); // removed as their leases lapse
     private View view = View.NONE;
-    private long heldSinceUs = NEVER; // of the present view or the one right before, by this clock
-    private long gapUntilUs; // views were skipped: what they gave is not known
+    private long heldSinceUs = NEVER; // the last grant for the present view, or for the one right before it
+    private long skippedUntilUs; // views were skipped: until then their unknown leases may be live
     private boolean cutOff;
 
-    Leases(Member self, FleetTiming timing, MessageSender out, DecisionLog log, long nowUs) {
-        this.self = self;
-        this.timing = timing;
-        this.out = out;
-        this.log = log;
+    Leases(MemberContext context, long nowUs) {
+        this.self = context.self();
+        this.timing = context.timing();
+        this.log = context.log();
         this.startedUs = nowUs;
     }
 
-    /** A view has been settled; follows tells that it is the next one after that known here. */
-    void settled(View now, long nowUs, boolean follows) {
-        boolean wasIn = view.has(self);
-        if (follows && wasIn) {
-            former.add(new Claim(view, nowUs + timing.leaseLapseUs()));
+    /** @param follows whether the view's number is the next one after that of the view held before */
+    void onViewSettled(View settled, long nowUs, boolean follows) {
+        boolean wasMember = view.has(self);
+        if (follows && wasMember) {
+            formerViews.add(new FormerView(view, nowUs + timing.leaseLapseUs()));
         } else {
-            gapUntilUs =
-                    nowUs + timing.leaseLapseUs(); // in the views not seen others may have had more than is known here
-            former.clear();
+            skippedUntilUs = nowUs + timing.leaseLapseUs(); // others may have been granted more than is known here
+            formerViews.clear();
         }
-        if (!follows || !wasIn || !now.has(self)) {
+        if (!follows || !wasMember || !settled.has(self)) {
             heldSinceUs = NEVER;
         }
-        view = now;
-        answered.clear();
-        before = Map.of();
-        inRound.clear();
-        roundHeld = false;
-        nextRoundUs = nowUs;
+        view = settled;
         cutOff = false;
     }
 
-    // ---- What is asked ----
+    // ---- Queries ----
 
-    /** The end of what this member may claim; in the past where it may claim nothing. */
-    public long untilUs(long nowUs) {
-        return !view.has(self) || nowUs < gapUntilUs ? NEVER : heldSinceUs + timing.leaseUs();
+    /** When this member's lease ends, microseconds; long past where it has none. */
+    public long expiresAtUs(long nowUs) {
+        return mayHold(nowUs) ? heldSinceUs + timing.leaseUs() : NEVER;
     }
 
-    /** The last moment at which a majority was surely on this member's view, or the one before; long past where it may not act. */
-    public long sinceUs(long nowUs) {
-        return !view.has(self) || nowUs < gapUntilUs ? NEVER : heldSinceUs;
+    /**
+     * The last moment, microseconds, at which a majority is known to have held this member's view or the one before; long
+     * past where this member may not act.
+     */
+    public long heldSinceUs(long nowUs) {
+        return mayHold(nowUs) ? heldSinceUs : NEVER;
     }
 
-    boolean holds(long nowUs) {
-        return nowUs < untilUs(nowUs);
+    private boolean mayHold(long nowUs) {
+        return view.has(self) && nowUs >= skippedUntilUs;
     }
 
-    /** The view and those before it of which a claim may still live somewhere: a claim must be within each. */
-    public List<View> live(long nowUs) {
+    boolean isHeld(long nowUs) {
+        return nowUs < expiresAtUs(nowUs);
+    }
+
+    /**
+     * The settled view, and those before it under which a lease may still be live somewhere: what a member claims must be
+     * within its share of each.
+     */
+    public List<View> liveViews(long nowUs) {
         List<View> live = new ArrayList<>();
         live.add(view);
-        for (Claim c : former) {
-            if (nowUs < c.untilUs) {
-                live.add(c.view);
+        for (FormerView former : formerViews) {
+            if (nowUs < former.untilUs) {
+                live.add(former.view);
             }
         }
         return live;
     }
 
-    /** In the view, and no majority has been seen to hold it for the length of a lease. */
+    /** Whether this member is in its view, but no majority has been seen to hold that view for the length of a lease. */
     public boolean isCutOff() {
         return cutOff;
     }
 
-    // ---- In the course of time ----
+    // ---- Time and grants ----
 
-    void tick(View now, boolean chair, List<Member> all, long nowUs) {
-        former.removeIf(c -> nowUs >= c.untilUs);
+    void tick(long nowUs) {
+        formerViews.removeIf(former -> nowUs >= former.untilUs);
         boolean lapsed =
-                now.has(self) && nowUs > Math.max(heldSinceUs, startedUs) + timing.leaseUs() && nowUs > gapUntilUs;
+                view.has(self) && nowUs > Math.max(heldSinceUs, startedUs) + timing.leaseUs() && nowUs > skippedUntilUs;
         if (lapsed != cutOff) {
             cutOff = lapsed;
-            log.event(lapsed ? "cut_off" : "held_again", "era", now.era(), "number", now.number());
-        }
-        if (!chair || now.era() == 0 || nowUs < nextRoundUs) {
-            return;
-        }
-        nextRoundUs = nowUs + timing.leaseUs() / ROUNDS_A_LEASE;
-        round++;
-        inRound.clear();
-        roundHeld = false;
-        if (now.has(self)) {
-            answered.put(self.name(), nowUs);
-            inRound.add(self.name());
-        }
-        before = new HashMap<>(answered);
-        for (Member m : all) {
-            if (!m.is(self)) {
-                out.send(m.address(), new Message.Renew(now.era(), now.number(), round));
-            }
-        }
-        heldNow(now, all, nowUs);
-    }
-
-    void heard(Member from, Message.Renewed renewed, View now, long nowUs) {
-        if (!now.isNamed(renewed.era(), renewed.number()) || renewed.round() != round) {
-            return;
-        }
-        answered.put(from.name(), renewed.atUs());
-        inRound.add(from.name());
-        if (roundHeld) {
-            tell(from, now); // late, but the round is held
-        } else {
-            heldNow(now, now.members(), nowUs);
-        }
-    }
-
-    private void heldNow(View now, List<Member> all, long nowUs) {
-        if (inRound.size() < now.majority()) {
-            return;
-        }
-        roundHeld = true;
-        for (Member m : all) {
-            if (inRound.contains(m.name())) {
-                tell(m, now);
-            }
-        }
-        if (before.size() < now.majority()) {
-            nextRoundUs =
-                    Math.min(nextRoundUs, nowUs + timing.periodUs() / 4); // the first of a view tell nobody a time
-        }
-    }
-
-    private void tell(Member m, View now) {
-        Long since = before.get(m.name());
-        if (since == null) {
-            return;
-        }
-        if (m.name().equals(self.name())) {
-            held(since);
-        } else {
-            out.send(m.address(), new Message.LeaseGranted(now.era(), now.number(), since));
+            log.event(lapsed ? "cut_off" : "held_again", "era", view.era(), "number", view.number());
         }
     }
 
-    /** Told by a chair; a time that this clock has not shown since the start is nobody's. */
-    public void heard(Message.LeaseGranted said, View now, long nowUs) {
-        if (now.isNamed(said.era(), said.number())
-                && said.atUs() >= startedUs
-                && said.atUs() <= nowUs
-                && now.has(self)) {
-            held(said.atUs());
+    /** A coordinator's grant; a time that this clock has not shown since the start is not this start's. */
+    void onGranted(Message.LeaseGranted granted, long nowUs) {
+        if (view.isNamed(granted.era(), granted.number())
+                && granted.atUs() >= startedUs
+                && granted.atUs() <= nowUs
+                && view.has(self)) {
+            extend(granted.atUs());
         }
     }
 
-    private void held(long sinceUs) {
+    /** A majority is known to have held the view at the given time or later. */
+    void extend(long sinceUs) {
         heldSinceUs = Math.max(heldSinceUs, sinceUs);
     }
 }
--- a/src/main/java/hopdrum/fleet/view/Membership.java
+++ b/src/main/java/hopdrum/fleet/view/Membership.java
@@ -4,215 +4,185 @@
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.store.Store.DurableState;
-import java.util.Collections;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /**
- * One member's part in its fleet: what peers say goes to who decides on it. Not thread-safe: its owner calls it under
- * one lock, or in virtual time. Times are microseconds of one monotonic clock.
+ * One member's part in its fleet: gives messages and time to failure detection, consensus, leases, the latency map and the
+ * shard protocol, and steps back while its name belongs to another process.
+ *
+ * <p>Not thread-safe: its owner calls it, and all that it hands out, under one lock, or in virtual time. Times are
+ * microseconds of one monotonic clock.
  */
 public final class Membership {
-    private static final int LATENCY_PEERS = 3;
-    private static final int OUT_PERIODS = 20; // before one whose name is taken tries again
+    private static final int NAME_TAKEN_PERIODS = 20; // mean time before a member whose name is taken tries again
 
-    private final Member self;
-    private final FleetTiming timing;
-    private final SplittableRandom random;
-    private final DecisionLog log;
+    private final MemberContext context;
     private final FailureDetector failureDetector;
     private final ViewConsensus viewConsensus;
-    private final LatencyMap latency;
-    private final MessageSender out;
-    private final ShardProtocol partners; // null where nothing is divided
-    private long nextLatencyUs;
-    private long tickedUs;
-    private long outUntilUs = Long.MIN_VALUE / 2;
+    private final LatencyMap latencyMap;
+    private final LatencySharing latencySharing;
+    private final ShardProtocol shards;
+    private long inactiveUntilUs = Long.MIN_VALUE / 2; // the name is taken
     private boolean left;
 
-    /** @param partners what operators split; null where they split nothing */
+    /**
+     * Starts this member's part; its first messages are sent in the first tick.
+     *
+     * @param self this start of this member
+     * @param seeds addresses at which the fleet may be found
+     * @param founders the names that all have to be present before a new fleet is founded
+     * @param restored what was durable before this start; null if nothing was
+     * @param timing the fleet's intervals
+     * @param random the source of all random draws
+     * @param sender sends messages to peers
+     * @param writer makes votes durable
+     * @param shards the protocol by which operators share shards; null where they share none
+     * @param log records decisions
+     * @param nowUs monotonic time, microseconds
+     */
     public Membership(
             Member self,
             List<String> seeds,
             List<String> founders,
-            DurableState kept,
+            DurableState restored,
             FleetTiming timing,
             SplittableRandom random,
-            MessageSender out,
-            DurableStateWriter keeper,
-            ShardProtocol partners,
+            MessageSender sender,
+            DurableStateWriter writer,
+            ShardProtocol shards,
             DecisionLog log,
             long nowUs) {
-        this.self = self;
-        this.timing = timing;
-        this.random = random;
-        this.log = log;
-        this.out = out;
-        latency = new LatencyMap(self, timing.periodUs());
-        failureDetector =
-                new FailureDetector(new MemberContext(self, timing, random, out, log), seeds, latency::sampled, nowUs);
-        this.partners = partners;
-        if (partners != null) {
-            partners.setFailureDetector(failureDetector);
-        }
-        viewConsensus = new ViewConsensus(
-                self,
-                founders,
-                kept,
-                timing,
-                random,
-                out,
-                failureDetector,
-                keeper,
-                partners == null ? ShardProtocol.NONE : partners,
-                log,
-                nowUs);
+        this.context = new MemberContext(self, timing, random, sender, log);
+        this.latencyMap = new LatencyMap(self, timing.periodUs());
+        this.failureDetector = new FailureDetector(context, seeds, latencyMap::sampled, nowUs);
+        this.latencySharing = new LatencySharing(context, failureDetector, latencyMap);
+        this.shards = shards == null ? ShardProtocol.NONE : shards;
+        this.shards.setFailureDetector(failureDetector);
+        this.viewConsensus =
+                new ViewConsensus(context, founders, restored, failureDetector, writer, this.shards, nowUs);
     }
 
+    /** Says soon and approximately who is present. */
     public FailureDetector failureDetector() {
         return failureDetector;
     }
 
+    /** The latencies between sites. */
     public LatencyMap latency() {
-        return latency;
+        return latencyMap;
     }
 
+    /** Says rarely and exactly which view is settled. */
     public ViewConsensus viewConsensus() {
         return viewConsensus;
     }
 
-    /** Its name is another's, or it has left: it acts on nothing. */
-    public boolean isOut(long nowUs) {
-        return left || viewConsensus.isSuperseded() || nowUs < outUntilUs;
+    /** Whether this member has left, or its name is another process's: it then acts on nothing and is silent. */
+    public boolean isInactive(long nowUs) {
+        return left || viewConsensus.isSuperseded() || nowUs < inactiveUntilUs;
     }
 
+    /** To be called several times a probe period. */
     public void tick(long nowUs) {
-        if (nowUs - tickedUs > timing.periodUs()) {
-            latency.woke();
-        }
-        tickedUs = nowUs;
-        if (!isOut(nowUs)) {
+        latencySharing.noteTick(nowUs);
+        if (!isInactive(nowUs)) {
             failureDetector.tick(nowUs);
             viewConsensus.tick(nowUs);
-            shareLatency(nowUs);
-            if (partners != null) {
-                partners.tick(nowUs);
-            }
-        }
-    }
-
-    /** Each period three peers are asked and told, of the sites that this member has looked at longest ago. */
-    private void shareLatency(long nowUs) {
-        if (nowUs < nextLatencyUs) {
-            return;
-        }
-        nextLatencyUs = nowUs + timing.periodUs();
-        List<Member> peers = failureDetector.present();
-        peers.removeIf(m -> m.is(self));
-        for (int i = peers.size() - 1; i > 0; i--) {
-            Collections.swap(peers, i, random.nextInt(i + 1));
-        }
-        for (int i = 0; i < LATENCY_PEERS && !peers.isEmpty(); i++) {
-            Member peer = peers.get(0);
-            for (Member other : peers) {
-                if (latency.sampledAtUs(other.site()) < latency.sampledAtUs(peer.site())) {
-                    peer = other;
-                }
-            }
-            String site = peer.site();
-            peers.removeIf(m -> m.site().equals(site));
-            out.send(
-                    peer.address(),
-                    new Message.LatencyExchange(latency.asks(peer, nowUs), false, latency.readings(nowUs)));
+            latencySharing.tick(nowUs);
+            shards.tick(nowUs);
         }
     }
 
+    /** Leaves gracefully: tells some peers at once. This member is inactive from now on. */
     public void leave(long nowUs) {
-        if (!isOut(nowUs)) {
+        if (!isInactive(nowUs)) {
             failureDetector.leave();
-            log.event("leaves");
+            context.log().event("leaves");
         }
         left = true;
     }
 
-    public void heard(Member from, Message message, long nowUs) {
-        if (isOut(nowUs)) {
+    /**
+     * Handles one message.
+     *
+     * @param from the sender, as its hello named it
+     * @param message what it sent
+     * @param nowUs monotonic time, microseconds
+     */
+    public void onMessage(Member from, Message message, long nowUs) {
+        if (isInactive(nowUs)
+                || onFailureDetectionMessage(from, message, nowUs)
+                || onShardMessage(from, message, nowUs)) {
             return;
         }
-        if (message instanceof Message.Ping m) {
-            failureDetector.onPing(from, m, nowUs);
-            has(from, m.era(), m.number(), nowUs);
-        } else if (message instanceof Message.Ack m) {
-            failureDetector.onAck(from, m, nowUs);
-            has(from, m.era(), m.number(), nowUs);
-        } else if (message instanceof Message.PingRequest m) {
-            failureDetector.onPingRequest(from, m, nowUs);
-        } else if (message instanceof Message.LatencyExchange m) {
-            latency.heard(m.readings(), nowUs);
-            if (m.answer() && nowUs - tickedUs < timing.periodUs()) { // no pause of ours in it
-                latency.answered(from, m.seq(), nowUs);
-            } else if (!m.answer()) {
-                out.send(from.address(), new Message.LatencyExchange(m.seq(), true, latency.readings(nowUs)));
-            }
-        } else if (message instanceof Message.Nack m) {
-            failureDetector.onNack(from, m, nowUs);
-        } else if (message instanceof Message.FullStateExchange m) {
-            failureDetector.onFullStateExchange(from, m, nowUs);
-            has(from, m.era(), m.number(), nowUs);
-        } else if (message instanceof Message.NameTaken m) {
-            taken(m, nowUs);
-        } else if (message instanceof Message.Prepare m) {
-            viewConsensus.heard(from, m, nowUs);
-        } else if (message instanceof Message.Promise m) {
-            viewConsensus.heard(from, m, nowUs);
-        } else if (message instanceof Message.Accept m) {
-            viewConsensus.heard(from, m, nowUs);
-        } else if (message instanceof Message.Accepted m) {
-            viewConsensus.heard(from, m, nowUs);
-        } else if (message instanceof Message.Preempted m) {
-            viewConsensus.heard(from, m, nowUs);
-        } else if (message instanceof Message.ViewSettled m) {
-            viewConsensus.heard(from, m, nowUs);
-            if (partners != null) {
-                partners.onPeerView(from, m.view().era(), m.view().number()); // who tells of a view holds it
+        if (message instanceof Message.LatencyExchange exchange) {
+            latencySharing.onExchange(from, exchange, nowUs);
+        } else if (message instanceof Message.NameTaken taken) {
+            onNameTaken(taken, nowUs);
+        } else {
+            viewConsensus.onMessage(from, message, nowUs);
+            if (message instanceof Message.ViewSettled settled) { // who tells of a view holds it
+                shards.onPeerView(from, settled.view().era(), settled.view().number());
             }
-        } else if (message instanceof Message.AgreementProposals m && partners != null) {
-            partners.onAgreementProposals(from, m, nowUs);
-        } else if (message instanceof Message.ShardsHandedOver m && partners != null) {
-            partners.onShardsHandedOver(from, m, nowUs);
-        } else if (message instanceof Message.SettledViewRequest m) {
-            viewConsensus.heard(from, m, nowUs);
-        } else if (message instanceof Message.Renew m) {
-            viewConsensus.heard(from, m, nowUs);
-        } else if (message instanceof Message.Renewed m) {
-            viewConsensus.heard(from, m, nowUs);
-        } else if (message instanceof Message.LeaseGranted m) {
-            viewConsensus.leases().heard(m, viewConsensus.view(), nowUs);
         }
     }
 
-    /** A peer has named the view that it holds. */
-    private void has(Member from, long era, long number, long nowUs) {
-        viewConsensus.peerHas(from, era, number, nowUs);
-        if (partners != null) {
-            partners.onPeerView(from, era, number);
+    private boolean onFailureDetectionMessage(Member from, Message message, long nowUs) {
+        if (message instanceof Message.Ping ping) {
+            failureDetector.onPing(from, ping, nowUs);
+            onPeerView(from, ping.era(), ping.number(), nowUs);
+        } else if (message instanceof Message.Ack ack) {
+            failureDetector.onAck(from, ack, nowUs);
+            onPeerView(from, ack.era(), ack.number(), nowUs);
+        } else if (message instanceof Message.FullStateExchange exchange) {
+            failureDetector.onFullStateExchange(from, exchange, nowUs);
+            onPeerView(from, exchange.era(), exchange.number(), nowUs);
+        } else if (message instanceof Message.PingRequest request) {
+            failureDetector.onPingRequest(from, request, nowUs);
+        } else if (message instanceof Message.Nack nack) {
+            failureDetector.onNack(from, nack, nowUs);
+        } else {
+            return false;
+        }
+        return true;
+    }
+
+    private boolean onShardMessage(Member from, Message message, long nowUs) {
+        if (message instanceof Message.AgreementProposals proposals) {
+            shards.onAgreementProposals(from, proposals, nowUs);
+        } else if (message instanceof Message.ShardsHandedOver handedOver) {
+            shards.onShardsHandedOver(from, handedOver, nowUs);
+        } else {
+            return false;
         }
+        return true;
+    }
+
+    private void onPeerView(Member from, long era, long number, long nowUs) {
+        viewConsensus.onPeerView(from, era, number, nowUs);
+        shards.onPeerView(from, era, number);
     }
 
-    /** One that was settled on is told so by no other: it is the other that must go. */
-    private void taken(Message.NameTaken said, long nowUs) {
-        if (said.holder().name().equals(self.name())
-                && !said.holder().is(self)
-                && !viewConsensus.view().has(self)) {
-            outUntilUs = nowUs + OUT_PERIODS * timing.periodUs() / 2 + random.nextLong(OUT_PERIODS * timing.periodUs());
-            log.event(
-                    "refused",
-                    "why",
-                    "the name is another's",
-                    "its_start",
-                    said.holder().start(),
-                    "at_address",
-                    said.holder().address());
+    /** A member in the settled view holds its name, whatever another process says: it is the other that must go. */
+    private void onNameTaken(Message.NameTaken taken, long nowUs) {
+        Member self = context.self();
+        Member holder = taken.holder();
+        if (!holder.name().equals(self.name())
+                || holder.is(self)
+                || viewConsensus.view().has(self)) {
+            return;
         }
+        long meanUs = NAME_TAKEN_PERIODS * context.timing().periodUs();
+        inactiveUntilUs = nowUs + meanUs / 2 + context.random().nextLong(meanUs);
+        context.log()
+                .event(
+                        "refused",
+                        "why",
+                        "the name is another's",
+                        "its_start",
+                        holder.start(),
+                        "at_address",
+                        holder.address());
     }
 }
--- a/src/rig/java/hopdrum/rig/swarm/Swarm.java
+++ b/src/rig/java/hopdrum/rig/swarm/Swarm.java
@@ -300,7 +300,7 @@
                 continue;
             }
             long began = System.nanoTime();
-            to.membership.heard(f.sender, Codec.read(f.bytes), nowUs);
+            to.membership.onMessage(f.sender, Codec.read(f.bytes), nowUs);
             to.nanos += System.nanoTime() - began;
             check(to);
         }
@@ -325,7 +325,7 @@
         }
         String[] owner = new String[shards];
         for (Node node : nodes.values()) {
-            ShardTable table = !node.isUp() || node.membership.isOut(nowUs)
+            ShardTable table = !node.isUp() || node.membership.isInactive(nowUs)
                     ? null
                     : node.pausedUntilUs > nowUs
                             ? node.table
@@ -404,10 +404,10 @@
         Map<String, Double> sums = new TreeMap<>();
         for (Node node : nodes.values()) {
             if (node.isUp()
-                    && !node.membership.isOut(nowUs)
-                    && nowUs < node.membership.viewConsensus().leases().untilUs(nowUs)) {
+                    && !node.membership.isInactive(nowUs)
+                    && nowUs < node.membership.viewConsensus().leases().expiresAtUs(nowUs)) {
                 int most = 1;
-                for (View view : node.membership.viewConsensus().leases().live(nowUs)) {
+                for (View view : node.membership.viewConsensus().leases().liveViews(nowUs)) {
                     most = Math.max(most, (int) view.members().stream()
                             .filter(m -> m.operator().equals(node.operator))
                             .count());
--- a/src/test/java/hopdrum/fleet/SettledViewsTest.java
+++ b/src/test/java/hopdrum/fleet/SettledViewsTest.java
@@ -26,7 +26,7 @@
     }
 
     private static boolean claims(Swarm swarm, Node node) {
-        return swarm.nowUs() < node.membership().viewConsensus().leases().untilUs(swarm.nowUs());
+        return swarm.nowUs() < node.membership().viewConsensus().leases().expiresAtUs(swarm.nowUs());
     }
 
     @Test
@@ -43,7 +43,7 @@
             assertThat(claims(swarm, cut)).isFalse();
         }
         assertThat(claims(swarm, swarm.node(3))).isTrue();
-        assertThat(swarm.node(3).membership().viewConsensus().leases().live(swarm.nowUs()))
+        assertThat(swarm.node(3).membership().viewConsensus().leases().liveViews(swarm.nowUs()))
                 .hasSize(1);
         swarm.net = (a, b) -> true;
         assertThat(swarm.until(20 * S, swarm::isSettled)).isTrue();
