--- a/src/main/java/hopdrum/fleet/view/Acceptor.java
+++ b/src/main/java/hopdrum/fleet/view/Acceptor.java
@@ -12,8 +12,6 @@
  * member.
  */
 final class Acceptor {
-    private static final Runnable NO_CONTINUATION = () -> {};
-
     private final Member self;
     private final DurableStateWriter writer;
     private final ConsensusSender sender;
@@ -98,7 +96,7 @@
         promised = Ballot.NONE;
         acceptedBallot = null;
         acceptedView = null;
-        persist(settled, NO_CONTINUATION);
+        persist(settled, () -> {});
     }
 
     private void persist(View view, Runnable continuation) {
--- a/src/main/java/hopdrum/fleet/view/Peer.java
+++ b/src/main/java/hopdrum/fleet/view/Peer.java
@@ -8,6 +8,9 @@
 
 /** The failure detector's state of one other member: its latest known start, incarnation and suspicion. */
 final class Peer {
+    /** Confirmations beyond the first accusation that shorten the timeout; more change nothing. */
+    static final int MAX_CONFIRMATIONS = 3;
+
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private Member member;
@@ -43,7 +46,7 @@
 
     /** Counts another accuser of the present suspicion; false if it is known, or if enough have confirmed. */
     boolean addAccuser(String name) {
-        return accusers.size() <= SuspicionTimeout.MAX_CONFIRMATIONS && accusers.add(name);
+        return accusers.size() <= MAX_CONFIRMATIONS && accusers.add(name);
     }
 
     /** How many others have confirmed the present suspicion, beside the first accuser. */
--- a/src/main/java/hopdrum/fleet/view/SuspicionTimeout.java
+++ b/src/main/java/hopdrum/fleet/view/SuspicionTimeout.java
@@ -2,9 +2,6 @@
 
 /** Lifeguard's dynamic suspicion timeout: it shrinks, by the logarithm, from the longest to the least as others confirm. */
 final class SuspicionTimeout {
-    /** Confirmations beyond the first accusation that shorten the timeout; more change nothing. */
-    static final int MAX_CONFIRMATIONS = 3;
-
     private final FleetTiming timing;
 
     SuspicionTimeout(FleetTiming timing) {
@@ -17,7 +14,7 @@
      * @param presentPeers how many peers are present, the suspect among them
      */
     long deadlineUs(Peer suspect, int presentPeers) {
-        int confirmers = Math.min(MAX_CONFIRMATIONS, presentPeers - 1);
+        int confirmers = Math.min(Peer.MAX_CONFIRMATIONS, presentPeers - 1);
         double confirmed = confirmers <= 0
                 ? 1
                 : Math.log(Math.min(confirmers, suspect.confirmations()) + 1) / Math.log(confirmers + 1);
