--- a/src/main/java/hopdrum/fleet/Fleet.java
+++ b/src/main/java/hopdrum/fleet/Fleet.java
@@ -73,7 +73,7 @@
         public void received(Member from, Message message) {
             synchronized (Fleet.this) {
                 if (!closed) {
-                    membership.heard(from, message, nowUs());
+                    membership.onMessage(from, message, nowUs());
                     publishAndSend();
                 }
             }
@@ -335,7 +335,7 @@
     private void publishShardTable() {
         if (shardTables != null) {
             long now = nowUs();
-            shardTables.publish(membership.viewConsensus().leases(), leaving || membership.isOut(now), now);
+            shardTables.publish(membership.viewConsensus().leases(), leaving || membership.isInactive(now), now);
         }
     }
 
--- a/src/main/java/hopdrum/fleet/QuotaLeasePublisher.java
+++ b/src/main/java/hopdrum/fleet/QuotaLeasePublisher.java
@@ -38,10 +38,10 @@
     /** Publishes a new lease if what may be claimed has changed; that is logged first. */
     void publishIfChanged(Membership membership, long nowUs) {
         Leases leases = membership.viewConsensus().leases();
-        long untilUs = membership.isOut(nowUs) ? NO_LEASE_US : leases.untilUs(nowUs);
+        long untilUs = membership.isInactive(nowUs) ? NO_LEASE_US : leases.expiresAtUs(nowUs);
         List<BitSet> views = new ArrayList<>();
         int maxGateways = 0;
-        for (View view : leases.live(nowUs)) {
+        for (View view : leases.liveViews(nowUs)) {
             BitSet gateways = new BitSet();
             for (Member member : view.members()) {
                 if (member.operator().equals(operator)) {
--- a/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
@@ -326,7 +326,7 @@
      * @return the table; null before the first assignment
      */
     public ShardTable table(Leases viewLeases, List<String> operators, boolean isLeaving, long offsetUs, long nowUs) {
-        long sinceUs = isLeaving ? Long.MIN_VALUE / 2 : viewLeases.sinceUs(nowUs);
+        long sinceUs = isLeaving ? Long.MIN_VALUE / 2 : viewLeases.heldSinceUs(nowUs);
         ShardLeases.Snapshot snapshot = leases.snapshot(sinceUs, nowUs, wallMs.getAsLong() * 1000);
         if (snapshot == null) {
             return null;
--- a/src/rig/java/hopdrum/rig/simulation/SimulatedNode.java
+++ b/src/rig/java/hopdrum/rig/simulation/SimulatedNode.java
@@ -156,7 +156,7 @@
     void receive(Member sender, byte[] bytes, long nowUs) {
         long began = System.nanoTime();
         Message message = Codec.read(bytes);
-        membership.heard(sender, message, nowUs);
+        membership.onMessage(sender, message, nowUs);
         cpuNanos += System.nanoTime() - began;
     }
 
@@ -176,14 +176,14 @@
     /** Whether it may claim its part of its operator's quota; a paused process claims on until its lease is over. */
     boolean isClaiming(long nowUs) {
         return isUp()
-                && !membership.isOut(nowUs)
-                && nowUs < membership.viewConsensus().leases().untilUs(nowUs);
+                && !membership.isInactive(nowUs)
+                && nowUs < membership.viewConsensus().leases().expiresAtUs(nowUs);
     }
 
     /** The most members that its operator has in any view that may still be in force, 1 at least. */
     int largestLiveTier(long nowUs) {
         int most = 1;
-        for (View view : membership.viewConsensus().leases().live(nowUs)) {
+        for (View view : membership.viewConsensus().leases().liveViews(nowUs)) {
             long members = view.members().stream()
                     .filter(member -> member.operator().equals(operator))
                     .count();
@@ -194,7 +194,7 @@
 
     /** Reads its shard table anew; a paused process acts by the last one until its lease is over. */
     void refreshShardTable(long nowUs) {
-        if (!isUp() || membership.isOut(nowUs)) {
+        if (!isUp() || membership.isInactive(nowUs)) {
             shardTable = null;
         } else if (!isPaused(nowUs)) {
             shardTable = shardCoordinator.table(membership.viewConsensus().leases(), List.of(), false, 0, nowUs);
