--- a/src/main/java/hopdrum/fleet/PeerAdmission.java
+++ b/src/main/java/hopdrum/fleet/PeerAdmission.java
@@ -13,7 +13,7 @@
         if (!hello.fleet().equals(file.fleet())) {
             return Optional.of("another fleet");
         }
-        if (hello.shards() != file.shards() || (file.shards() > 0 && hello.mostAloneMs() != file.maxAloneMs())) {
+        if (hello.shards() != file.shards() || (file.shards() > 0 && hello.maxAloneMs() != file.maxAloneMs())) {
             return Optional.of("other shards or most_alone_ms"); // a receiver waits out the time that a giver may have
         }
         if (!file.operators().contains(hello.who().operator())) {
--- a/src/main/java/hopdrum/fleet/message/Message.java
+++ b/src/main/java/hopdrum/fleet/message/Message.java
@@ -57,10 +57,15 @@
      * @param version the sender's protocol version
      * @param fleet the fleet's name
      * @param shards the number of shards; 0 where none are shared
-     * @param mostAloneMs the longest that an operator may act alone, milliseconds; 0 where no shards are shared
+     * @param maxAloneMs the longest that an operator may act alone, milliseconds; 0 where no shards are shared
      * @param who the sender
      */
-    record Hello(int version, String fleet, int shards, long mostAloneMs, Member who) implements Message {
+    record Hello(
+            int version,
+            String fleet,
+            int shards,
+            @JsonProperty("mostAloneMs") long maxAloneMs,
+            Member who) implements Message {
         /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Hello {
             Member.check(who != null && Member.isName(fleet), "a hello");
--- a/src/main/java/hopdrum/fleet/shards/ShardTable.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardTable.java
@@ -2,6 +2,7 @@
 
 import hopdrum.host.ShardOwnership;
 import java.nio.ByteBuffer;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import org.apache.commons.codec.digest.MurmurHash3;
@@ -14,19 +15,26 @@
     private static final char INACTIVE = '-';
     private static final long NO_TIER = -1;
 
-    private final boolean[] isOwn; // by shard
-    private final long[] tiers; // by shard: where to forward what this one may not act on; NO_TIER for nowhere
-    private final long[] fromUs; // by shard, where it is its own
-    private final long[] untilUs; // the same
-    private final long[] sinceUs; // the same: when its hand-over was complete
+    private final List<Entry> entries; // by shard
     private final long retryUs;
 
-    private ShardTable(int shards, long retryUs) {
-        isOwn = new boolean[shards];
-        tiers = new long[shards];
-        fromUs = new long[shards];
-        untilUs = new long[shards];
-        sinceUs = new long[shards];
+    /**
+     * What is known of one shard, times by the table's clock.
+     *
+     * @param isOwn whether this front door's operator owns it
+     * @param tier where to forward what this front door may not act on; NO_TIER for nowhere
+     * @param fromUs where it is its own: from when on it may act; Long.MAX_VALUE for never
+     * @param untilUs where it is its own: until when it may act
+     * @param sinceUs where it is its own: when its hand-over was complete
+     */
+    private record Entry(boolean isOwn, long tier, long fromUs, long untilUs, long sinceUs) {
+        boolean isActive(long nowUs) {
+            return isOwn && nowUs >= fromUs && nowUs < untilUs;
+        }
+    }
+
+    private ShardTable(List<Entry> entries, long retryUs) {
+        this.entries = List.copyOf(entries);
         this.retryUs = retryUs;
     }
 
@@ -47,25 +55,21 @@
             Set<String> reachable,
             long retryUs,
             long offsetUs) {
-        int shards = leases.shards().size();
-        ShardTable table = new ShardTable(shards, retryUs);
+        List<Entry> entries = new ArrayList<>(leases.shards().size());
         int ownShards = 0;
-        for (int shard = 0; shard < shards; shard++) {
-            ShardLeases.ShardLease lease = leases.shards().get(shard);
+        for (ShardLeases.ShardLease lease : leases.shards()) {
             String owner = lease.owner();
             boolean isOwn = self.equals(owner);
             ownShards += isOwn ? 1 : 0;
-            table.isOwn[shard] = isOwn;
-            table.tiers[shard] =
-                    reachable.contains(owner) && operators.contains(owner) ? operators.indexOf(owner) + 1 : NO_TIER;
-            table.fromUs[shard] = lease.fromUs() == Long.MAX_VALUE ? Long.MAX_VALUE : lease.fromUs() + offsetUs;
-            table.untilUs[shard] = leases.untilUs() + offsetUs;
-            table.sinceUs[shard] = lease.sinceUs() + offsetUs;
+            long tier = reachable.contains(owner) && operators.contains(owner) ? operators.indexOf(owner) + 1 : NO_TIER;
+            long fromUs = lease.fromUs() == Long.MAX_VALUE ? Long.MAX_VALUE : lease.fromUs() + offsetUs;
+            long untilUs = leases.untilUs() + offsetUs;
             if (isOwn && ownShards > leases.floorShards() && leases.agreementUntilUs() != Long.MAX_VALUE) {
-                table.untilUs[shard] = Math.min(table.untilUs[shard], leases.agreementUntilUs() + offsetUs);
+                untilUs = Math.min(untilUs, leases.agreementUntilUs() + offsetUs);
             }
+            entries.add(new Entry(isOwn, tier, fromUs, untilUs, lease.sinceUs() + offsetUs));
         }
-        return table;
+        return new ShardTable(entries, retryUs);
     }
 
     /**
@@ -82,20 +86,19 @@
 
     @Override
     public long owner(long customer, boolean passedOn, long nowUs) {
-        int shard = shard(customer, tiers.length);
-        boolean known = isOwn[shard] && fromUs[shard] != Long.MAX_VALUE;
-        if (known && nowUs < fromUs[shard]) {
-            return nowUs - fromUs[shard]; // whoever had it may still act on it
-        }
-        if (known && nowUs < untilUs[shard]) {
+        Entry entry = entries.get(shard(customer, entries.size()));
+        if (entry.isActive(nowUs)) {
             return 0;
         }
-        return passedOn || tiers[shard] == NO_TIER ? -retryUs : tiers[shard];
+        if (entry.isOwn && entry.fromUs != Long.MAX_VALUE && nowUs < entry.fromUs) {
+            return nowUs - entry.fromUs; // the former owner may still act on it
+        }
+        return passedOn || entry.tier == NO_TIER ? -retryUs : entry.tier;
     }
 
     @Override
     public long ownershipAgeUs(long customer, long nowUs) {
-        return Math.max(0, nowUs - sinceUs[shard(customer, isOwn.length)]);
+        return Math.max(0, nowUs - entries.get(shard(customer, entries.size())).sinceUs);
     }
 
     /**
@@ -105,10 +108,9 @@
      * @return a character a shard: 'x' where it may act now, '-' where it may not
      */
     public String activeShards(long nowUs) {
-        StringBuilder active = new StringBuilder();
-        for (int shard = 0; shard < isOwn.length; shard++) {
-            boolean isActive = isOwn[shard] && nowUs >= fromUs[shard] && nowUs < untilUs[shard];
-            active.append(isActive ? ACTIVE : INACTIVE);
+        StringBuilder active = new StringBuilder(entries.size());
+        for (Entry entry : entries) {
+            active.append(entry.isActive(nowUs) ? ACTIVE : INACTIVE);
         }
         return active.toString();
     }
