--- a/src/rig/java/hopdrum/rig/trial/DoorProcesses.java
+++ b/src/rig/java/hopdrum/rig/trial/DoorProcesses.java
@@ -20,6 +20,9 @@
     private static final List<String> JVM_OPTIONS =
             List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-Xss512k");
 
+    /** Runs a door with a fault on purpose; by name, because it is started in a process of its own. */
+    private static final String PLANTED_FAULT_CLASS = "hopdrum.rig.planted.Planted";
+
     private final Testbed testbed;
     private final DoorConfiguration configuration;
     private final EventJournal journal;
@@ -93,8 +96,7 @@
                     jar,
                     target.resolve("lib") + "/*",
                     target.resolve("test-classes").toString());
-            command.addAll(
-                    List.of("-cp", classPath, "hopdrum.rig.planted.Planted", door.planted(), fleetFile.toString()));
+            command.addAll(List.of("-cp", classPath, PLANTED_FAULT_CLASS, door.planted(), fleetFile.toString()));
         }
         return command;
     }
