--- /dev/null
+++ b/src/test/java/hopdrum/ArchitectureTest.java
@@ -0,0 +1,164 @@
+package hopdrum;
+
+import static com.tngtech.archunit.base.DescribedPredicate.not;
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.equivalentTo;
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAPackage;
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAnyPackage;
+import static com.tngtech.archunit.core.domain.properties.HasName.Predicates.nameMatching;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+
+import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.importer.ImportOption;
+import com.tngtech.archunit.core.importer.Location;
+import com.tngtech.archunit.junit.AnalyzeClasses;
+import com.tngtech.archunit.junit.ArchTest;
+import com.tngtech.archunit.lang.ArchRule;
+import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
+import java.nio.ByteBuffer;
+import java.util.SplittableRandom;
+import java.util.regex.Pattern;
+
+/** The dependencies that docs/architecture.md allows, checked in the compiled classes of the product and the rig. */
+@AnalyzeClasses(packages = "hopdrum", importOptions = ArchitectureTest.ProductAndRig.class)
+class ArchitectureTest {
+    private static final String POLICY = "hopdrum.policy..";
+    private static final String HOST = "hopdrum.host..";
+    private static final String FLEET = "hopdrum.fleet..";
+    private static final String FRONT_DOOR = "hopdrum.frontdoor..";
+    private static final String BENCH_LINK = "hopdrum.benchlink..";
+    private static final String CHECKER = "hopdrum.rig.check..";
+
+    /** The rig is compiled beside the tests; tests share the packages of what they test and are left out. */
+    static final class ProductAndRig implements ImportOption {
+        private static final Pattern PRODUCT = Pattern.compile(".*/target/classes/.*");
+        private static final Pattern RIG = Pattern.compile(".*/target/test-classes/hopdrum/rig/[a-z]+/.*");
+
+        @Override
+        public boolean includes(Location location) {
+            return location.matches(PRODUCT) || location.matches(RIG);
+        }
+    }
+
+    // ---- The policy decides and does nothing else ----
+
+    @ArchTest
+    static void policyUsesNoInputOrOutput(JavaClasses classes) {
+        ArchRule rule = noClasses()
+                .that()
+                .resideInAPackage(POLICY)
+                .should()
+                .dependOnClassesThat(resideInAnyPackage("java.io..", "java.net..", "javax.net..", "java.nio..")
+                        .and(not(equivalentTo(ByteBuffer.class))))
+                .because("the host does all input and output for the policy");
+        rule.check(classes);
+    }
+
+    @ArchTest
+    static void policyStartsNoThreadsOrProcesses(JavaClasses classes) {
+        ArchRule rule = noClasses()
+                .that()
+                .resideInAPackage(POLICY)
+                .should()
+                .dependOnClassesThat(resideInAPackage("java.util.concurrent..")
+                        .or(nameMatching(
+                                "java\\.lang\\.(Thread|ThreadGroup|ThreadLocal|Process|ProcessBuilder|Runtime)"))
+                        .or(nameMatching("java\\.util\\.(Timer|TimerTask)")))
+                .because("the policy runs in its host's one thread");
+        rule.check(classes);
+    }
+
+    @ArchTest
+    static void policyReadsNoClock(JavaClasses classes) {
+        ArchRule rule = noClasses()
+                .that()
+                .resideInAPackage(POLICY)
+                .should()
+                .callMethod(System.class, "currentTimeMillis")
+                .orShould()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .dependOnClassesThat()
+                .resideInAPackage("java.time..")
+                .orShould()
+                .dependOnClassesThat()
+                .haveNameMatching("java\\.util\\.(Date|Calendar|GregorianCalendar)")
+                .because("the host tells the policy the time, so that a simulated day is the same each time");
+        rule.check(classes);
+    }
+
+    @ArchTest
+    static void policyDrawsNoUnseededRandomNumbers(JavaClasses classes) {
+        ArchRule rule = noClasses()
+                .that()
+                .resideInAPackage(POLICY)
+                .should()
+                .callMethod(Math.class, "random")
+                .orShould()
+                .callMethod(StrictMath.class, "random")
+                .orShould()
+                .callConstructor(SplittableRandom.class)
+                .orShould()
+                .dependOnClassesThat()
+                .haveNameMatching("java\\.util\\.Random|java\\.security\\.SecureRandom|java\\.util\\.UUID")
+                .because("the seed decides all that the policy draws");
+        rule.check(classes);
+    }
+
+    @ArchTest
+    static void policyDependsOnTheHostInterfaceAlone(JavaClasses classes) {
+        ArchRule rule = ArchRuleDefinition.classes()
+                .that()
+                .resideInAPackage(POLICY)
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage(POLICY, HOST, "java.lang..", "java.util..");
+        rule.check(classes);
+    }
+
+    // ---- What may know of what ----
+
+    @ArchTest
+    static void hostInterfaceDependsOnNothingElseOfHopdrum(JavaClasses classes) {
+        ArchRule rule = noClasses()
+                .that()
+                .resideInAPackage(HOST)
+                .should()
+                .dependOnClassesThat(resideInAPackage("hopdrum..").and(not(resideInAPackage(HOST))));
+        rule.check(classes);
+    }
+
+    @ArchTest
+    static void fleetDoesNotDependOnTheFrontDoor(JavaClasses classes) {
+        ArchRule rule = noClasses()
+                .that()
+                .resideInAPackage(FLEET)
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage(FRONT_DOOR)
+                .because(
+                        "clients, backends, discovery and the counter are the front door's: the fleet uses no platform socket");
+        rule.check(classes);
+    }
+
+    @ArchTest
+    static void plainServeLoadsNoFleetClass(JavaClasses classes) {
+        ArchRule rule = noClasses()
+                .that()
+                .resideInAnyPackage(FRONT_DOOR, POLICY, HOST, BENCH_LINK)
+                .should()
+                .dependOnClassesThat(
+                        resideInAnyPackage(FLEET, "com.fasterxml..", "org.yaml..", "org.apache.commons.codec.."))
+                .because("a serve without --fleet starts without the fleet's libraries");
+        rule.check(classes);
+    }
+
+    @ArchTest
+    static void checkerSharesNothingWithWhatItChecks(JavaClasses classes) {
+        ArchRule rule = noClasses()
+                .that()
+                .resideInAPackage(CHECKER)
+                .should()
+                .dependOnClassesThat(resideInAnyPackage("hopdrum..").and(not(resideInAPackage("hopdrum.rig.."))));
+        rule.check(classes);
+    }
+}
