--- a/src/main/java/hopdrum/policy/Policy.java
+++ b/src/main/java/hopdrum/policy/Policy.java
@@ -130,12 +130,11 @@
     private boolean isAdmittedAtOnce(TrackedRequest request) {
         CustomerQuota customer = request.customer;
         double units = request.units();
-        // 1. Beyond quota for certain: too many open, or a reading not yet refilled says so. A late retry takes no
-        // units.
+        // 1. Beyond quota for certain: too many open, or a reading not yet refilled says so.
         customer.touch();
         CustomerOwner owner = host.customerOwner(request.id, customer.customer());
         long waitUs = owner.isPartner() ? 0 : Math.max(owner.retryAfterUs(), customer.refillWaitUs(units));
-        boolean late = request.isTooLate();
+        boolean late = request.isTooLate(); // a client's retry past its soft deadline takes no units
         if (late || customer.isAtConcurrencyLimit() || waitUs > 0) {
             dispatcher.finish(request, late ? 0 : customer.retryAfterUs(waitUs, units));
             return false;
