--- a/src/main/java/hopdrum/fleet/view/LatencySharing.java
+++ b/src/main/java/hopdrum/fleet/view/LatencySharing.java
@@ -42,7 +42,8 @@
             Member peer = measuredLongestAgo(candidates);
             candidates.removeIf(member -> member.site().equals(peer.site()));
             long sequence = map.startProbe(peer, nowUs);
-            context.sender().send(peer.address(), new Message.LatencyExchange(sequence, false, map.readingsToShare(nowUs)));
+            context.sender()
+                    .send(peer.address(), new Message.LatencyExchange(sequence, false, map.readingsToShare(nowUs)));
         }
     }
 
@@ -60,7 +61,9 @@
         map.merge(exchange.readings(), nowUs);
         if (!exchange.answer()) {
             context.sender()
-                    .send(from.address(), new Message.LatencyExchange(exchange.seq(), true, map.readingsToShare(nowUs)));
+                    .send(
+                            from.address(),
+                            new Message.LatencyExchange(exchange.seq(), true, map.readingsToShare(nowUs)));
         } else if (nowUs - lastTickUs < context.timing().periodUs()) { // else a pause may be part of the round trip
             map.completeProbe(from, exchange.seq(), nowUs);
         }
--- a/src/main/java/hopdrum/frontdoor/FrontDoor.java
+++ b/src/main/java/hopdrum/frontdoor/FrontDoor.java
@@ -77,7 +77,8 @@
                 config.listen(),
                 budget,
                 new RequestHandler(config, loop, host.policy(), requests, tally, fleet, endpoints));
-        loop.execute(() -> loop.in(DISCOVERY_TIMEOUT_US, this::startAccepting)); // the loop's clock stands still till then
+        loop.execute(
+                () -> loop.in(DISCOVERY_TIMEOUT_US, this::startAccepting)); // the loop's clock stands still till then
         loop.in(HOUSEKEEPING_INTERVAL_US, this::closeUnusedConnections);
         tally.start();
     }
--- a/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
@@ -4,7 +4,6 @@
 import hopdrum.frontdoor.lifecycle.StreamConnection;
 import hopdrum.frontdoor.wire.CounterProtocol;
 import hopdrum.frontdoor.wire.CounterReply;
-import hopdrum.frontdoor.wire.CounterReply;
 import hopdrum.frontdoor.wire.HttpReader;
 import hopdrum.frontdoor.wire.MalformedMessageException;
 import hopdrum.host.Outcome;
--- a/src/test/java/hopdrum/fleet/SettledViewsTest.java
+++ b/src/test/java/hopdrum/fleet/SettledViewsTest.java
@@ -163,7 +163,8 @@
                     swarm.setLinkFilter((a, b) -> (cut >> Integer.parseInt(a.substring(1)) & 1)
                             == (cut >> Integer.parseInt(b.substring(1)) & 1));
                 case 3 ->
-                    swarm.setLinkFilter((a, b) -> (cut >> Integer.parseInt(a.substring(1)) & 1) == 0 || a.compareTo(b) < 0);
+                    swarm.setLinkFilter(
+                            (a, b) -> (cut >> Integer.parseInt(a.substring(1)) & 1) == 0 || a.compareTo(b) < 0);
                 case 4 -> swarm.setLoss(random.nextDouble() / 2);
                 case 5 -> swarm.setDelayUs(1_000 + random.nextLong(SECOND_US));
                 default -> {
--- a/src/test/java/hopdrum/frontdoor/PartnerFrontDoorTest.java
+++ b/src/test/java/hopdrum/frontdoor/PartnerFrontDoorTest.java
@@ -1,8 +1,8 @@
 package hopdrum.frontdoor;
 
-import hopdrum.host.CustomerOwner;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import hopdrum.host.CustomerOwner;
 import hopdrum.host.ShardOwnership;
 import java.util.ArrayList;
 import java.util.List;
