--- a/src/main/java/hopdrum/fleet/view/FleetTiming.java
+++ b/src/main/java/hopdrum/fleet/view/FleetTiming.java
@@ -20,7 +20,7 @@
     }
 
     /**
-     * The shortest time from suspicion to death, with all confirmations: a member that was paused for less, and is told of
+     * The shortest time from suspicion to death, with all confirmations: a member that was paused for less, and learns of
      * its suspicion, is not dropped.
      */
     public long minSuspicionUs() {
--- a/src/main/java/hopdrum/fleet/view/FullStateExchanges.java
+++ b/src/main/java/hopdrum/fleet/view/FullStateExchanges.java
@@ -15,7 +15,7 @@
     private static final int EXCHANGE_PERIODS = 10;
     private static final int FULL_RATE_MEMBERS = 16; // in larger fleets exchanges are rarer: their bytes stay flat
     private static final int REJOIN_PERIODS = 3; // between two tries to reach a seed or one of the dead
-    private static final int LEAVE_FANOUT = 5; // peers that are told of a departure at once
+    private static final int LEAVE_FANOUT = 5; // peers that are notified of a departure at once
 
     private final String selfAddress;
     private final List<String> seeds;
@@ -97,7 +97,7 @@
         return missing;
     }
 
-    /** Tells some peers at once that this member leaves; gossip tells the others. */
+    /** Notifies some peers at once that this member leaves; gossip reaches the others. */
     void announceDeparture() {
         for (Peer peer : peers.sample(LEAVE_FANOUT, Peer::isPresent)) {
             messenger.exchangeFullState(peer.address(), true);
--- a/src/main/java/hopdrum/fleet/view/LatencySharing.java
+++ b/src/main/java/hopdrum/fleet/view/LatencySharing.java
@@ -5,7 +5,7 @@
 import hopdrum.fleet.message.Message;
 import java.util.List;
 
-/** Measures and shares latencies: each period some peers of the sites measured longest ago are asked and told. */
+/** Measures and shares latencies: each period readings are exchanged with peers at the sites measured longest ago. */
 final class LatencySharing {
     private static final int PEERS_PER_PERIOD = 3;
 
--- a/src/main/java/hopdrum/fleet/view/LocalMember.java
+++ b/src/main/java/hopdrum/fleet/view/LocalMember.java
@@ -35,7 +35,7 @@
         announce();
     }
 
-    /** A peer's update is about this member's name: refutes what is wrong, and tells a later start that the name is taken. */
+    /** A peer's update is about this member's name: refutes what is wrong, and notifies a later start that the name is taken. */
     void onUpdate(GossipUpdate update) {
         if (leaving) {
             return;
--- a/src/main/java/hopdrum/fleet/view/PeerUpdates.java
+++ b/src/main/java/hopdrum/fleet/view/PeerUpdates.java
@@ -168,8 +168,8 @@
         listener.onStateChange(peer, update.state());
         boolean wasSuspect = peer.is(State.SUSPECT);
         peer.apply(update, nowUs);
-        boolean ownWord = update.by().equals(self.name());
-        if (!(wasSuspect && update.state() == State.ALIVE && ownWord)) {
+        boolean ownUpdate = update.by().equals(self.name());
+        if (!(wasSuspect && update.state() == State.ALIVE && ownUpdate)) {
             announce(peer, update.by());
         }
     }
--- a/src/main/java/hopdrum/fleet/view/ViewCatchUp.java
+++ b/src/main/java/hopdrum/fleet/view/ViewCatchUp.java
@@ -4,7 +4,7 @@
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.message.View;
 
-/** Brings members that hold different settled views to the latest: one that is behind asks for it or is told. */
+/** Brings members that hold different settled views to the latest: one that is behind asks for it, or is sent it. */
 final class ViewCatchUp {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
--- a/src/main/java/hopdrum/fleet/view/ViewConsensus.java
+++ b/src/main/java/hopdrum/fleet/view/ViewConsensus.java
@@ -202,7 +202,7 @@
 
     // ---- Settled views ----
 
-    /** This member's proposal has a quorum: adopts the view, and tells the voters, its members and all who are present. */
+    /** This member's proposal has a quorum: adopts the view, and sends it to the voters, its members and all who are present. */
     private void settle(View settled, long nowUs) {
         Set<Member> recipients = new HashSet<>(electorate.voters(view));
         adopt(settled, ConsensusLog.Source.OWN_PROPOSAL, nowUs);
