--- a/src/main/java/hopdrum/fleet/config/FleetFile.java
+++ b/src/main/java/hopdrum/fleet/config/FleetFile.java
@@ -59,14 +59,10 @@
      * @throws InvalidFileException with all faults, each with file, line, key, what was found and what was expected
      */
     public static FleetFile read(Path file) throws InvalidFileException {
-        YamlFileReader reader = YamlFileReader.open(file);
-        FleetFile settings = read(reader);
-        reader.throwIfFaulty();
-        return settings;
+        return read(YamlFileReader.open(file));
     }
 
-    /** Null stands for what is missing: then there is a fault. */
-    private static FleetFile read(YamlFileReader reader) {
+    private static FleetFile read(YamlFileReader reader) throws InvalidFileException {
         String fleet = reader.text("fleet", null, Member::isName, NAME);
         String operator = reader.text("operator", null, Member::isName, NAME);
         List<String> operators = reader.list("operators", false, Member::isName, NAME);
@@ -86,17 +82,18 @@
         checkShardsNamed(reader, shards, serves + terms);
         FleetTiming timing = readTiming(reader);
         checkOwnOperatorListed(reader, operators, operator);
+        reader.throwIfFaulty();
         return new FleetFile(
                 fleet,
                 operator,
-                operators.isEmpty() && operator != null ? List.of(operator) : operators,
+                operators.isEmpty() ? List.of(operator) : operators,
                 site,
                 name,
                 listen,
                 advertise,
                 seeds,
                 founders,
-                pathOrNull(store),
+                Path.of(store),
                 pathOrNull(log),
                 timing,
                 placement.equals("map"),
@@ -107,7 +104,7 @@
     }
 
     private static Path pathOrNull(String text) {
-        return text == null || text.isEmpty() ? null : Path.of(text);
+        return text.isEmpty() ? null : Path.of(text);
     }
 
     /** The keys serves and terms mean nothing without shards. */
