--- a/src/rig/java/hopdrum/rig/faulty/RogueMember.java
+++ b/src/rig/java/hopdrum/rig/faulty/RogueMember.java
@@ -126,7 +126,7 @@
                 starts.path("gateway").asInt(),
                 starts.path("address").asText());
         String fleet = setting("fleet");
-        String[] peers = setting("seeds").replaceAll("[\\[\\]\" ]", "").split(",");
+        String[] peers = setting("seeds").replaceAll("[\\[\\]\" ]", "").split(",", -1);
         long number = view.path("number").asLong() + 1;
         for (int i = 0; i < peers.length; i++) {
             List<Member> members = new ArrayList<>(List.of(self));
