--- a/src/test/java/hopdrum/ArchitectureTest.java
+++ b/src/test/java/hopdrum/ArchitectureTest.java
@@ -6,7 +6,10 @@
 import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAnyPackage;
 import static com.tngtech.archunit.core.domain.properties.HasName.Predicates.nameMatching;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
+import com.tngtech.archunit.base.DescribedPredicate;
+import com.tngtech.archunit.core.domain.JavaClass;
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.core.importer.Location;
@@ -14,6 +17,8 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
+import com.tngtech.archunit.library.dependencies.SliceAssignment;
+import com.tngtech.archunit.library.dependencies.SliceIdentifier;
 import java.nio.ByteBuffer;
 import java.util.SplittableRandom;
 import java.util.regex.Pattern;
@@ -115,6 +120,12 @@
         rule.check(classes);
     }
 
+    @ArchTest
+    static void policyHasNoCycleBetweenClasses(JavaClasses classes) {
+        ArchRule rule = slices().assignedFrom(new PolicyClasses()).should().beFreeOfCycles();
+        rule.check(classes);
+    }
+
     // ---- What may know of what ----
 
     @ArchTest
@@ -161,4 +172,47 @@
                 .dependOnClassesThat(resideInAnyPackage("hopdrum..").and(not(resideInAPackage("hopdrum.rig.."))));
         rule.check(classes);
     }
+
+    @ArchTest
+    static void packagesFormNoCycle(JavaClasses classes) {
+        ArchRule rule = slices().assignedFrom(new Packages()).should().beFreeOfCycles();
+        rule.check(classes);
+    }
+
+    /** Each package is a slice, the command line's too, which a pattern of subpackages would leave out. */
+    private static final class Packages implements SliceAssignment {
+        @Override
+        public SliceIdentifier getIdentifierOf(JavaClass javaClass) {
+            return javaClass.getPackageName().startsWith("hopdrum")
+                    ? SliceIdentifier.of(javaClass.getPackageName())
+                    : SliceIdentifier.ignore();
+        }
+
+        @Override
+        public String getDescription() {
+            return "packages of hopdrum";
+        }
+    }
+
+    /** Each top-level class of the policy, with its nested classes, is a slice of its own. */
+    private static final class PolicyClasses implements SliceAssignment {
+        private static final DescribedPredicate<JavaClass> IN_POLICY = resideInAPackage(POLICY);
+
+        @Override
+        public SliceIdentifier getIdentifierOf(JavaClass javaClass) {
+            if (!IN_POLICY.test(javaClass)) {
+                return SliceIdentifier.ignore();
+            }
+            JavaClass topLevel = javaClass;
+            while (topLevel.getEnclosingClass().isPresent()) {
+                topLevel = topLevel.getEnclosingClass().get();
+            }
+            return SliceIdentifier.of(topLevel.getName());
+        }
+
+        @Override
+        public String getDescription() {
+            return "top-level classes of " + POLICY;
+        }
+    }
 }
