--- a/src/main/java/hopdrum/frontdoor/wire/RingBuffer.java
+++ b/src/main/java/hopdrum/frontdoor/wire/RingBuffer.java
@@ -51,7 +51,7 @@
 
     /** The byte at a position, which is below the size. */
     public byte at(int position) {
-        return bytes[wrapped(position)];
+        return bytes[(front + position) & (bytes.length - 1)]; // as wrapped(): read for each byte of each message
     }
 
     private int wrapped(int position) {
