--- a/src/main/java/hopdrum/frontdoor/server/ConfigReload.java
+++ b/src/main/java/hopdrum/frontdoor/server/ConfigReload.java
@@ -46,7 +46,7 @@
      */
     private void reloadIfReplaced() {
         if (file.toFile().lastModified() != lastModifiedMs) {
-            LOG.info("discovery has left and the configuration was replaced: read anew", null);
+            LOG.info("discovery is gone and the configuration was replaced: reloading", null);
             reload();
         }
     }
@@ -56,7 +56,7 @@
         try {
             door.follow(Config.read(file));
         } catch (IllegalArgumentException e) {
-            LOG.warning("the new configuration cannot be used, the old one stands", e.getMessage());
+            LOG.warning("the new configuration is unusable, keeping the old one", e.getMessage());
         }
     }
 }
--- a/src/main/java/hopdrum/frontdoor/wire/CounterProtocol.java
+++ b/src/main/java/hopdrum/frontdoor/wire/CounterProtocol.java
@@ -59,7 +59,8 @@
         return switch (response.status()) {
             case 200 -> new CounterReply(Outcome.OK, total(ring, response));
             case 400, 404, 503 -> new CounterReply(Outcome.AT_CAPACITY, 0);
-            default -> throw new MalformedMessageException(400, "the counter answers " + response.status());
+            default ->
+                throw new MalformedMessageException(400, "the counter responded with status " + response.status());
         };
     }
 
@@ -74,6 +75,6 @@
         } catch (NumberFormatException e) {
             // named below, together with what is no finite number
         }
-        throw new MalformedMessageException(400, "the counter's total is no number");
+        throw new MalformedMessageException(400, "the counter's total is not a number");
     }
 }
--- a/src/main/java/hopdrum/frontdoor/wire/EndpointListReader.java
+++ b/src/main/java/hopdrum/frontdoor/wire/EndpointListReader.java
@@ -61,7 +61,7 @@
                 return false;
             }
             if (head.status() != 200) {
-                throw new MalformedMessageException(400, "discovery answers " + head.status());
+                throw new MalformedMessageException(400, "discovery responded with status " + head.status());
             }
             inBody = true;
             chunks = head.isChunked() ? new ChunkedDecoder() : null;
--- a/src/main/java/hopdrum/frontdoor/wire/HeaderFields.java
+++ b/src/main/java/hopdrum/frontdoor/wire/HeaderFields.java
@@ -23,7 +23,7 @@
             colon++;
         }
         if (colon == from || colon == to || ring.at(colon) != ':') {
-            throw new MalformedMessageException(400, "a field has no name");
+            throw new MalformedMessageException(400, "a header field has no name");
         }
         int valueFrom = colon + 1;
         while (valueFrom < to && Ascii.isBlank(ring.at(valueFrom))) {
--- a/src/main/java/hopdrum/frontdoor/wire/HttpHeadParser.java
+++ b/src/main/java/hopdrum/frontdoor/wire/HttpHeadParser.java
@@ -33,7 +33,7 @@
             byte b = ring.at(scanned++);
             if (kind == HttpReader.Kind.RESPONSE && scanned <= HTTP_1.length && b != HTTP_1[scanned - 1]) {
                 // Found at once, since bytes that are no HTTP may never hold a line break.
-                throw new MalformedMessageException(400, "no answer of HTTP/1");
+                throw new MalformedMessageException(400, "not an HTTP/1 response");
             }
             if (b == '\n') {
                 if (lineEnds(ring)) {
--- a/src/main/java/hopdrum/frontdoor/wire/HttpReader.java
+++ b/src/main/java/hopdrum/frontdoor/wire/HttpReader.java
@@ -105,7 +105,7 @@
             if (kind == Kind.REQUEST || head.status() >= 200) {
                 startBody(ring);
             } else if (head.status() == 101 || ++interimResponses > MAX_INTERIM_RESPONSES) {
-                throw new MalformedMessageException(400, "a switch of protocols, or interim answers without end");
+                throw new MalformedMessageException(400, "a protocol switch, or too many interim responses");
             } else {
                 end = head.headTo();
                 done(ring);
--- a/src/main/java/hopdrum/frontdoor/wire/RequestHead.java
+++ b/src/main/java/hopdrum/frontdoor/wire/RequestHead.java
@@ -121,7 +121,7 @@
             throw new MalformedMessageException(405, "the verb does not fit the method");
         }
         if (isGet && request.bodyTo() > request.bodyFrom()) {
-            throw new MalformedMessageException(400, "a body where there is none");
+            throw new MalformedMessageException(400, "a GET request with a body");
         }
         if (safety == Method.RetrySafety.DEDUPLICATED) {
             HeaderFields fields = request.fields();
@@ -217,7 +217,7 @@
             } else if (name.equals("first") && firstGateway < 0) {
                 firstGateway = (int) whole(value);
             } else if (QUOTA_NAMES.contains(name)) {
-                throw new MalformedMessageException(400, "Quota-Info says one thing twice");
+                throw new MalformedMessageException(400, "Quota-Info has an element twice");
             }
         }
         if (!(units > 0 && units <= maxUnits)
