--- a/src/main/java/hopdrum/fleet/Fleet.java
+++ b/src/main/java/hopdrum/fleet/Fleet.java
@@ -58,11 +58,12 @@
         public Optional<String> rejectionReason(Message.Hello hello) {
             return PeerAdmission.rejectionReason(file, hello).or(() -> {
                 synchronized (Fleet.this) {
-                    Member known =
-                            membership.failureDetector().latestStart(hello.who().name());
+                    Member known = membership
+                            .failureDetector()
+                            .latestStart(hello.sender().name());
                     boolean isSameStart =
-                            known != null && known.start() == hello.who().start();
-                    return isSameStart && !known.equals(hello.who())
+                            known != null && known.start() == hello.sender().start();
+                    return isSameStart && !known.equals(hello.sender())
                             ? Optional.of("the name is another's")
                             : Optional.empty();
                 }
--- a/src/main/java/hopdrum/fleet/FleetStatusLog.java
+++ b/src/main/java/hopdrum/fleet/FleetStatusLog.java
@@ -67,7 +67,7 @@
                 "number",
                 view.number(),
                 "in_view",
-                view.has(self),
+                view.contains(self),
                 "members",
                 view.members().size(),
                 "alive",
--- a/src/main/java/hopdrum/fleet/PeerAdmission.java
+++ b/src/main/java/hopdrum/fleet/PeerAdmission.java
@@ -16,7 +16,7 @@
         if (hello.shards() != file.shards() || (file.shards() > 0 && hello.maxAloneMs() != file.maxAloneMs())) {
             return Optional.of("other shards or most_alone_ms"); // a receiver waits out the time that a giver may have
         }
-        if (!file.operators().contains(hello.who().operator())) {
+        if (!file.operators().contains(hello.sender().operator())) {
             return Optional.of("an unknown operator");
         }
         return Optional.empty();
--- a/src/main/java/hopdrum/fleet/latency/LatencyMap.java
+++ b/src/main/java/hopdrum/fleet/latency/LatencyMap.java
@@ -125,7 +125,7 @@
      */
     public void completeProbe(Member peer, long seq, long nowUs) {
         OutstandingProbe probe = outstanding.remove(seq);
-        if (probe != null && probe.peer.is(peer)) {
+        if (probe != null && probe.peer.isSameStart(peer)) {
             addSample(peer, nowUs - probe.sentAtUs, nowUs);
         }
     }
--- a/src/main/java/hopdrum/fleet/link/PeerConnections.java
+++ b/src/main/java/hopdrum/fleet/link/PeerConnections.java
@@ -197,9 +197,9 @@
         Message answer = rejection.isPresent() ? new Message.Rejected(rejection.get()) : hello;
         socket.getOutputStream().write(FrameCodec.encode(answer));
         if (rejection.isPresent()) {
-            throw new IOException(rejection.get() + ", " + theirs.who().name() + " of " + theirs.fleet());
+            throw new IOException(rejection.get() + ", " + theirs.sender().name() + " of " + theirs.fleet());
         }
-        return theirs.who();
+        return theirs.sender();
     }
 
     private synchronized boolean isClosed() {
--- a/src/main/java/hopdrum/fleet/message/GossipUpdate.java
+++ b/src/main/java/hopdrum/fleet/message/GossipUpdate.java
@@ -1,14 +1,20 @@
 package hopdrum.fleet.message;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+
 /**
  * What one member believes of another, as it travels by gossip.
  *
- * @param about the member that it is about
- * @param incarnation raised by the member that it is about alone, to refute a suspicion
+ * @param subject the member whose state is reported
+ * @param incarnation raised by the subject alone, to refute a suspicion
  * @param state the believed state
- * @param by the name of the member that observed it, for suspicions
+ * @param reporter the name of the member that observed it, for suspicions
  */
-public record GossipUpdate(Member about, long incarnation, State state, String by) {
+public record GossipUpdate(
+        @JsonProperty("about") Member subject,
+        long incarnation,
+        State state,
+        @JsonProperty("by") String reporter) {
     /** States of a member; of one incarnation a later constant overrides an earlier one. */
     public enum State {
         /** It answers. */
@@ -23,7 +29,7 @@
 
     /** Checks the components; throws IllegalArgumentException where one cannot be. */
     public GossipUpdate {
-        Member.check(about != null && state != null && Member.isName(by), "a rumour");
+        Member.check(subject != null && state != null && Member.isName(reporter), "a gossip update");
         Member.check(incarnation >= 0 && incarnation < Integer.MAX_VALUE, "an incarnation");
     }
 }
--- a/src/main/java/hopdrum/fleet/message/Member.java
+++ b/src/main/java/hopdrum/fleet/message/Member.java
@@ -6,7 +6,7 @@
  * One start of one front door.
  *
  * @param name its name in the fleet, the same after a restart
- * @param start a number that grows with each start of this name; tells starts apart
+ * @param start a number that grows with each start of this name; distinguishes restarts
  * @param voter drawn when its store was made: who it is where views are agreed
  * @param operator who runs it
  * @param site where it stands
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Tells whether a text may be the name of a member, operator, site, fleet or agreement.
+     * Returns whether a text is valid as the name of a member, operator, site, fleet or agreement.
      *
      * @param text the text; may be null
      * @return true for letters, digits, dot, dash and underscore, 64 at most, the first a letter or digit
@@ -55,12 +55,12 @@
     }
 
     /**
-     * Tells whether another record is of the same start of the same front door.
+     * Returns whether another record describes the same start of the same front door.
      *
      * @param other the other; may be null
      * @return true where name, start and voter are the same
      */
-    public boolean is(Member other) {
+    public boolean isSameStart(Member other) {
         return other != null && start == other.start && voter == other.voter && name.equals(other.name);
     }
 
--- a/src/main/java/hopdrum/fleet/message/Message.java
+++ b/src/main/java/hopdrum/fleet/message/Message.java
@@ -42,9 +42,9 @@
     /** The most agreement proposals of one message. */
     int MAX_PROPOSALS = 32;
 
-    private static List<GossipUpdate> checkedUpdates(List<GossipUpdate> rumours) {
-        Member.check(rumours != null && rumours.size() <= MAX_LIST_SIZE, "rumours");
-        return List.copyOf(rumours);
+    private static List<GossipUpdate> checkedUpdates(List<GossipUpdate> updates) {
+        Member.check(updates != null && updates.size() <= MAX_LIST_SIZE, "gossip updates");
+        return List.copyOf(updates);
     }
 
     private static void checkViewId(long era, long number) {
@@ -52,23 +52,24 @@
     }
 
     /**
-     * The first message on each connection, in both directions: who speaks, of which fleet, in which version.
+     * The first message on each connection, in both directions: the sender, its fleet and its protocol version.
      *
      * @param version the sender's protocol version
      * @param fleet the fleet's name
      * @param shards the number of shards; 0 where none are shared
      * @param maxAloneMs the longest that an operator may act alone, milliseconds; 0 where no shards are shared
-     * @param who the sender
+     * @param sender the sender
      */
     record Hello(
             int version,
             String fleet,
             int shards,
             @JsonProperty("mostAloneMs") long maxAloneMs,
-            Member who) implements Message {
+            @JsonProperty("who") Member sender)
+            implements Message {
         /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Hello {
-            Member.check(who != null && Member.isName(fleet), "a hello");
+            Member.check(sender != null && Member.isName(fleet), "a hello");
         }
 
         /**
@@ -76,10 +77,10 @@
          *
          * @param version the sender's protocol version
          * @param fleet the fleet's name
-         * @param who the sender
+         * @param sender the sender
          */
-        public Hello(int version, String fleet, Member who) {
-            this(version, fleet, 0, 0, who);
+        public Hello(int version, String fleet, Member sender) {
+            this(version, fleet, 0, 0, sender);
         }
     }
 
@@ -98,13 +99,17 @@
      * @param seq the ping's number
      * @param era era of the sender's settled view
      * @param number number of the sender's settled view
-     * @param rumours gossip updates, most urgent first
+     * @param updates gossip updates, most urgent first
      */
-    record Ping(long seq, long era, long number, List<GossipUpdate> rumours) implements Message {
+    record Ping(
+            long seq,
+            long era,
+            long number,
+            @JsonProperty("rumours") List<GossipUpdate> updates) implements Message {
         /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Ping {
             checkViewId(era, number);
-            rumours = checkedUpdates(rumours);
+            updates = checkedUpdates(updates);
         }
     }
 
@@ -114,13 +119,17 @@
      * @param seq the ping's number
      * @param era era of the sender's settled view
      * @param number number of the sender's settled view
-     * @param rumours gossip updates, most urgent first
+     * @param updates gossip updates, most urgent first
      */
-    record Ack(long seq, long era, long number, List<GossipUpdate> rumours) implements Message {
+    record Ack(
+            long seq,
+            long era,
+            long number,
+            @JsonProperty("rumours") List<GossipUpdate> updates) implements Message {
         /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Ack {
             checkViewId(era, number);
-            rumours = checkedUpdates(rumours);
+            updates = checkedUpdates(updates);
         }
     }
 
@@ -128,14 +137,17 @@
      * Asks the receiver to ping another member on the sender's behalf.
      *
      * @param seq the number that the ack is to have
-     * @param whom the member to ping
-     * @param rumours gossip updates, most urgent first
+     * @param target the member to ping
+     * @param updates gossip updates, most urgent first
      */
-    record PingRequest(long seq, Member whom, List<GossipUpdate> rumours) implements Message {
+    record PingRequest(
+            long seq,
+            @JsonProperty("whom") Member target,
+            @JsonProperty("rumours") List<GossipUpdate> updates) implements Message {
         /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public PingRequest {
-            Member.check(whom != null, "nobody to ping");
-            rumours = checkedUpdates(rumours);
+            Member.check(target != null, "nobody to ping");
+            updates = checkedUpdates(updates);
         }
     }
 
@@ -152,13 +164,17 @@
      * @param answer whether this answers an exchange; one that does not asks for the same
      * @param era era of the sender's settled view
      * @param number number of the sender's settled view
-     * @param rumours what the sender believes of each member
+     * @param updates what the sender believes of each member
      */
-    record FullStateExchange(boolean answer, long era, long number, List<GossipUpdate> rumours) implements Message {
+    record FullStateExchange(
+            boolean answer,
+            long era,
+            long number,
+            @JsonProperty("rumours") List<GossipUpdate> updates) implements Message {
         /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public FullStateExchange {
             checkViewId(era, number);
-            rumours = checkedUpdates(rumours);
+            updates = checkedUpdates(updates);
         }
     }
 
@@ -237,7 +253,7 @@
             checkViewId(era, number);
             Member.check(ballot != null && view != null, "nothing to accept");
             Member.check(
-                    number == 0 ? view.number() == 1 && view.era() > 0 : view.isNamed(era, number + 1),
+                    number == 0 ? view.number() == 1 && view.era() > 0 : view.hasId(era, number + 1),
                     "a view's number");
         }
     }
@@ -262,13 +278,14 @@
      *
      * @param era the era of the view that the next one is to follow
      * @param number the number of the view that the next one is to follow; 0 for the founding
-     * @param by the ballot that was promised
+     * @param promised the higher ballot that was promised
      */
-    record Preempted(long era, long number, Ballot by) implements Message {
+    record Preempted(
+            long era, long number, @JsonProperty("by") Ballot promised) implements Message {
         /** Checks the components; throws IllegalArgumentException where one cannot be. */
         public Preempted {
             checkViewId(era, number);
-            Member.check(by != null, "no ballot");
+            Member.check(promised != null, "no ballot");
         }
     }
 
--- a/src/main/java/hopdrum/fleet/message/View.java
+++ b/src/main/java/hopdrum/fleet/message/View.java
@@ -63,7 +63,7 @@
      * @param name the member's name
      * @return the member; null where the view has no such name
      */
-    public Member named(String name) {
+    public Member member(String name) {
         for (Member member : members) {
             if (member.name().equals(name)) {
                 return member;
@@ -73,23 +73,23 @@
     }
 
     /**
-     * Tells whether this very start of a front door is in the view.
+     * Returns whether this start of a front door is in the view.
      *
      * @param member the member
      * @return false for another start of the same name
      */
-    public boolean has(Member member) {
-        return member.is(named(member.name()));
+    public boolean contains(Member member) {
+        return member.isSameStart(member(member.name()));
     }
 
     /**
-     * Tells whether this is the view of an era and number.
+     * Returns whether this view is identified by an era and number.
      *
      * @param otherEra the era
      * @param otherNumber the number
      * @return true where both are this view's
      */
-    public boolean isNamed(long otherEra, long otherNumber) {
+    public boolean hasId(long otherEra, long otherNumber) {
         return era == otherEra && number == otherNumber;
     }
 
--- a/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
@@ -252,7 +252,7 @@
         }
         negotiation.tick(view, isSpeaker(), wallMs.getAsLong(), nowUs);
         List<Member> peers = failureDetector.present();
-        peers.removeIf(member -> member.is(self));
+        peers.removeIf(member -> member.isSameStart(self));
         sendProposals(peers, nowUs);
         sendHandOvers(peers, nowUs);
     }
@@ -286,8 +286,8 @@
     private boolean isSpeaker() {
         for (Member member : view.members()) {
             if (member.operator().equals(self.operator())
-                    && (member.is(self) || failureDetector.state(member.name()) == State.ALIVE)) {
-                return member.is(self);
+                    && (member.isSameStart(self) || failureDetector.state(member.name()) == State.ALIVE)) {
+                return member.isSameStart(self);
             }
         }
         return false;
@@ -304,7 +304,9 @@
         Map<String, List<ShardOwnership.PartnerEndpoint>> endpoints = new TreeMap<>();
         for (Member member : view.members()) {
             State state = failureDetector.state(member.name());
-            if (!member.is(self) && member.serves() != null && (state == State.ALIVE || state == State.SUSPECT)) {
+            if (!member.isSameStart(self)
+                    && member.serves() != null
+                    && (state == State.ALIVE || state == State.SUSPECT)) {
                 endpoints
                         .computeIfAbsent(member.operator(), operator -> new ArrayList<>())
                         .add(new ShardOwnership.PartnerEndpoint(
--- a/src/main/java/hopdrum/fleet/shards/ShardLeases.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardLeases.java
@@ -208,7 +208,7 @@
         if (assignment == null) {
             return null;
         }
-        boolean isInView = view.has(self);
+        boolean isInView = view.contains(self);
         List<ShardLease> shards = new ArrayList<>();
         for (int shard = 0; shard < assignment.shards(); shard++) {
             String owner = assignment.owner(shard);
--- a/src/main/java/hopdrum/fleet/view/ChangeDetector.java
+++ b/src/main/java/hopdrum/fleet/view/ChangeDetector.java
@@ -124,7 +124,7 @@
             }
         }
         for (Member member : failureDetector.present()) {
-            if (view.named(member.name()) == null && mayJoin(member, nowUs)) {
+            if (view.member(member.name()) == null && mayJoin(member, nowUs)) {
                 next.add(member);
             }
         }
@@ -135,7 +135,7 @@
     private boolean mayJoin(Member member, long nowUs) {
         long aliveForUs = nowUs - failureDetector.stateSinceUs(member.name());
         return failureDetector.state(member.name()) == State.ALIVE
-                && (member.is(self) || aliveForUs >= STABLE_PERIODS * timing.periodUs());
+                && (member.isSameStart(self) || aliveForUs >= STABLE_PERIODS * timing.periodUs());
     }
 
     private static boolean haveSameStarts(List<Member> some, List<Member> others) {
@@ -143,7 +143,7 @@
             return false;
         }
         for (int i = 0; i < some.size(); i++) {
-            if (!some.get(i).is(others.get(i))) {
+            if (!some.get(i).isSameStart(others.get(i))) {
                 return false;
             }
         }
--- a/src/main/java/hopdrum/fleet/view/Electorate.java
+++ b/src/main/java/hopdrum/fleet/view/Electorate.java
@@ -35,7 +35,7 @@
         if (isUnfounded(view)) {
             return founders.contains(member.name());
         }
-        Member settled = view.named(member.name());
+        Member settled = view.member(member.name());
         return settled != null && settled.voter() == member.voter();
     }
 
@@ -70,7 +70,7 @@
     boolean isCoordinator(View view) {
         for (Member voter : voters(view)) {
             boolean alive = failureDetector.state(voter.name()) == State.ALIVE;
-            if (alive && voter.is(failureDetector.latestStart(voter.name()))) {
+            if (alive && voter.isSameStart(failureDetector.latestStart(voter.name()))) {
                 return voter.name().equals(self.name());
             }
         }
--- a/src/main/java/hopdrum/fleet/view/FailureDetector.java
+++ b/src/main/java/hopdrum/fleet/view/FailureDetector.java
@@ -94,7 +94,7 @@
 
     /** The members that have left gracefully and are not forgotten yet. */
     public List<Member> left() {
-        return peers.members(peer -> peer.is(State.LEFT));
+        return peers.members(peer -> peer.hasState(State.LEFT));
     }
 
     /** The state of each known peer, by name. */
@@ -131,13 +131,13 @@
 
     void onPing(Member from, Message.Ping ping, long nowUs) {
         Peer peer = updates.onMessageFrom(from, nowUs);
-        updates.applyAll(ping.rumours(), nowUs);
+        updates.applyAll(ping.updates(), nowUs);
         messenger.ack(from.address(), peer, ping.seq());
     }
 
     void onAck(Member from, Message.Ack ack, long nowUs) {
         updates.onMessageFrom(from, nowUs);
-        updates.applyAll(ack.rumours(), nowUs);
+        updates.applyAll(ack.updates(), nowUs);
         suspectProbes.onAck(ack.seq());
         if (!relayedPings.onAck(ack.seq())) {
             boolean paused = nowUs - lastTickUs >= timing.periodUs() / 2;
@@ -147,7 +147,7 @@
 
     void onPingRequest(Member from, Message.PingRequest request, long nowUs) {
         updates.onMessageFrom(from, nowUs);
-        updates.applyAll(request.rumours(), nowUs);
+        updates.applyAll(request.updates(), nowUs);
         relayedPings.onRequest(from, request, nowUs);
     }
 
@@ -158,7 +158,7 @@
 
     void onFullStateExchange(Member from, Message.FullStateExchange exchange, long nowUs) {
         updates.onMessageFrom(from, nowUs);
-        updates.applyAll(exchange.rumours(), nowUs);
+        updates.applyAll(exchange.updates(), nowUs);
         if (!exchange.answer()) {
             messenger.exchangeFullState(from.address(), true);
         }
--- a/src/main/java/hopdrum/fleet/view/FullStateExchanges.java
+++ b/src/main/java/hopdrum/fleet/view/FullStateExchanges.java
@@ -90,7 +90,7 @@
             }
         }
         for (Peer peer : peers.all()) {
-            if (peer.is(State.DEAD) && !present.contains(peer.address())) {
+            if (peer.hasState(State.DEAD) && !present.contains(peer.address())) {
                 missing.add(peer.address());
             }
         }
--- a/src/main/java/hopdrum/fleet/view/GossipQueue.java
+++ b/src/main/java/hopdrum/fleet/view/GossipQueue.java
@@ -28,7 +28,7 @@
 
     /** Replaces what is pending about that member, and counts its sends from 0. */
     void enqueue(GossipUpdate update) {
-        Pending pending = pendingByName.computeIfAbsent(update.about().name(), name -> new Pending());
+        Pending pending = pendingByName.computeIfAbsent(update.subject().name(), name -> new Pending());
         pending.update = update;
         pending.sends = 0;
     }
@@ -45,7 +45,7 @@
      */
     List<GossipUpdate> updatesFor(Peer recipient, int knownPeers) {
         List<GossipUpdate> updates = new ArrayList<>(MAX_UPDATES_PER_MESSAGE);
-        if (!recipient.is(State.ALIVE)) {
+        if (!recipient.hasState(State.ALIVE)) {
             updates.add(recipient.toUpdate(observer));
         }
         List<Pending> leastSentFirst = new ArrayList<>(pendingByName.values());
@@ -54,7 +54,7 @@
             if (updates.size() >= MAX_UPDATES_PER_MESSAGE) {
                 break;
             }
-            if (!pending.update.about().name().equals(recipient.member().name())) {
+            if (!pending.update.subject().name().equals(recipient.member().name())) {
                 updates.add(pending.update);
                 pending.sends++;
             }
--- a/src/main/java/hopdrum/fleet/view/LatencySharing.java
+++ b/src/main/java/hopdrum/fleet/view/LatencySharing.java
@@ -36,7 +36,7 @@
         }
         nextExchangeUs = nowUs + context.timing().periodUs();
         List<Member> candidates = failureDetector.present();
-        candidates.removeIf(member -> member.is(context.self()));
+        candidates.removeIf(member -> member.isSameStart(context.self()));
         RandomOrder.shuffle(candidates, context.random());
         for (int i = 0; i < PEERS_PER_PERIOD && !candidates.isEmpty(); i++) {
             Member peer = measuredLongestAgo(candidates);
--- a/src/main/java/hopdrum/fleet/view/LeaseCoordinator.java
+++ b/src/main/java/hopdrum/fleet/view/LeaseCoordinator.java
@@ -60,12 +60,12 @@
         round++;
         answeredRound.clear();
         roundHasMajority = false;
-        if (view.has(self)) {
+        if (view.contains(self)) {
             recordAnswer(self, nowUs);
         }
         clocksBeforeRound = new HashMap<>(lastClocks);
         for (Member member : voters) {
-            if (!member.is(self)) {
+            if (!member.isSameStart(self)) {
                 sender.send(member.address(), new Message.Renew(view.era(), view.number(), round));
             }
         }
@@ -74,7 +74,7 @@
 
     /** A voter of the view has answered a round. */
     void onRenewed(Member from, Message.Renewed renewed, long nowUs) {
-        if (!view.isNamed(renewed.era(), renewed.number()) || renewed.round() != round) {
+        if (!view.hasId(renewed.era(), renewed.number()) || renewed.round() != round) {
             return;
         }
         recordAnswer(from, renewed.atUs());
--- a/src/main/java/hopdrum/fleet/view/Leases.java
+++ b/src/main/java/hopdrum/fleet/view/Leases.java
@@ -37,14 +37,14 @@
 
     /** @param follows whether the view's number is the next one after that of the view held before */
     void onViewSettled(View settled, long nowUs, boolean follows) {
-        boolean wasMember = view.has(self);
+        boolean wasMember = view.contains(self);
         if (follows && wasMember) {
             formerViews.add(new FormerView(view, nowUs + timing.leaseLapseUs()));
         } else {
             skippedUntilUs = nowUs + timing.leaseLapseUs(); // others may have been granted more than is known here
             formerViews.clear();
         }
-        if (!follows || !wasMember || !settled.has(self)) {
+        if (!follows || !wasMember || !settled.contains(self)) {
             heldSinceUs = NEVER;
         }
         view = settled;
@@ -67,7 +67,7 @@
     }
 
     private boolean mayHold(long nowUs) {
-        return view.has(self) && nowUs >= skippedUntilUs;
+        return view.contains(self) && nowUs >= skippedUntilUs;
     }
 
     boolean isHeld(long nowUs) {
@@ -98,8 +98,9 @@
 
     void tick(long nowUs) {
         formerViews.removeIf(former -> nowUs >= former.untilUs);
-        boolean lapsed =
-                view.has(self) && nowUs > Math.max(heldSinceUs, startedUs) + timing.leaseUs() && nowUs > skippedUntilUs;
+        boolean lapsed = view.contains(self)
+                && nowUs > Math.max(heldSinceUs, startedUs) + timing.leaseUs()
+                && nowUs > skippedUntilUs;
         if (lapsed != cutOff) {
             cutOff = lapsed;
             log.event(lapsed ? "cut_off" : "held_again", "era", view.era(), "number", view.number());
@@ -108,10 +109,10 @@
 
     /** A coordinator's grant; a time that this clock has not shown since the start is not this start's. */
     void onGranted(Message.LeaseGranted granted, long nowUs) {
-        if (view.isNamed(granted.era(), granted.number())
+        if (view.hasId(granted.era(), granted.number())
                 && granted.atUs() >= startedUs
                 && granted.atUs() <= nowUs
-                && view.has(self)) {
+                && view.contains(self)) {
             extend(granted.atUs());
         }
     }
--- a/src/main/java/hopdrum/fleet/view/LocalMember.java
+++ b/src/main/java/hopdrum/fleet/view/LocalMember.java
@@ -40,10 +40,10 @@
         if (leaving) {
             return;
         }
-        if (update.about().is(self)) {
+        if (update.subject().isSameStart(self)) {
             refute(update);
-        } else if (update.about().start() > self.start() && update.state() == State.ALIVE) {
-            onLaterStart(update.about());
+        } else if (update.subject().start() > self.start() && update.state() == State.ALIVE) {
+            onLaterStart(update.subject());
         }
     }
 
@@ -53,7 +53,7 @@
         }
         incarnation = update.incarnation() + 1;
         health.degrade(1); // peers could not reach this member: it may be slow itself
-        log.event("refuted", "what", update.state().name(), "by", update.by(), "incarnation", incarnation);
+        log.event("refuted", "what", update.state().name(), "by", update.reporter(), "incarnation", incarnation);
         announce();
     }
 
--- a/src/main/java/hopdrum/fleet/view/Membership.java
+++ b/src/main/java/hopdrum/fleet/view/Membership.java
@@ -169,8 +169,8 @@
         Member self = context.self();
         Member holder = taken.holder();
         if (!holder.name().equals(self.name())
-                || holder.is(self)
-                || viewConsensus.view().has(self)) {
+                || holder.isSameStart(self)
+                || viewConsensus.view().contains(self)) {
             return;
         }
         long meanUs = NAME_TAKEN_PERIODS * context.timing().periodUs();
--- a/src/main/java/hopdrum/fleet/view/Peer.java
+++ b/src/main/java/hopdrum/fleet/view/Peer.java
@@ -22,7 +22,7 @@
     private final Set<String> accusers = new HashSet<>(2); // of the present suspicion; cleared with each state change
 
     Peer(GossipUpdate first, long nowUs) {
-        member = first.about();
+        member = first.subject();
         apply(first, nowUs);
     }
 
@@ -34,7 +34,7 @@
         nextCheckUs = nowUs;
         accusers.clear();
         if (state == State.SUSPECT) {
-            accusers.add(update.by());
+            accusers.add(update.reporter());
         }
     }
 
@@ -59,8 +59,8 @@
         return toUpdateBy(accusers.isEmpty() ? observer : accusers.iterator().next());
     }
 
-    GossipUpdate toUpdateBy(String by) {
-        return new GossipUpdate(member, incarnation, state, by);
+    GossipUpdate toUpdateBy(String reporter) {
+        return new GossipUpdate(member, incarnation, state, reporter);
     }
 
     Member member() {
@@ -79,7 +79,7 @@
         return state;
     }
 
-    boolean is(State other) {
+    boolean hasState(State other) {
         return state == other;
     }
 
--- a/src/main/java/hopdrum/fleet/view/PeerUpdates.java
+++ b/src/main/java/hopdrum/fleet/view/PeerUpdates.java
@@ -47,7 +47,7 @@
     Peer onMessageFrom(Member from, long nowUs) {
         apply(new GossipUpdate(from, 0, State.ALIVE, from.name()), nowUs);
         Peer peer = peers.get(from.name());
-        if (peer != null && peer.member().is(from)) {
+        if (peer != null && peer.member().isSameStart(from)) {
             peer.heard(nowUs);
         }
         return peer;
@@ -69,21 +69,21 @@
     }
 
     private void apply(GossipUpdate update, long nowUs) {
-        Member about = update.about();
-        if (about.name().equals(self.name())) {
+        Member subject = update.subject();
+        if (subject.name().equals(self.name())) {
             local.onUpdate(update);
             return;
         }
-        Peer peer = peers.get(about.name());
+        Peer peer = peers.get(subject.name());
         if (peer == null) {
             addUnknown(update, nowUs);
-        } else if (about.start() != peer.member().start()) {
+        } else if (subject.start() != peer.member().start()) {
             applyToOtherStart(peer, update, nowUs);
-        } else if (peer.is(State.LEFT) || !about.is(peer.member())) {
+        } else if (peer.hasState(State.LEFT) || !subject.isSameStart(peer.member())) {
             return; // who left does not come back under the same start; the same start cannot be two voters
         } else if (supersedes(update, peer)) {
             changeState(peer, update, nowUs);
-        } else if (accusesAgain(update, peer) && peer.addAccuser(update.by())) {
+        } else if (accusesAgain(update, peer) && peer.addAccuser(update.reporter())) {
             gossip.enqueue(update);
         }
     }
@@ -92,23 +92,23 @@
         if (update.state() == State.ALIVE || update.state() == State.SUSPECT) { // else a forgotten one would come back
             Peer peer = new Peer(update, nowUs);
             peers.add(peer);
-            announce(peer, update.by());
+            announce(peer, update.reporter());
         }
     }
 
     private void applyToOtherStart(Peer peer, GossipUpdate update, long nowUs) {
-        boolean later = update.about().start() > peer.member().start();
+        boolean later = update.subject().start() > peer.member().start();
         if (later && !holdsItsName(peer, update, nowUs)) {
-            peer.replaceStart(update.about());
+            peer.replaceStart(update.subject());
             changeState(peer, update, nowUs);
         }
     }
 
     /** Guards against two processes of one name: while the first is heard from, a later start elsewhere is no restart. */
     private boolean holdsItsName(Peer holder, GossipUpdate later, long nowUs) {
-        boolean elsewhere = !later.about().address().equals(holder.address());
+        boolean elsewhere = !later.subject().address().equals(holder.address());
         long roundUs = timing.periodUs() * Math.max(1, peers.presentCount());
-        boolean heardFrom = holder.is(State.ALIVE) && nowUs - holder.lastHeardUs() < NAME_HELD_ROUNDS * roundUs;
+        boolean heardFrom = holder.hasState(State.ALIVE) && nowUs - holder.lastHeardUs() < NAME_HELD_ROUNDS * roundUs;
         return elsewhere && heardFrom && later.state() != State.LEFT;
     }
 
@@ -129,13 +129,15 @@
     }
 
     private static boolean accusesAgain(GossipUpdate update, Peer peer) {
-        return update.incarnation() == peer.incarnation() && update.state() == State.SUSPECT && peer.is(State.SUSPECT);
+        return update.incarnation() == peer.incarnation()
+                && update.state() == State.SUSPECT
+                && peer.hasState(State.SUSPECT);
     }
 
     /** This member's own probes of the peer have failed: accuses it, or confirms an accusation. */
     void suspect(Peer peer, long nowUs) {
         GossipUpdate accusation = new GossipUpdate(peer.member(), peer.incarnation(), State.SUSPECT, self.name());
-        if (peer.is(State.ALIVE)) {
+        if (peer.hasState(State.ALIVE)) {
             changeState(peer, accusation, nowUs);
         } else if (peer.addAccuser(self.name())) {
             gossip.enqueue(accusation);
@@ -145,7 +147,7 @@
     /** Declares suspects dead whose timeout has passed, and forgets those long dead or departed. */
     void tick(long nowUs) {
         for (Peer peer : peers.snapshot()) {
-            if (peer.is(State.SUSPECT) && nowUs >= suspicionTimeout.deadlineUs(peer, peers.presentCount())) {
+            if (peer.hasState(State.SUSPECT) && nowUs >= suspicionTimeout.deadlineUs(peer, peers.presentCount())) {
                 GossipUpdate death = new GossipUpdate(peer.member(), peer.incarnation(), State.DEAD, self.name());
                 changeState(peer, death, nowUs);
             } else if (!peer.isPresent() && nowUs - peer.stateSinceUs() > timing.forgetUs()) {
@@ -158,7 +160,7 @@
     /** This member was paused: a suspect may have refuted meanwhile, and gets its time again. */
     void restartSuspicions(long nowUs) {
         for (Peer peer : peers.all()) {
-            if (peer.is(State.SUSPECT)) {
+            if (peer.hasState(State.SUSPECT)) {
                 peer.restartSuspicion(nowUs);
             }
         }
@@ -166,11 +168,11 @@
 
     private void changeState(Peer peer, GossipUpdate update, long nowUs) {
         listener.onStateChange(peer, update.state());
-        boolean wasSuspect = peer.is(State.SUSPECT);
+        boolean wasSuspect = peer.hasState(State.SUSPECT);
         peer.apply(update, nowUs);
-        boolean ownUpdate = update.by().equals(self.name());
+        boolean ownUpdate = update.reporter().equals(self.name());
         if (!(wasSuspect && update.state() == State.ALIVE && ownUpdate)) {
-            announce(peer, update.by());
+            announce(peer, update.reporter());
         }
     }
 
--- a/src/main/java/hopdrum/fleet/view/ProbeScheduler.java
+++ b/src/main/java/hopdrum/fleet/view/ProbeScheduler.java
@@ -97,7 +97,7 @@
         if (!isUnderWay(sequence)) {
             return;
         }
-        if (from.is(probe.target.member()) && !paused) {
+        if (from.isSameStart(probe.target.member()) && !paused) {
             roundTripListener.onRoundTrip(from, nowUs - probe.sentUs, nowUs);
         }
         probe = null;
--- a/src/main/java/hopdrum/fleet/view/Proposer.java
+++ b/src/main/java/hopdrum/fleet/view/Proposer.java
@@ -79,7 +79,7 @@
     /** Phase 2 begins with a quorum of promises. */
     void onPromise(View view, Member from, Message.Promise promise, long nowUs) {
         boolean expected = isUnderWay(promise.ballot()) && !proposal.accepting;
-        if (!expected || !view.isNamed(promise.era(), promise.number()) || !electorate.mayVote(view, from)) {
+        if (!expected || !view.hasId(promise.era(), promise.number()) || !electorate.mayVote(view, from)) {
             return;
         }
         proposal.promises.add(from.name());
@@ -99,7 +99,7 @@
     /** Gives the view that is settled by this acceptance, if it completes a quorum. */
     Optional<View> onAccepted(View view, Member from, Message.Accepted accepted) {
         boolean expected = isUnderWay(accepted.ballot()) && proposal.accepting;
-        if (!expected || !view.isNamed(accepted.era(), accepted.number()) || !electorate.mayVote(view, from)) {
+        if (!expected || !view.hasId(accepted.era(), accepted.number()) || !electorate.mayVote(view, from)) {
             return Optional.empty();
         }
         proposal.acceptances.add(from.name());
@@ -114,9 +114,9 @@
     /** An acceptor has promised a higher ballot. */
     void onPreempted(View view, Message.Preempted preempted, long nowUs) {
         if (proposal != null
-                && view.isNamed(preempted.era(), preempted.number())
-                && preempted.by().compareTo(proposal.ballot) > 0) {
-            observeRound(preempted.by());
+                && view.hasId(preempted.era(), preempted.number())
+                && preempted.promised().compareTo(proposal.ballot) > 0) {
+            observeRound(preempted.promised());
             backOff(nowUs);
         }
     }
--- a/src/main/java/hopdrum/fleet/view/RelayedPings.java
+++ b/src/main/java/hopdrum/fleet/view/RelayedPings.java
@@ -29,7 +29,7 @@
         if (pending.size() < MAX_PENDING) {
             pending.put(sequence, new Relay(origin.address(), request.seq(), nowUs));
         }
-        Member target = request.whom();
+        Member target = request.target();
         messenger.ping(target, peers.get(target.name()), sequence);
         messenger.nack(origin.address(), request.seq());
     }
--- a/src/main/java/hopdrum/fleet/view/SuspectProbes.java
+++ b/src/main/java/hopdrum/fleet/view/SuspectProbes.java
@@ -27,7 +27,7 @@
         }
 
         private boolean isObsolete() {
-            return !suspect.is(State.SUSPECT) || suspect.incarnation() != incarnation;
+            return !suspect.hasState(State.SUSPECT) || suspect.incarnation() != incarnation;
         }
     }
 
@@ -51,7 +51,7 @@
 
     void tick(long nowUs) {
         for (Peer peer : peers.all()) {
-            if (peer.is(State.SUSPECT) && nowUs >= peer.nextCheckUs()) {
+            if (peer.hasState(State.SUSPECT) && nowUs >= peer.nextCheckUs()) {
                 peer.scheduleCheck(nowUs + timing.periodUs());
                 probeByChance(peer, nowUs);
             }
--- a/src/main/java/hopdrum/fleet/view/SwimMessenger.java
+++ b/src/main/java/hopdrum/fleet/view/SwimMessenger.java
@@ -56,7 +56,7 @@
 
     /** Asks some live peers to ping the target in this member's stead; gives how many were asked. */
     int requestIndirectPings(Peer target, long sequence) {
-        List<Peer> helpers = peers.sample(INDIRECT_PROBERS, peer -> peer.is(State.ALIVE) && peer != target);
+        List<Peer> helpers = peers.sample(INDIRECT_PROBERS, peer -> peer.hasState(State.ALIVE) && peer != target);
         for (Peer helper : helpers) {
             sender.send(helper.address(), new Message.PingRequest(sequence, target.member(), gossipFor(helper)));
         }
--- a/src/main/java/hopdrum/fleet/view/ViewCatchUp.java
+++ b/src/main/java/hopdrum/fleet/view/ViewCatchUp.java
@@ -19,7 +19,7 @@
 
     /** Whether a proposer builds on the same view as this member; where it does not, one of both is to catch up. */
     boolean isOnSameView(View own, Member proposer, long era, long number) {
-        if (own.isNamed(era, number)) {
+        if (own.hasId(era, number)) {
             return true;
         }
         if (isLater(own, era, number)) {
@@ -34,7 +34,7 @@
     void onPeerView(View own, Member peer, long era, long number, long nowUs) {
         if (isLater(own, era, number)) {
             sender.send(peer, new Message.ViewSettled(own));
-        } else if (!own.isNamed(era, number) && nowUs - lastRequestUs > timing.ackTimeoutUs()) {
+        } else if (!own.hasId(era, number) && nowUs - lastRequestUs > timing.ackTimeoutUs()) {
             lastRequestUs = nowUs;
             sender.send(peer, new Message.SettledViewRequest(own.era(), own.number()));
         }
--- a/src/main/java/hopdrum/fleet/view/ViewConsensus.java
+++ b/src/main/java/hopdrum/fleet/view/ViewConsensus.java
@@ -193,9 +193,10 @@
     }
 
     private void onRenew(Member from, Message.Renew renew, long nowUs) {
-        if (!view.isNamed(renew.era(), renew.number())) {
+        if (!view.hasId(renew.era(), renew.number())) {
             catchUp.onPeerView(view, from, renew.era(), renew.number(), nowUs);
-        } else if (!acceptor.hasAccepted() && view.has(self)) { // who has voted for the next view holds this no longer
+        } else if (!acceptor.hasAccepted()
+                && view.contains(self)) { // who has voted for the next view holds this no longer
             sender.send(from, new Message.Renewed(renew.era(), renew.number(), renew.round(), nowUs));
         }
     }
@@ -208,7 +209,7 @@
         adopt(settled, ConsensusLog.Source.OWN_PROPOSAL, nowUs);
         addByAddress(recipients, settled.members());
         addByAddress(recipients, failureDetector.present());
-        recipients.removeIf(member -> member.is(self));
+        recipients.removeIf(member -> member.isSameStart(self));
         recipients.forEach(member -> sender.sendToPeer(member, new Message.ViewSettled(settled)));
     }
 
@@ -247,7 +248,7 @@
     }
 
     private void checkSuperseded() {
-        Member settledStart = view.named(self.name());
+        Member settledStart = view.member(self.name());
         if (settledStart != null && settledStart.start() > self.start()) {
             superseded = true;
             log.superseded(settledStart.start());
--- a/src/rig/java/hopdrum/rig/simulation/FleetSimulation.java
+++ b/src/rig/java/hopdrum/rig/simulation/FleetSimulation.java
@@ -272,7 +272,7 @@
                 if (first == null) {
                     first = view;
                 }
-                if (!view.isNamed(first.era(), first.number()) || !view.has(node.self())) {
+                if (!view.hasId(first.era(), first.number()) || !view.contains(node.self())) {
                     return false;
                 }
             }
--- a/src/test/java/hopdrum/fleet/message/MessageWireFormatTest.java
+++ b/src/test/java/hopdrum/fleet/message/MessageWireFormatTest.java
@@ -62,17 +62,17 @@
 
     /** One message of each kind that Message names, keyed as in the file. */
     private static Map<String, Message> oneOfEachKind() {
-        GossipUpdate rumour = new GossipUpdate(FIRST, 2, GossipUpdate.State.SUSPECT, "m002");
+        GossipUpdate update = new GossipUpdate(FIRST, 2, GossipUpdate.State.SUSPECT, "m002");
         LatencyReading reading = new LatencyReading("m001", 5, "east", "west", 3, 1500, 20);
         AgreementProposal offer = new AgreementProposal(agreement(), "opa", Map.of("opb", "", "opa", "no"));
         Map<String, Message> all = new LinkedHashMap<>();
         all.put("hello", new Message.Hello(2, "fleet1", 256, 30000, FIRST));
         all.put("turneddown", new Message.Rejected("why"));
-        all.put("ping", new Message.Ping(1, ERA, 3, List.of(rumour)));
+        all.put("ping", new Message.Ping(1, ERA, 3, List.of(update)));
         all.put("ack", new Message.Ack(2, ERA, 3, List.of()));
-        all.put("pingfor", new Message.PingRequest(3, SECOND, List.of(rumour)));
+        all.put("pingfor", new Message.PingRequest(3, SECOND, List.of(update)));
         all.put("nack", new Message.Nack(4));
-        all.put("exchange", new Message.FullStateExchange(true, ERA, 3, List.of(rumour)));
+        all.put("exchange", new Message.FullStateExchange(true, ERA, 3, List.of(update)));
         all.put("taken", new Message.NameTaken(FIRST));
         all.put("latency", new Message.LatencyExchange(5, false, List.of(reading)));
         all.put("prepare", new Message.Prepare(ERA, 3, BALLOT));
