--- a/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
@@ -17,6 +17,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -121,11 +122,11 @@
     }
 
     @Override
-    public String objection(View before, View proposed) {
+    public Optional<String> violation(View before, View proposed) {
         long nowMs = wallMs.getAsLong();
         return keepsAssignment(before, proposed, nowMs)
-                ? null
-                : assignmentRule.violation(before, proposed, nowMs).orElse(null);
+                ? Optional.empty()
+                : assignmentRule.violation(before, proposed, nowMs);
     }
 
     /** Whether a proposed view has the same assignment, and the same operators are absent from it. */
--- a/src/main/java/hopdrum/fleet/view/Acceptor.java
+++ b/src/main/java/hopdrum/fleet/view/Acceptor.java
@@ -5,6 +5,7 @@
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.message.View;
 import hopdrum.fleet.store.Store.DurableState;
+import java.util.Optional;
 
 /**
  * The Paxos acceptor for the view that follows the settled one. A promise or an acceptance binds it at once, and is sent
@@ -73,9 +74,9 @@
             return;
         }
         View proposed = accept.view();
-        String objection = shardAssigner.objection(view, proposed);
-        if (objection != null) {
-            log.objected(accept.era(), proposed, objection);
+        Optional<String> violation = shardAssigner.violation(view, proposed);
+        if (violation.isPresent()) {
+            log.rejected(accept.era(), proposed, violation.get());
             return;
         }
         promised = accept.ballot();
--- a/src/main/java/hopdrum/fleet/view/ConsensusLog.java
+++ b/src/main/java/hopdrum/fleet/view/ConsensusLog.java
@@ -72,8 +72,8 @@
                 voter);
     }
 
-    void objected(long presentEra, View value, String objection) {
-        log.event("objects", "era", presentEra, "number", value.number(), "why", objection);
+    void rejected(long presentEra, View value, String violation) {
+        log.event("objects", "era", presentEra, "number", value.number(), "why", violation);
     }
 
     void settled(View view, Source source) {
--- a/src/main/java/hopdrum/fleet/view/ShardAssigner.java
+++ b/src/main/java/hopdrum/fleet/view/ShardAssigner.java
@@ -4,6 +4,7 @@
 import hopdrum.fleet.message.ShardAssignment;
 import hopdrum.fleet.message.View;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * Decides the shard assignment that is settled along with a view's members, by a rule that all members share. Called under
@@ -24,9 +25,9 @@
      *
      * @param before the present settled view
      * @param proposed the view that is to follow it
-     * @return null if the assignment follows the rule, else what is wrong with it, for the log
+     * @return how it violates the rule, for the log; empty if it follows from it
      */
-    String objection(View before, View proposed);
+    Optional<String> violation(View before, View proposed);
 
     /**
      * A view has been settled.
--- a/src/main/java/hopdrum/fleet/view/ShardProtocol.java
+++ b/src/main/java/hopdrum/fleet/view/ShardProtocol.java
@@ -5,6 +5,7 @@
 import hopdrum.fleet.message.ShardAssignment;
 import hopdrum.fleet.message.View;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * What {@link Membership} needs of the protocol by which operators share shards: the rule of assignment, messages and
@@ -39,8 +40,10 @@
         }
 
         @Override
-        public String objection(View before, View proposed) {
-            return proposed.shardAssignment() == null ? null : "nothing is divided in this fleet";
+        public Optional<String> violation(View before, View proposed) {
+            return proposed.shardAssignment() == null
+                    ? Optional.empty()
+                    : Optional.of("nothing is divided in this fleet");
         }
 
         @Override
