--- a/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
+++ b/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Scenarios of partners in virtual time, one failure each. The swarm checks at each step that no shard has two owners.
+ * Scenarios of partners in virtual time, one failure each. The simulation checks at each step that no shard has two owners.
  */
 class ShardCoordinatorTest {
     private static final long S = 1_000_000;
@@ -48,62 +48,62 @@
     }
 
     /** Members by turns one of each operator's. */
-    private static FleetSimulation swarm(int members, int operators, long seed) {
-        FleetSimulation swarm =
+    private static FleetSimulation fleet(int members, int operators, long seed) {
+        FleetSimulation fleet =
                 new FleetSimulation(members, members, TIMING, seed, new ShardSettings(SHARDS, ALONE_MS));
-        for (SimulatedNode node : swarm.nodes()) {
+        for (SimulatedNode node : fleet.nodes()) {
             node.setOperator("op" + node.gateway() % operators);
-            swarm.follow(node, new AgreementTerms(null, 0, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false));
+            fleet.follow(node, new AgreementTerms(null, 0, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false));
         }
-        return swarm;
+        return fleet;
     }
 
     private static FleetSimulation settled(int members, int operators, long seed) {
-        FleetSimulation swarm = swarm(members, operators, seed);
-        swarm.nodes().forEach(node -> swarm.start(node, false));
-        assertThat(swarm.until(60 * S, swarm::isSettled)).isTrue();
-        assertThat(swarm.until(
+        FleetSimulation fleet = fleet(members, operators, seed);
+        fleet.nodes().forEach(node -> fleet.start(node, false));
+        assertThat(fleet.until(60 * S, fleet::isSettled)).isTrue();
+        assertThat(fleet.until(
                         40 * S,
-                        () -> swarm.acting().values().stream().mapToInt(n -> n).sum() == SHARDS))
+                        () -> fleet.acting().values().stream().mapToInt(n -> n).sum() == SHARDS))
                 .isTrue();
-        return swarm;
+        return fleet;
     }
 
-    private static boolean shares(FleetSimulation swarm, Integer... counts) {
+    private static boolean shares(FleetSimulation fleet, Integer... counts) {
         List<Integer> now = new ArrayList<>();
         for (int i = 0; i < counts.length; i++) {
-            now.add(swarm.acting().getOrDefault("op" + i, 0));
+            now.add(fleet.acting().getOrDefault("op" + i, 0));
         }
         return now.equals(List.of(counts));
     }
 
-    private static void updateTerms(FleetSimulation swarm, String operator, AgreementTerms terms) {
-        swarm.nodes().stream().filter(n -> n.operator().equals(operator)).forEach(n -> swarm.follow(n, terms));
+    private static void updateTerms(FleetSimulation fleet, String operator, AgreementTerms terms) {
+        fleet.nodes().stream().filter(n -> n.operator().equals(operator)).forEach(n -> fleet.follow(n, terms));
     }
 
     @Test
     void sharesAreEvenWithoutAnAgreementAndAnAgreedOneMovesThemWithinTheEpochsBudget() {
-        FleetSimulation swarm = settled(6, 2, 1);
-        assertThat(shares(swarm, 16, 16)).isTrue();
-        updateTerms(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000, false, 75, 25)));
-        assertThat(swarm.until(30 * S, () -> shares(swarm, 24, 8))).isTrue();
-        updateTerms(swarm, "op1", proposes(terms(2, 0, swarm.wallMs() + 3_600_000, false, 25, 75)));
-        swarm.until(20 * S, () -> !shares(swarm, 24, 8));
-        assertThat(swarm.node(0).view().shardAssignment().count("op1")).isLessThan(24); // 8 an epoch at most
-        assertThat(swarm.until(60 * S, () -> shares(swarm, 8, 24))).isTrue();
-        assertThat(swarm.violations()).isEmpty();
+        FleetSimulation fleet = settled(6, 2, 1);
+        assertThat(shares(fleet, 16, 16)).isTrue();
+        updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25)));
+        assertThat(fleet.until(30 * S, () -> shares(fleet, 24, 8))).isTrue();
+        updateTerms(fleet, "op1", proposes(terms(2, 0, fleet.wallMs() + 3_600_000, false, 25, 75)));
+        fleet.until(20 * S, () -> !shares(fleet, 24, 8));
+        assertThat(fleet.node(0).view().shardAssignment().count("op1")).isLessThan(24); // 8 an epoch at most
+        assertThat(fleet.until(60 * S, () -> shares(fleet, 8, 24))).isTrue();
+        assertThat(fleet.violations()).isEmpty();
     }
 
     @Test
     void aProposalThatOnePartyRejectsIsAnsweredWithTheReasonAndACounterProposal() {
-        FleetSimulation swarm = settled(4, 2, 2);
-        swarm.recordEvents();
-        updateTerms(swarm, "op1", new AgreementTerms(null, 0.4, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false));
+        FleetSimulation fleet = settled(4, 2, 2);
+        fleet.recordEvents();
+        updateTerms(fleet, "op1", new AgreementTerms(null, 0.4, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false));
         updateTerms(
-                swarm,
+                fleet,
                 "op0",
                 new AgreementTerms(
-                        terms(1, 0, swarm.wallMs() + 3_600_000, false, 90, 10),
+                        terms(1, 0, fleet.wallMs() + 3_600_000, false, 90, 10),
                         0.5,
                         1_000,
                         0,
@@ -111,113 +111,113 @@
                         SHARDS,
                         400L * 86_400_000,
                         false));
-        assertThat(swarm.until(
-                        40 * S, () -> swarm.node(0).view().shardAssignment().agreement() != null))
+        assertThat(fleet.until(
+                        40 * S, () -> fleet.node(0).view().shardAssignment().agreement() != null))
                 .isTrue();
-        assertThat(swarm.events())
+        assertThat(fleet.events())
                 .anyMatch(e -> e.contains("refuses") && e.contains("owed: 0.100 of all for op1, which wants 0.400"));
-        assertThat(swarm.node(0)
+        assertThat(fleet.node(0)
                         .view()
                         .shardAssignment()
                         .agreement()
                         .party("op1")
                         .share())
                 .isEqualTo(60); // 0.4 of 150
-        assertThat(swarm.violations()).isEmpty();
+        assertThat(fleet.violations()).isEmpty();
     }
 
     @Test
     void proposalsThatTheirOperatorNoLongerSendsExpireAndMakeRoom() {
-        FleetSimulation swarm = settled(4, 2, 8);
-        updateTerms(swarm, "op1", AgreementTerms.NONE);
+        FleetSimulation fleet = settled(4, 2, 8);
+        updateTerms(fleet, "op1", AgreementTerms.NONE);
         for (int i = 0; i < 40; i++) { // more than are known at once
-            updateTerms(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000 + i, false, 75, 25)));
-            swarm.run(S / 2);
+            updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000 + i, false, 75, 25)));
+            fleet.run(S / 2);
         }
-        swarm.run(62 * S);
-        updateTerms(swarm, "op1", proposes(terms(1, 0, swarm.wallMs() + 1_800_000, false, 25, 75)));
-        assertThat(swarm.until(
-                        60 * S, () -> swarm.node(0).view().shardAssignment().agreement() != null))
+        fleet.run(62 * S);
+        updateTerms(fleet, "op1", proposes(terms(1, 0, fleet.wallMs() + 1_800_000, false, 25, 75)));
+        assertThat(fleet.until(
+                        60 * S, () -> fleet.node(0).view().shardAssignment().agreement() != null))
                 .isTrue();
-        assertThat(swarm.violations()).isEmpty();
+        assertThat(fleet.violations()).isEmpty();
     }
 
     @Test
     void noAgreementComesIntoForceWithoutTheApprovalOfAPartyAcrossAPartition() {
-        FleetSimulation swarm = settled(5, 2, 3);
-        swarm.setLinkFilter((a, b) ->
+        FleetSimulation fleet = settled(5, 2, 3);
+        fleet.setLinkFilter((a, b) ->
                 a.compareTo("m003") >= 0 == b.compareTo("m003") >= 0); // m003 and m004, one of each, are cut off
-        for (SimulatedNode node : swarm.nodes()) {
+        for (SimulatedNode node : fleet.nodes()) {
             if (node.name().equals("m003")) { // op1's other one is in the majority and agrees for it
                 continue;
             }
-            swarm.follow(
+            fleet.follow(
                     node,
                     node.operator().equals("op0")
-                            ? proposes(terms(1, 0, swarm.wallMs() + 3_600_000, false, 75, 25))
+                            ? proposes(terms(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25))
                             : AgreementTerms.NONE);
         }
-        swarm.run(40 * S);
-        assertThat(swarm.node(0).view().shardAssignment().agreement()).isNull();
-        assertThat(swarm.violations()).isEmpty();
+        fleet.run(40 * S);
+        assertThat(fleet.node(0).view().shardAssignment().agreement()).isNull();
+        assertThat(fleet.violations()).isEmpty();
     }
 
     @Test
     void anOperatorCutOffActsAloneUntilItsLeaseEndsAndOthersStandInOnlyWhereAgreed() {
         for (boolean standIn : new boolean[] {false, true}) {
-            FleetSimulation swarm = settled(5, 2, 4); // op0 has three, op1 two
-            updateTerms(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000, standIn, 50, 50)));
-            assertThat(swarm.until(
-                            30 * S, () -> swarm.node(0).view().shardAssignment().agreement() != null))
+            FleetSimulation fleet = settled(5, 2, 4); // op0 has three, op1 two
+            updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, standIn, 50, 50)));
+            assertThat(fleet.until(
+                            30 * S, () -> fleet.node(0).view().shardAssignment().agreement() != null))
                     .isTrue();
-            swarm.run(12 * S);
+            fleet.run(12 * S);
             Set<String> cut = Set.of("m001", "m003");
-            swarm.setLinkFilter((a, b) -> cut.contains(a) == cut.contains(b));
-            swarm.run(2 * S);
-            assertThat(shares(swarm, 16, 16)).isTrue();
-            swarm.run(76 * S);
-            assertThat(shares(swarm, standIn ? 32 : 16, 0)).isTrue();
-            swarm.heal();
-            assertThat(swarm.until(60 * S, () -> shares(swarm, 16, 16))).isTrue();
-            assertThat(swarm.violations()).isEmpty();
+            fleet.setLinkFilter((a, b) -> cut.contains(a) == cut.contains(b));
+            fleet.run(2 * S);
+            assertThat(shares(fleet, 16, 16)).isTrue();
+            fleet.run(76 * S);
+            assertThat(shares(fleet, standIn ? 32 : 16, 0)).isTrue();
+            fleet.heal();
+            assertThat(fleet.until(60 * S, () -> shares(fleet, 16, 16))).isTrue();
+            assertThat(fleet.violations()).isEmpty();
         }
     }
 
     @Test
     void aNoticeEndsAnAgreementAfterItsNoticePeriodAndLeavesEachPartyItsFloor() {
-        FleetSimulation swarm = settled(4, 2, 5);
-        updateTerms(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000, false, 75, 25)));
-        assertThat(swarm.until(40 * S, () -> shares(swarm, 24, 8))).isTrue();
-        updateTerms(swarm, "op1", new AgreementTerms(null, 2, 0, 0, 0, 0, 0, true));
-        assertThat(swarm.until(
+        FleetSimulation fleet = settled(4, 2, 5);
+        updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25)));
+        assertThat(fleet.until(40 * S, () -> shares(fleet, 24, 8))).isTrue();
+        updateTerms(fleet, "op1", new AgreementTerms(null, 2, 0, 0, 0, 0, 0, true));
+        assertThat(fleet.until(
                         20 * S,
-                        () -> swarm.node(0).view().shardAssignment().agreement().revision() == 2))
+                        () -> fleet.node(0).view().shardAssignment().agreement().revision() == 2))
                 .isTrue();
-        swarm.run(8 * S);
-        assertThat(shares(swarm, 24, 8)).isTrue(); // 20 s of notice
-        assertThat(swarm.until(60 * S, () -> shares(swarm, 16, 16))).isTrue();
-        assertThat(swarm.node(0).view().shardAssignment().expired()).isTrue();
-        assertThat(swarm.violations()).isEmpty();
+        fleet.run(8 * S);
+        assertThat(shares(fleet, 24, 8)).isTrue(); // 20 s of notice
+        assertThat(fleet.until(60 * S, () -> shares(fleet, 16, 16))).isTrue();
+        assertThat(fleet.node(0).view().shardAssignment().expired()).isTrue();
+        assertThat(fleet.violations()).isEmpty();
     }
 
     @Test
     void agreementsAndOwnersSurviveARestartOfAllMembersAndOneOperatorsLossOfItsStores() {
-        FleetSimulation swarm = settled(6, 2, 6);
-        updateTerms(swarm, "op0", proposes(terms(1, 0, swarm.wallMs() + 3_600_000, false, 75, 25)));
-        assertThat(swarm.until(40 * S, () -> shares(swarm, 24, 8))).isTrue();
-        PartnerAgreement before = swarm.node(0).view().shardAssignment().agreement();
-        swarm.nodes().forEach(swarm::kill);
-        swarm.run(2 * S);
-        swarm.nodes().forEach(n -> swarm.start(n, !n.operator().equals("op1") || n.gateway() == 1));
-        assertThat(swarm.until(60 * S, swarm::isSettled)).isTrue();
-        assertThat(swarm.until(40 * S, () -> shares(swarm, 24, 8))).isTrue();
-        assertThat(swarm.node(0).view().shardAssignment().agreement()).isEqualTo(before);
-        assertThat(swarm.violations()).isEmpty();
+        FleetSimulation fleet = settled(6, 2, 6);
+        updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25)));
+        assertThat(fleet.until(40 * S, () -> shares(fleet, 24, 8))).isTrue();
+        PartnerAgreement before = fleet.node(0).view().shardAssignment().agreement();
+        fleet.nodes().forEach(fleet::kill);
+        fleet.run(2 * S);
+        fleet.nodes().forEach(n -> fleet.start(n, !n.operator().equals("op1") || n.gateway() == 1));
+        assertThat(fleet.until(60 * S, fleet::isSettled)).isTrue();
+        assertThat(fleet.until(40 * S, () -> shares(fleet, 24, 8))).isTrue();
+        assertThat(fleet.node(0).view().shardAssignment().agreement()).isEqualTo(before);
+        assertThat(fleet.violations()).isEmpty();
     }
 
     @Test
     void anOwnerCutOffKeepsActingWhileItsShardMovesTwiceAndTheThirdOwnerWaitsForIt() {
-        FleetSimulation swarm = settled(7, 3, 7); // op0 has three, op1 and op2 two each
+        FleetSimulation fleet = settled(7, 3, 7); // op0 has three, op1 and op2 two each
         int[][] shares = {{80, 10, 10}, {10, 80, 10}, {10, 10, 80}};
         for (int revision = 1; revision <= 3; revision++) {
             List<Party> parties = new ArrayList<>();
@@ -225,83 +225,83 @@
                 parties.add(new Party("op" + i, 100, shares[revision - 1][i], 0));
             }
             updateTerms(
-                    swarm,
+                    fleet,
                     "op0",
                     proposes(new PartnerAgreement(
                             "pact",
                             revision,
                             parties,
                             0,
-                            swarm.wallMs() + 3_600_000,
+                            fleet.wallMs() + 3_600_000,
                             ALONE_MS,
                             false,
                             SHARDS,
                             1_000,
                             0)));
             int wanted = revision;
-            assertThat(swarm.until(
-                            30 * S, () -> swarm.node(1).view().shardAssignment().count("op" + (wanted - 1)) >= 25))
+            assertThat(fleet.until(
+                            30 * S, () -> fleet.node(1).view().shardAssignment().count("op" + (wanted - 1)) >= 25))
                     .isTrue();
             if (revision == 1) {
-                swarm.run(25 * S);
-                assertThat(swarm.acting().get("op0")).isEqualTo(26);
-                swarm.setLinkFilter(
+                fleet.run(25 * S);
+                assertThat(fleet.acting().get("op0")).isEqualTo(26);
+                fleet.setLinkFilter(
                         (a, b) -> a.equals("m003") == b.equals("m003")); // one of op0's is cut off, and acts for 10 s
             }
         }
-        assertThat(swarm.acting().getOrDefault("op2", 0)).isLessThan(10);
-        assertThat(swarm.until(30 * S, () -> swarm.acting().getOrDefault("op2", 0) == 26))
+        assertThat(fleet.acting().getOrDefault("op2", 0)).isLessThan(10);
+        assertThat(fleet.until(30 * S, () -> fleet.acting().getOrDefault("op2", 0) == 26))
                 .isTrue();
-        assertThat(swarm.violations()).isEmpty();
+        assertThat(fleet.violations()).isEmpty();
     }
 
     /** Whatever dies, pauses, is cut off, has a clock that is wrong by seconds or amends: no shard has two owners. */
     @Property(tries = 25, shrinking = ShrinkingMode.OFF)
     void noShardHasTwoOwnersThroughAnySchedule(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        FleetSimulation swarm = swarm(7, 3, seed);
-        swarm.setStepUs(20_000);
-        swarm.nodes().forEach(node -> node.setClockOffsetMs(random.nextLong(-3_000, 3_000)));
-        swarm.nodes().forEach(node -> swarm.start(node, false));
-        swarm.until(60 * S, swarm::isSettled);
+        FleetSimulation fleet = fleet(7, 3, seed);
+        fleet.setStepUs(20_000);
+        fleet.nodes().forEach(node -> node.setClockOffsetMs(random.nextLong(-3_000, 3_000)));
+        fleet.nodes().forEach(node -> fleet.start(node, false));
+        fleet.until(60 * S, fleet::isSettled);
         for (int i = 0; i < 25; i++) {
-            injectRandomFault(swarm, random);
-            swarm.run(random.nextLong(10 * S));
-            swarm.setLoss(0);
+            injectRandomFault(fleet, random);
+            fleet.run(random.nextLong(10 * S));
+            fleet.setLoss(0);
             if (random.nextInt(3) == 0) {
-                swarm.heal();
+                fleet.heal();
             }
-            for (SimulatedNode n : swarm.nodes()) {
+            for (SimulatedNode n : fleet.nodes()) {
                 if (!n.isUp() && random.nextBoolean()) {
-                    swarm.start(n, random.nextInt(6) > 0);
+                    fleet.start(n, random.nextInt(6) > 0);
                 }
             }
         }
-        assertThat(swarm.violations()).as("seed %d", seed).isEmpty();
+        assertThat(fleet.violations()).as("seed %d", seed).isEmpty();
     }
 
     /** One member dies, pauses, is cut off or loses messages, or its operator proposes an amendment. */
-    private static void injectRandomFault(FleetSimulation swarm, SplittableRandom random) {
-        SimulatedNode node = swarm.node(random.nextInt(7));
+    private static void injectRandomFault(FleetSimulation fleet, SplittableRandom random) {
+        SimulatedNode node = fleet.node(random.nextInt(7));
         switch (random.nextInt(8)) {
-            case 0 -> swarm.kill(node);
-            case 1 -> swarm.pause(node, random.nextLong(12 * S));
-            case 2 -> swarm.setLinkFilter((a, b) -> a.equals(node.name()) == b.equals(node.name()));
-            case 3 -> swarm.setLinkFilter((a, b) -> a.compareTo(node.name()) < 0 == b.compareTo(node.name()) < 0);
-            case 4 -> swarm.setLinkFilter((a, b) -> !a.equals(node.name()));
-            case 5 -> swarm.setLoss(random.nextDouble() * 0.4);
+            case 0 -> fleet.kill(node);
+            case 1 -> fleet.pause(node, random.nextLong(12 * S));
+            case 2 -> fleet.setLinkFilter((a, b) -> a.equals(node.name()) == b.equals(node.name()));
+            case 3 -> fleet.setLinkFilter((a, b) -> a.compareTo(node.name()) < 0 == b.compareTo(node.name()) < 0);
+            case 4 -> fleet.setLinkFilter((a, b) -> !a.equals(node.name()));
+            case 5 -> fleet.setLoss(random.nextDouble() * 0.4);
             default -> {
                 ShardAssignment assignment = node.isUp() ? node.view().shardAssignment() : null;
                 int next = assignment == null || assignment.agreement() == null
                         ? 1
                         : assignment.agreement().revision() + 1;
                 updateTerms(
-                        swarm,
+                        fleet,
                         node.operator(),
                         proposes(terms(
                                 next,
                                 0,
-                                swarm.wallMs() + random.nextLong(10_000, 200_000),
+                                fleet.wallMs() + random.nextLong(10_000, 200_000),
                                 random.nextBoolean(),
                                 random.nextInt(1, 100),
                                 random.nextInt(1, 100),
