--- a/src/main/java/hopdrum/fleet/Fleet.java
+++ b/src/main/java/hopdrum/fleet/Fleet.java
@@ -233,7 +233,7 @@
     }
 
     /**
-     * Sets the zones that backends stand in: from now on {@link #zoneLatencies} tells how far they are.
+     * Sets the backend zones whose latencies {@link #zoneLatencies} returns from now on.
      *
      * @param names zone names, in the order of the settings' backends
      */
@@ -244,14 +244,14 @@
     /**
      * Returns the latency from here to each backend zone; never waits.
      *
-     * @return null where the map does not know all zones with confidence: then latency is to be left out of placement
+     * @return null where the map lacks a confident estimate for any zone: then placement must ignore latency
      */
     public ZoneLatencies zoneLatencies() {
         return zoneLatencies.current();
     }
 
     /**
-     * Tells whether customers are shared with partners, in shards.
+     * Returns whether customers are shared with partners, in shards.
      *
      * @return true where the fleet file sets a number of shards
      */
@@ -260,7 +260,7 @@
     }
 
     /**
-     * Returns what this front door knows of who owns which shard; never waits.
+     * Returns the shard ownership known to this front door; does not block.
      *
      * @return null until shards are assigned
      */
@@ -269,8 +269,8 @@
     }
 
     /**
-     * Sets who is told, from a thread of the fleet's, of the front doors that RPCs may be forwarded to: of all tiers now,
-     * then of each tier whose front doors change.
+     * Sets the listener for the front doors that RPCs may be forwarded to. It is called on a thread of the fleet: for all
+     * tiers now, then for each tier whose front doors change.
      *
      * @param listener called with the tier (1 for the first operator) and all its front doors
      */
@@ -297,7 +297,7 @@
                     }
                 }
                 connections.cutStalled(nowUs());
-            } catch (RuntimeException e) { // a fault in one tick must not end all others
+            } catch (RuntimeException e) { // a failed tick must not cancel the timer
                 log.limited("fault", e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?"));
             }
             pause(file.timing().periodUs() / TICKS_PER_PERIOD / 1000);
@@ -340,11 +340,11 @@
         }
     }
 
-    /** Leaves the fleet gracefully: peers are told at once, and nothing is claimed from here on. */
+    /** Leaves the fleet gracefully: notifies peers immediately, and claims nothing from here on. */
     public void leave() {
         synchronized (this) {
             leaving = true;
-            publishShardTable(); // first: what it acted on is forwarded from here
+            publishShardTable(); // first, so that the shards it acted on are forwarded before peers take them over
             membership.leave(nowUs());
             publishAndSend();
         }
--- a/src/main/java/hopdrum/fleet/PeerAdmission.java
+++ b/src/main/java/hopdrum/fleet/PeerAdmission.java
@@ -14,7 +14,7 @@
             return Optional.of("another fleet");
         }
         if (hello.shards() != file.shards() || (file.shards() > 0 && hello.maxAloneMs() != file.maxAloneMs())) {
-            return Optional.of("other shards or most_alone_ms"); // a receiver waits out the time that a giver may have
+            return Optional.of("other shards or most_alone_ms"); // receivers wait for as long as former owners may act
         }
         if (!file.operators().contains(hello.sender().operator())) {
             return Optional.of("an unknown operator");
--- a/src/main/java/hopdrum/fleet/ShardTablePublisher.java
+++ b/src/main/java/hopdrum/fleet/ShardTablePublisher.java
@@ -9,7 +9,7 @@
 import java.util.function.BiConsumer;
 
 /**
- * The snapshot of who owns which shard, and the partners' front doors that RPCs may be forwarded to. Updated under the
+ * The snapshot of shard ownership, and the partners' front doors that RPCs may be forwarded to. Updated under the
  * fleet's lock; {@link #current()} may be read from any thread.
  */
 final class ShardTablePublisher {
@@ -32,7 +32,7 @@
         return table;
     }
 
-    /** Sets who is told of a tier's endpoints: of all tiers now, then of each whose endpoints change. */
+    /** Sets the listener for tier endpoints: called for all tiers now, then for each tier whose endpoints change. */
     void setListener(BiConsumer<Integer, List<PartnerEndpoint>> newListener) {
         listener = newListener;
         notifyChanged(Map.of());
--- a/src/main/java/hopdrum/fleet/TermsFileReloader.java
+++ b/src/main/java/hopdrum/fleet/TermsFileReloader.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 
 /**
- * Reads the operator's terms file anew once it has changed; one that cannot be used changes nothing. Called under the
+ * Reloads the operator's terms file when it has changed; an invalid file leaves the terms in use unchanged. Called under the
  * fleet's lock.
  */
 final class TermsFileReloader {
@@ -32,7 +32,7 @@
             return;
         }
         checkedUs = nowUs;
-        long writtenMs = file.toFile().lastModified(); // 0 where it is not there
+        long writtenMs = file.toFile().lastModified(); // 0 if the file does not exist
         if (writtenMs == loadedMs || writtenMs == 0) {
             return;
         }
--- a/src/main/java/hopdrum/fleet/VoteWriter.java
+++ b/src/main/java/hopdrum/fleet/VoteWriter.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 
 /**
- * Forces votes to disk on a thread of its own, one after another, so that a slow disk makes no slow member. A vote that
+ * Forces votes to disk in order on a separate thread, so that a slow disk does not block the member. A vote that
  * cannot be written is not cast: its continuation runs only after the write.
  */
 final class VoteWriter {
--- a/src/main/java/hopdrum/fleet/ZoneLatencyPublisher.java
+++ b/src/main/java/hopdrum/fleet/ZoneLatencyPublisher.java
@@ -8,28 +8,28 @@
 import java.util.Map;
 
 /**
- * How far the zones that backends stand in are from this front door's site, from the latency map. Updated under the
+ * Latencies from this front door's site to the backend zones, from the latency map. Updated under the
  * fleet's lock; {@link #current()} may be read from any thread.
  */
 final class ZoneLatencyPublisher {
-    private static final double MIN_CONFIDENCE = 0.3; // below, it is old, contradicted, or one member's word
-    private static final double DECREASE_PER_TICK = 0.02; // of the difference: a zone that came nearer fills slowly
+    private static final double MIN_CONFIDENCE = 0.3; // below it: old, contradicted, or from one member only
+    private static final double DECREASE_PER_TICK = 0.02; // of the difference, so that load moves slowly
 
     private final String homeSite;
     private List<String> zones = List.of();
     private double[] publishedUs = {}; // by zone; empty where nothing is published
-    private volatile ZoneLatencies current; // null: not to be relied on
+    private volatile ZoneLatencies current; // null while the estimates are not reliable
 
     ZoneLatencyPublisher(String homeSite) {
         this.homeSite = homeSite;
     }
 
-    /** Sets the zones, in the settings' order, that {@link #current()} tells of from now on. */
+    /** Sets the zones, in the settings' order, that {@link #current()} covers from now on. */
     void setZones(List<String> names) {
         zones = List.copyOf(names);
     }
 
-    /** Null where the map does not know all zones with confidence: then latency is to be left out of placement. */
+    /** Null where the map lacks a confident estimate for any zone: then placement must ignore latency. */
     ZoneLatencies current() {
         return current;
     }
--- a/src/main/java/hopdrum/fleet/config/FleetFile.java
+++ b/src/main/java/hopdrum/fleet/config/FleetFile.java
@@ -11,9 +11,9 @@
  * The file that serve --fleet names. docs/fleet.md has its keys.
  *
  * @param fleet the fleet's name
- * @param operator who runs this front door
+ * @param operator the operator of this front door
  * @param operators all operators whose front doors may join
- * @param site where this front door stands
+ * @param site the site of this front door
  * @param name this front door's name in the fleet
  * @param listen the numeric address and port to listen on for peers
  * @param advertise the address at which peers reach it
--- a/src/main/java/hopdrum/fleet/config/YamlFileReader.java
+++ b/src/main/java/hopdrum/fleet/config/YamlFileReader.java
@@ -33,7 +33,7 @@
     private final Path file;
     private final Map<String, Node> unread = new HashMap<>(); // by key
     private final List<Fault> faults = new ArrayList<>();
-    private boolean isReadable = true; // else missing keys are no faults of their own
+    private boolean isReadable = true; // if false, missing keys are not reported as faults
 
     private YamlFileReader(Path file) {
         this.file = file;
@@ -91,7 +91,7 @@
      *
      * @param defaultValue returned where the key is not there or faulty; null where the key is required
      * @param isValid what the text has to be
-     * @param expected the same in words, for faults
+     * @param expected a description of valid values, for fault messages
      */
     String text(String key, String defaultValue, Predicate<String> isValid, String expected) {
         Node node = unread.remove(key);
@@ -113,7 +113,7 @@
      *
      * @param isRequired whether a missing list is a fault
      * @param isValid what each text has to be
-     * @param expected the same in words, for faults
+     * @param expected a description of valid values, for fault messages
      */
     List<String> list(String key, boolean isRequired, Predicate<String> isValid, String expected) {
         Node node = unread.remove(key);
--- a/src/main/java/hopdrum/fleet/latency/LatencyMap.java
+++ b/src/main/java/hopdrum/fleet/latency/LatencyMap.java
@@ -107,7 +107,7 @@
     }
 
     /**
-     * Tells when a member of a site was last probed.
+     * Returns when a member of a site was last probed.
      *
      * @param site the site
      * @return the time, microseconds; far in the past where it was never probed
@@ -119,7 +119,7 @@
     /**
      * Takes the answer to a probe as a sample; an answer to no outstanding probe of this peer is ignored.
      *
-     * @param peer who answered
+     * @param peer the peer that answered
      * @param seq the probe's number
      * @param nowUs the time, microseconds
      */
@@ -130,7 +130,7 @@
         }
     }
 
-    /** Forgets probes that were sent before this process was paused: their answers say nothing about the latency. */
+    /** Forgets probes that were sent before this process was paused: their round trips include the pause. */
     public void discardOutstandingProbes() {
         outstanding.clear();
     }
@@ -191,7 +191,7 @@
     }
 
     /**
-     * Returns what to tell a peer.
+     * Returns the readings to send to a peer.
      *
      * @param nowUs the time, microseconds
      * @return the youngest readings, with their ages now
--- a/src/main/java/hopdrum/fleet/link/FrameCodec.java
+++ b/src/main/java/hopdrum/fleet/link/FrameCodec.java
@@ -12,7 +12,7 @@
 /** Frames on a stream: four bytes of length, big-endian, then one message. */
 final class FrameCodec {
     private static final int MAX_BODY_BYTES = 512 << 10;
-    private static final int FRAME_TIMEOUT_MS = 5_000; // from its first byte on: guards against one that dribbles
+    private static final int FRAME_TIMEOUT_MS = 5_000; // from its first byte on: guards against slow senders
 
     private FrameCodec() {}
 
--- a/src/main/java/hopdrum/fleet/link/OutboundConnection.java
+++ b/src/main/java/hopdrum/fleet/link/OutboundConnection.java
@@ -12,12 +12,12 @@
 
 /**
  * The task that writes to one address: connect, exchange hellos, write what is queued, and after a failure reconnect with
- * exponential backoff and jitter. It ends when it has had nothing to write for a while. Runs on a thread of its own; other
+ * exponential backoff and jitter. It ends after an idle time with nothing to write. Runs on its own thread; other
  * methods may be called from any thread.
  */
 final class OutboundConnection implements Runnable {
-    private static final int MAX_QUEUED = 256; // the oldest is dropped: later ones say more
-    private static final long MAX_QUEUED_US = 2_000_000; // older ones answer nothing any more
+    private static final int MAX_QUEUED = 256; // the oldest is dropped, since later ones have newer state
+    private static final long MAX_QUEUED_US = 2_000_000; // older ones arrive too late to be useful
     private static final int CONNECT_TIMEOUT_MS = 1_000;
     private static final int HELLO_BUFFER_BYTES = 1 << 10;
     private static final long IDLE_US = 60_000_000;
--- a/src/main/java/hopdrum/fleet/link/PeerConnections.java
+++ b/src/main/java/hopdrum/fleet/link/PeerConnections.java
@@ -47,7 +47,7 @@
          * Takes note that a peer has rejected this member.
          *
          * @param address the peer's address
-         * @param reason why, in the peer's words
+         * @param reason the reason that the peer gave
          */
         void rejectedBy(String address, String reason);
     }
@@ -246,7 +246,7 @@
         return connection.isEmpty() && outbound.remove(connection.address(), connection);
     }
 
-    /** Ends all threads; what has been queued by now is given a moment to go out. */
+    /** Ends all threads; messages queued so far get a short time to be written. */
     @Override
     public void close() {
         Set<Socket> sockets;
--- a/src/main/java/hopdrum/fleet/log/FleetLog.java
+++ b/src/main/java/hopdrum/fleet/log/FleetLog.java
@@ -79,7 +79,7 @@
     }
 
     /**
-     * Logs an event that others can cause at any rate: once a second at most; the next line says how many were left out.
+     * Logs an event that others can cause at any rate: once a second at most; the next line has the number suppressed.
      *
      * @param event the event's name
      * @param reason what happened
--- a/src/main/java/hopdrum/fleet/message/AgreementProposal.java
+++ b/src/main/java/hopdrum/fleet/message/AgreementProposal.java
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Tells whether an operator has approved.
+     * Returns whether an operator has approved.
      *
      * @param operator the operator
      * @return false also where it has not answered
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Adds an operator's rejection; an approval that is there already stands.
+     * Adds an operator's rejection; an earlier approval takes precedence.
      *
      * @param operator the operator that does not agree
      * @param reason why, not empty; cut to the longest that a message may hold
--- a/src/main/java/hopdrum/fleet/message/Member.java
+++ b/src/main/java/hopdrum/fleet/message/Member.java
@@ -7,9 +7,9 @@
  *
  * @param name its name in the fleet, the same after a restart
  * @param start a number that grows with each start of this name; distinguishes restarts
- * @param voter drawn when its store was made: who it is where views are agreed
- * @param operator who runs it
- * @param site where it stands
+ * @param voter its identity as a voter on views, drawn at random when its store was created
+ * @param operator the operator that runs it
+ * @param site the site where it runs
  * @param gateway its number in its operator's tier, from 0
  * @param address where its peers reach it, a numeric address and a port
  * @param serves where RPCs reach it; null where it takes none from partners
@@ -35,8 +35,8 @@
      * @param name its name in the fleet
      * @param start its start number
      * @param voter its voter number
-     * @param operator who runs it
-     * @param site where it stands
+     * @param operator the operator that runs it
+     * @param site the site where it runs
      * @param gateway its number in its operator's tier, from 0
      * @param address where its peers reach it
      */
--- a/src/main/java/hopdrum/fleet/message/Message.java
+++ b/src/main/java/hopdrum/fleet/message/Message.java
@@ -179,7 +179,7 @@
     }
 
     /**
-     * Tells a member that starts under the sender's name, while the sender is alive, that the name is taken.
+     * Rejects a member that starts under the sender's name while the sender is alive.
      *
      * @param holder the member that has the name
      */
@@ -290,7 +290,7 @@
     }
 
     /**
-     * Tells of a view that a quorum has settled.
+     * Announces a view that a quorum has settled.
      *
      * @param view the settled view
      */
@@ -376,7 +376,7 @@
     }
 
     /**
-     * Tells the sender's own operator's members for which shards all former owners have certainly stopped.
+     * Announces to members of the sender's operator the shards whose former owners have all certainly stopped.
      *
      * @param era the settled view's era
      * @param viewNumbers by shard: the number of the view that it moved with
--- a/src/main/java/hopdrum/fleet/message/PartnerAgreement.java
+++ b/src/main/java/hopdrum/fleet/message/PartnerAgreement.java
@@ -14,11 +14,11 @@
  * @param parties sorted by operator
  * @param fromMs wall clock; not in force before
  * @param untilMs wall clock; from then on each party has its floor
- * @param aloneMs how long an operator's front doors act on their shards without hearing from a majority of the fleet
+ * @param aloneMs how long an operator's front doors act on their shards without contact to a majority of the fleet
  * @param standIn whether others take over the shards of an operator that has been absent for so long
  * @param maxMovesPerEpoch shards that change their owner in an epoch, at most
  * @param epochMs an epoch's length
- * @param noticeMs after how long a party that gives notice is out
+ * @param noticeMs the notice period after which one party may end the agreement
  */
 public record PartnerAgreement(
         String name,
--- a/src/main/java/hopdrum/fleet/message/ShardAssignment.java
+++ b/src/main/java/hopdrum/fleet/message/ShardAssignment.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 
 /**
- * Who owns which shard, as settled with a view.
+ * The owner of each shard, as settled with a view.
  *
  * @param asOfMs the wall clock of the member that proposed it, milliseconds
  * @param operators all that own something or are in the fleet, sorted
@@ -45,7 +45,7 @@
      * A shard that changed its owner.
      *
      * @param shard the shard
-     * @param previousOwner empty where nobody knows who had it
+     * @param previousOwner empty where the previous owner is unknown
      * @param viewNumber the view that it changed with
      * @param atMs when, by the proposer's wall clock, milliseconds
      */
@@ -136,7 +136,7 @@
     }
 
     /**
-     * Tells whether another assignment says the same: it may differ in the times and moves that it records.
+     * Returns whether another assignment is equivalent: it may differ in the times and moves that it records.
      *
      * @param other the other; may be null
      * @return true where owners, agreement, expiry and absent operators are the same
--- a/src/main/java/hopdrum/fleet/message/View.java
+++ b/src/main/java/hopdrum/fleet/message/View.java
@@ -7,7 +7,7 @@
 import java.util.TreeSet;
 
 /**
- * A settled view: who is in the fleet, as agreed by a quorum. Era and number together identify one view, for ever.
+ * A settled view: the members of the fleet, as agreed by a quorum. Era and number together identify one view uniquely.
  *
  * @param era microseconds of the wall clock at the fleet's founding; 0 before that
  * @param number from 1 on; 0 before the founding
--- a/src/main/java/hopdrum/fleet/shards/AgreementNegotiation.java
+++ b/src/main/java/hopdrum/fleet/shards/AgreementNegotiation.java
@@ -15,7 +15,7 @@
 
 /**
  * The negotiation of agreements between operators, as one member knows it: proposals, approvals, rejections and counter
- * proposals. One member speaks for its operator: the first by name of those that are alive. What all parties approve
+ * proposals. One member represents its operator: the first by name of those that are alive. What all parties approve
  * comes into force with the next view. Not thread-safe.
  */
 final class AgreementNegotiation {
@@ -49,7 +49,7 @@
                 newTerms.givesNotice());
     }
 
-    /** What peers are told: of this operator's own proposals, only those that it still makes. */
+    /** The proposals to send to peers: of this operator's own, only those not withdrawn. */
     List<AgreementProposal> proposals() {
         return proposals.values().stream()
                 .filter(proposal -> !proposal.proposer().equals(self.operator()) || isOwn(proposal.agreement()))
@@ -116,13 +116,13 @@
         }
     }
 
-    /** @param isSpeaker whether this member speaks for its operator now */
-    void tick(View view, boolean isSpeaker, long nowMs, long nowUs) {
+    /** @param isRepresentative whether this member represents its operator now */
+    void tick(View view, boolean isRepresentative, long nowMs, long nowUs) {
         PartnerAgreement inForce =
                 view.shardAssignment() == null ? null : view.shardAssignment().agreement();
         int revision = inForce == null ? 0 : inForce.revision();
         removeExpired(revision, nowMs, nowUs);
-        if (!isSpeaker) {
+        if (!isRepresentative) {
             return;
         }
         refreshedUs.replaceAll((agreement, atUs) -> isOwn(agreement) ? nowUs : atUs);
--- a/src/main/java/hopdrum/fleet/shards/ShardAssignmentRule.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardAssignmentRule.java
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Tells whether an agreement can come into force with the next view.
+     * Returns whether an agreement can come into force with the next view.
      *
      * @param before the settled view
      * @param agreement the agreement
@@ -104,7 +104,7 @@
      * @param before the settled view
      * @param present the operators that have a member in the next view
      * @param ready an agreement that may come into force; null if there is none
-     * @param agreedBy who approves it
+     * @param agreedBy the operators that approve it
      * @param nowMs the wall clock, milliseconds
      * @return the next assignment
      */
--- a/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
@@ -25,9 +25,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * One member's part in sharing customers with partners: it negotiates agreements for its operator where it is that one's
- * first member, assigns shards with each view that is proposed, and tells which shards this front door may act on. Not
- * thread-safe. Times are microseconds of one monotonic clock; agreements alone are by the wall clock.
+ * One member's part in sharing customers with partners: it negotiates agreements if it is the first member
+ * of its operator, assigns shards with each view that is proposed, and publishes which shards this front door may act on.
+ * Not thread-safe. Times are microseconds of one monotonic clock; agreements alone are by the wall clock.
  */
 public final class ShardCoordinator implements ShardProtocol {
     private static final int PROPOSAL_FANOUT = 3; // peers that are sent the proposals, each period
@@ -88,11 +88,11 @@
     /**
      * Sets the failure detector; before anything else is called.
      *
-     * @param who tells which members are believed to be alive
+     * @param detector the detector of which members are alive
      */
     @Override
-    public void setFailureDetector(FailureDetector who) {
-        failureDetector = who;
+    public void setFailureDetector(FailureDetector detector) {
+        failureDetector = detector;
     }
 
     /**
@@ -179,8 +179,8 @@
     }
 
     /**
-     * Tells the receivers of this operator's former shards that this member holds the view, and so has stopped: they wait
-     * for that. Repeated, since messages get lost.
+     * Notifies the receivers of this operator's former shards that this member holds the view, and so has stopped: they
+     * wait for that. Repeated, since messages get lost.
      */
     private void notifyReceivers(long nowUs) {
         nextNotifyReceiversUs = nowUs + timing.periodUs() / 2;
@@ -204,7 +204,7 @@
     // ---- Messages ----
 
     /**
-     * Takes a peer's word on which view it holds.
+     * Records which view a peer holds.
      *
      * @param from the peer
      * @param era its settled view's era
@@ -251,7 +251,7 @@
         if (nowUs < notifyReceiversUntilUs && nowUs >= nextNotifyReceiversUs) {
             notifyReceivers(nowUs);
         }
-        negotiation.tick(view, isSpeaker(), wallMs.getAsLong(), nowUs);
+        negotiation.tick(view, isRepresentative(), wallMs.getAsLong(), nowUs);
         List<Member> peers = failureDetector.present();
         peers.removeIf(member -> member.isSameStart(self));
         sendProposals(peers, nowUs);
@@ -284,7 +284,7 @@
     }
 
     /** Whether this member is the first by name of its operator's that are in the view and alive. */
-    private boolean isSpeaker() {
+    private boolean isRepresentative() {
         for (Member member : view.members()) {
             if (member.operator().equals(self.operator())
                     && (member.isSameStart(self) || failureDetector.state(member.name()) == State.ALIVE)) {
@@ -318,8 +318,8 @@
     }
 
     /**
-     * Returns what this front door may act on, and where to forward the rest. Logged where it has changed, so that who
-     * acted on a shard, and until when, can be told from the log alone.
+     * Returns what this front door may act on, and where to forward the rest. Changes are logged, so that
+     * the log alone shows which operator acted on a shard, and until when.
      *
      * @param viewLeases this member's leases on the view
      * @param operators tiers by number, from 1 on
--- a/src/main/java/hopdrum/fleet/shards/ShardLeases.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardLeases.java
@@ -32,8 +32,8 @@
         final Member member;
         long lastViewNumber; // the last view seen that had it
         long droppedUs = NEVER_US; // when a view without it was seen
-        long acknowledgedNumber; // the latest view that it has said it holds
-        boolean hasStopped; // it left, or its store's next start has spoken
+        long acknowledgedNumber; // the latest view that it has acknowledged
+        boolean hasStopped; // it left, or a later start from its store is known
 
         PartnerMember(Member member) {
             this.member = member;
@@ -49,9 +49,9 @@
     private final Map<Long, PartnerMember> partners = new HashMap<>(); // by memberKey(); removed once certainly stopped
     private final NavigableMap<Long, AdoptedView> history = new TreeMap<>(); // by number; bounded by MAX_VIEW_HISTORY
     private final Map<Integer, Long> handedOver = new HashMap<>(); // by shard: number of the view that moved it here
-    private final Map<Integer, Long> handedOverUs = new HashMap<>(); // by shard: when it was, or was said to be
+    private final Map<Integer, Long> handedOverUs = new HashMap<>(); // by shard: time of completion or announcement
     private View view = View.NONE;
-    private long firstNumber; // who owned what before this view is not known here
+    private long firstNumber; // ownership before this view is unknown to this member
     private long longestAloneUs;
 
     ShardLeases(Member self, FleetTiming timing, long maxAloneUs) {
@@ -80,7 +80,7 @@
             handedOver.clear();
             firstNumber = settled.number() == 1 ? 0 : settled.number();
         } else if (settled.number() > view.number() + 1) {
-            firstNumber = settled.number(); // views between were never seen, nor who was in them
+            firstNumber = settled.number(); // views in between, and their members, are unknown
         }
         view = settled;
         history.put(settled.number(), new AdoptedView(nowUs, settled.shardAssignment()));
@@ -167,7 +167,7 @@
         if (move.previousOwner().isEmpty()
                 || firstNumber >= move.viewNumber()
                 || (history.firstKey() >= move.viewNumber() && firstNumber > 0)) {
-            return movedUs + lapseUs(maxAloneUs); // who had it, and until when, was never seen here
+            return movedUs + lapseUs(maxAloneUs); // the former owner and its lease are unknown to this member
         }
         long startUs = PAST_US;
         for (PartnerMember partner : partners.values()) {
@@ -194,7 +194,7 @@
         }
         return from == null
                 && partner.acknowledgedNumber < history.firstKey()
-                && history.firstKey() > 1; // by views that are not known here any more
+                && history.firstKey() > 1; // ownership by views that have been dropped from the history
     }
 
     /**
--- a/src/main/java/hopdrum/fleet/shards/ShardRebalance.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardRebalance.java
@@ -62,7 +62,7 @@
         operators.forEach(operator -> surplus.put(operator, owned.getOrDefault(operator, 0) - target.get(operator)));
     }
 
-    /** @param agreedBy who has approved the agreement that is or comes in force */
+    /** @param agreedBy the operators that approved the agreement that is or comes in force */
     ShardAssignment assignment(List<String> agreedBy) {
         char[] owners = new char[shards];
         List<Integer> available = release(owners);
@@ -84,7 +84,7 @@
                 movedBefore + moved);
     }
 
-    /** Fills in the owners so far; returns the shards that nobody owns or whose owner has too many. */
+    /** Copies the present owners; returns the shards without an owner or whose owner has too many. */
     private List<Integer> release(char[] owners) {
         List<Integer> available = new ArrayList<>();
         // the last first: an operator that is left with its floor knows that it keeps its first shards
--- a/src/main/java/hopdrum/fleet/shards/ShardTable.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardTable.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** What one front door knows of who owns which shard, by its own clock. Immutable; may be read from any thread. */
+/** The shard ownership known to one front door, timed by its own clock. Immutable; may be read from any thread. */
 public final class ShardTable implements ShardOwnership {
     /** In {@link #activeShards}: this front door may act on the shard. */
     public static final char ACTIVE = 'x';
@@ -46,7 +46,7 @@
      * @param self this member's operator
      * @param operators tiers by number, from 1 on
      * @param reachable those of them that have a front door other than this one
-     * @param retryUs how soon to ask again where no owner is known, microseconds
+     * @param retryUs how soon to retry where no owner is known, microseconds
      * @param offsetUs what the table's clock is ahead of the leases' one, microseconds
      */
     static ShardTable of(
--- a/src/main/java/hopdrum/fleet/shards/ShardTargets.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardTargets.java
@@ -74,7 +74,7 @@
         return agreement != null && agreement.standIn() && nowMs - absentSinceMs >= agreement.aloneMs();
     }
 
-    /** Some operator has to own the shards, even where no weight says so. */
+    /** Some operator has to own the shards, even where all weights are 0. */
     private static void replaceZeroWeights(Map<String, Integer> weights) {
         if (weights.values().stream().allMatch(weight -> weight == 0)) {
             weights.replaceAll((operator, weight) -> 1);
--- a/src/main/java/hopdrum/fleet/store/Store.java
+++ b/src/main/java/hopdrum/fleet/store/Store.java
@@ -16,7 +16,7 @@
 import java.util.zip.CRC32C;
 
 /**
- * The durable state of a member: who it is as a voter, the last settled view, and what it has promised for the next. One
+ * The durable state of a member: its identity as a voter, the last settled view, and what it has promised for the next. One
  * checksummed file, written beside, forced and moved into place before any promise is answered. The folder is locked
  * while the store is open: guards against one voter in two processes. Not thread-safe.
  */
@@ -69,7 +69,7 @@
     /**
      * Reads the state. A damaged file is set aside, for a person to look at.
      *
-     * @return the state; null where there is none, or none that can be trusted: then {@link #damage} says why
+     * @return the state; null where there is none, or it is corrupt: then {@link #damage} has the reason
      */
     public DurableState read() {
         Path file = folder.resolve(FILE);
@@ -104,7 +104,7 @@
     }
 
     /**
-     * Tells what was wrong with the file that {@link #read} read last.
+     * Returns what was wrong with the file that {@link #read} read last.
      *
      * @return one line; null where it was sound or was not there
      */
--- a/src/main/java/hopdrum/fleet/view/Acceptor.java
+++ b/src/main/java/hopdrum/fleet/view/Acceptor.java
@@ -9,8 +9,8 @@
 
 /**
  * The Paxos acceptor for the view that follows the settled one. A promise or an acceptance binds it at once, and is sent
- * only when it is durable, so that a restart cannot forget a vote. Meanwhile the member goes on: a slow disk makes no slow
- * member.
+ * only when it is durable, so that a restart cannot forget a vote. The write is asynchronous: a slow disk does not block
+ * the member.
  */
 final class Acceptor {
     private final Member self;
@@ -92,7 +92,7 @@
         return ballot.compareTo(promised) < 0;
     }
 
-    /** A view has been settled. Nothing waits for this write: a start that has lost it asks for the view again. */
+    /** A view has been settled. No vote depends on this write: a restart that has lost it requests the view again. */
     void reset(View settled) {
         promised = Ballot.NONE;
         acceptedBallot = null;
--- a/src/main/java/hopdrum/fleet/view/ChangeDetector.java
+++ b/src/main/java/hopdrum/fleet/view/ChangeDetector.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 
 /**
- * Compares the settled view with what the failure detector sees, and says which view to propose next. Changes wait until
+ * Compares the settled view with what the failure detector sees, and decides which view to propose next. Changes wait until
  * they have been stable for a period and no suspicion is open, and so come in batches (after Rapid, Suresh and others
  * 2018); they wait a bounded time.
  */
--- a/src/main/java/hopdrum/fleet/view/Electorate.java
+++ b/src/main/java/hopdrum/fleet/view/Electorate.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * Who votes on the view that follows a settled one: that one's members by their voter's number; before the founding, all
+ * The voters on the view that follows a settled one: its members, by voter number; before the founding, all
  * founders by name.
  */
 final class Electorate {
@@ -44,7 +44,7 @@
         return isUnfounded(view) ? founders.size() : view.majority();
     }
 
-    /** Those who vote, as they are reached now. */
+    /** The voters, with their present addresses. */
     List<Member> voters(View view) {
         List<Member> voters = new ArrayList<>();
         if (isUnfounded(view)) {
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Whether this member coordinates: it is the first by name of the voters that are not even suspected. Several may find
-     * so of themselves; ballots order them. One that was restarted without its store has no vote and is passed over.
+     * Whether this member coordinates: it is the first by name of the voters that are not even suspected. Several
+     * members may coordinate at once; ballots order them. One that was restarted without its store cannot vote and is skipped.
      */
     boolean isCoordinator(View view) {
         for (Member voter : voters(view)) {
--- a/src/main/java/hopdrum/fleet/view/FailureDetector.java
+++ b/src/main/java/hopdrum/fleet/view/FailureDetector.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 
 /**
- * Says soon and approximately who is present: SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey
- * 2018). Each period one peer is probed, through others if it does not answer; one that nobody reaches is suspected, may
- * refute, and is declared dead after a timeout that shrinks as others confirm. Updates are disseminated on the pings.
- * docs/fleet.md says what differs from the papers.
+ * Detects quickly, but only approximately, who is present: SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar,
+ * Phillips, Currey 2018). Each period one peer is probed, through helpers if it does not answer; one that is unreachable
+ * is suspected, may refute, and is declared dead after a timeout that shrinks as others confirm. Updates are disseminated on the pings.
+ * docs/fleet.md lists the differences from the papers.
  *
  * <p>Not thread-safe: called under the lock of {@link Membership}. Times are microseconds of one monotonic clock.
  */
@@ -118,7 +118,7 @@
         exchanges.tick(nowUs);
     }
 
-    /** Guards against accusing peers of this process's own pause: probes that it left unanswered say nothing. */
+    /** Guards against suspecting peers because this process was paused: probes from before the pause are not evidence. */
     private void resumeAfter(long pausedUs, long nowUs) {
         log.event("woke", "away_us", pausedUs);
         health.degrade(pausedUs / timing.periodUs());
@@ -170,7 +170,7 @@
         updates.addMembers(settled, nowUs);
     }
 
-    /** Says that this member leaves: to some peers at once, to the others by gossip. */
+    /** Announces that this member leaves: directly to some peers, to the others by gossip. */
     void leave() {
         local.leave();
         exchanges.announceDeparture();
--- a/src/main/java/hopdrum/fleet/view/FullStateExchanges.java
+++ b/src/main/java/hopdrum/fleet/view/FullStateExchanges.java
@@ -8,8 +8,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Anti-entropy: exchanges of full state with random peers, which mend what gossip has missed, and with seeds and the dead,
- * which join halves that have declared each other dead.
+ * Anti-entropy: exchanges of full state with random peers, which repair updates that gossip has missed, and with seeds and
+ * dead members, which merge partitions that have declared each other dead.
  */
 final class FullStateExchanges {
     private static final int EXCHANGE_PERIODS = 10;
--- a/src/main/java/hopdrum/fleet/view/LeaseCoordinator.java
+++ b/src/main/java/hopdrum/fleet/view/LeaseCoordinator.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 
 /**
- * The coordinator's part of leases. It asks all members in rounds; an answer carries the answerer's own clock. Once a
- * majority has answered a round, each member is granted the time of its last answer before that round began: whoever votes
- * for a later view does so after it answered the round, so after that time. Only a holder's own clock is ever compared with
- * a granted time, so clocks that differ do no harm.
+ * The coordinator's part of leases. It polls all members in rounds; each answer carries the answerer's own clock. Once a
+ * majority has answered a round, each member is granted the time of its last answer before that round began: a member that
+ * votes for a later view does so after it answered the round, so after that time. Only a holder's own clock is compared with
+ * a granted time, so clocks need not be synchronized.
  */
 final class LeaseCoordinator {
     private static final int ROUNDS_PER_LEASE = 5;
--- a/src/main/java/hopdrum/fleet/view/LocalHealth.java
+++ b/src/main/java/hopdrum/fleet/view/LocalHealth.java
@@ -1,8 +1,8 @@
 package hopdrum.fleet.view;
 
 /**
- * Lifeguard's local health: an observer that was paused, cannot be reached or gets no answers doubts itself, and waits by
- * a multiple longer before it accuses others.
+ * Lifeguard's local health: an observer that was paused, is unreachable or gets no answers may itself be at fault, and
+ * multiplies its timeouts before it suspects others.
  */
 final class LocalHealth {
     private static final int WORST_SCORE = 8;
--- a/src/main/java/hopdrum/fleet/view/LocalMember.java
+++ b/src/main/java/hopdrum/fleet/view/LocalMember.java
@@ -29,7 +29,7 @@
         gossip.enqueue(toUpdate());
     }
 
-    /** From now on all gossip says that this member has left. */
+    /** Marks this member as having left in all gossip from now on. */
     void leave() {
         leaving = true;
         announce();
--- a/src/main/java/hopdrum/fleet/view/Membership.java
+++ b/src/main/java/hopdrum/fleet/view/Membership.java
@@ -9,7 +9,7 @@
 
 /**
  * One member's part in its fleet: gives messages and time to failure detection, consensus, leases, the latency map and the
- * shard protocol, and steps back while its name belongs to another process.
+ * shard protocol, and is inactive while its name belongs to another process.
  *
  * <p>Not thread-safe: its owner calls it, and all that it hands out, under one lock, or in virtual time. Times are
  * microseconds of one monotonic clock.
@@ -63,7 +63,7 @@
                 new ViewConsensus(context, founders, restored, failureDetector, writer, this.shards, nowUs);
     }
 
-    /** Says soon and approximately who is present. */
+    /** Returns the failure detector: quick, approximate presence. */
     public FailureDetector failureDetector() {
         return failureDetector;
     }
@@ -73,7 +73,7 @@
         return latencyMap;
     }
 
-    /** Says rarely and exactly which view is settled. */
+    /** Returns the consensus on settled views: rare, exact changes. */
     public ViewConsensus viewConsensus() {
         return viewConsensus;
     }
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Leaves gracefully: tells some peers at once. This member is inactive from now on. */
+    /** Leaves gracefully: notifies some peers immediately. This member is inactive from now on. */
     public void leave(long nowUs) {
         if (!isInactive(nowUs)) {
             failureDetector.leave();
@@ -122,7 +122,7 @@
             onNameTaken(taken, nowUs);
         } else {
             viewConsensus.onMessage(from, message, nowUs);
-            if (message instanceof Message.ViewSettled settled) { // who tells of a view holds it
+            if (message instanceof Message.ViewSettled settled) { // a member that announces a view holds it
                 shards.onPeerView(from, settled.view().era(), settled.view().number());
             }
         }
@@ -164,7 +164,7 @@
         shards.onPeerView(from, era, number);
     }
 
-    /** A member in the settled view holds its name, whatever another process says: it is the other that must go. */
+    /** A member in the settled view holds its name, whatever another process claims: the other process must yield. */
     private void onNameTaken(Message.NameTaken taken, long nowUs) {
         Member self = context.self();
         Member holder = taken.holder();
--- a/src/main/java/hopdrum/fleet/view/Peer.java
+++ b/src/main/java/hopdrum/fleet/view/Peer.java
@@ -38,7 +38,7 @@
         }
     }
 
-    /** The name has been started anew: nothing has been heard from that start yet. */
+    /** Replaces the start after a restart; no message of the new start has been received yet. */
     void replaceStart(Member laterStart) {
         member = laterStart;
         lastHeardUs = NEVER;
@@ -92,7 +92,7 @@
         return stateSinceUs;
     }
 
-    /** A suspicion's timeout begins anew. */
+    /** Restarts the suspicion's timeout. */
     void restartSuspicion(long nowUs) {
         stateSinceUs = nowUs;
     }
--- a/src/main/java/hopdrum/fleet/view/PeerUpdates.java
+++ b/src/main/java/hopdrum/fleet/view/PeerUpdates.java
@@ -11,7 +11,7 @@
  * name belongs to one process at a time. What is taken over is logged and disseminated.
  */
 final class PeerUpdates {
-    private static final int NAME_HELD_ROUNDS = 2; // rounds of probes in which a live holder of its name is heard from
+    private static final int NAME_HELD_ROUNDS = 2; // probe rounds in which a live holder makes contact
 
     /** Is notified before a known peer changes its state. */
     interface StateChangeListener {
@@ -80,7 +80,7 @@
         } else if (subject.start() != peer.member().start()) {
             applyToOtherStart(peer, update, nowUs);
         } else if (peer.hasState(State.LEFT) || !subject.isSameStart(peer.member())) {
-            return; // who left does not come back under the same start; the same start cannot be two voters
+            return; // leaving is final for a start; and one start cannot be two voters
         } else if (supersedes(update, peer)) {
             changeState(peer, update, nowUs);
         } else if (accusesAgain(update, peer) && peer.addAccuser(update.reporter())) {
@@ -89,7 +89,7 @@
     }
 
     private void addUnknown(GossipUpdate update, long nowUs) {
-        if (update.state() == State.ALIVE || update.state() == State.SUSPECT) { // else a forgotten one would come back
+        if (update.state() == State.ALIVE || update.state() == State.SUSPECT) { // else removed members would return
             Peer peer = new Peer(update, nowUs);
             peers.add(peer);
             announce(peer, update.reporter());
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Guards against two processes of one name: while the first is heard from, a later start elsewhere is no restart. */
+    /** Guards against two processes of one name: while the first is alive, a later start elsewhere is not a restart. */
     private boolean holdsItsName(Peer holder, GossipUpdate later, long nowUs) {
         boolean elsewhere = !later.subject().address().equals(holder.address());
         long roundUs = timing.periodUs() * Math.max(1, peers.presentCount());
--- a/src/main/java/hopdrum/fleet/view/ProbeOrder.java
+++ b/src/main/java/hopdrum/fleet/view/ProbeOrder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** SWIM's round robin in an order shuffled anew for each round: no peer waits for its probe longer than two rounds. */
+/** SWIM's round robin, reshuffled for each round: no peer waits for its probe longer than two rounds. */
 final class ProbeOrder {
     private final PeerTable peers;
     private final SplittableRandom random;
--- a/src/main/java/hopdrum/fleet/view/ProbeScheduler.java
+++ b/src/main/java/hopdrum/fleet/view/ProbeScheduler.java
@@ -13,8 +13,8 @@
         private final Peer target;
         private final long sequence;
         private final long sentUs;
-        private boolean indirect; // others have been asked to ping too
-        private int missingNacks; // of helpers that have not even said that they got no answer
+        private boolean indirect; // ping requests to helpers have been sent
+        private int missingNacks; // helpers that have sent neither an ack nor a nack
 
         private Probe(Peer target, long sequence, long sentUs) {
             this.target = target;
@@ -70,8 +70,8 @@
     }
 
     private void fail(long nowUs) {
-        int onlyPeer = peers.presentCount() <= 1 ? 1 : 0; // no helper could say whose fault it is
-        health.degrade(Math.max(probe.missingNacks, onlyPeer)); // mute helpers: this member may be the slow one
+        int onlyPeer = peers.presentCount() <= 1 ? 1 : 0; // without helpers, either side may be at fault
+        health.degrade(Math.max(probe.missingNacks, onlyPeer)); // missing nacks: this member may be the slow one
         Peer target = probe.target;
         if (target.isPresent()) {
             updates.suspect(target, nowUs);
@@ -91,7 +91,7 @@
     /**
      * The target has answered, itself or through a helper.
      *
-     * @param paused this member may have been paused between the ack's arrival and now: the round trip says nothing
+     * @param paused this member may have been paused between the ack's arrival and now: the round trip time is not valid
      */
     void onAck(Member from, long sequence, boolean paused, long nowUs) {
         if (!isUnderWay(sequence)) {
@@ -115,14 +115,14 @@
         return probe != null && probe.sequence == sequence;
     }
 
-    /** The target's state is decided otherwise: what its probe would say is out of date. */
+    /** Cancels the target's probe: its state has been decided by other means. */
     void onStateChange(Peer peer, State next) {
         if (probe != null && probe.target == peer && next != State.SUSPECT) {
             probe = null;
         }
     }
 
-    /** This member was paused: the probe under way says nothing of its target. */
+    /** Cancels the current probe: after a pause of this member its result is not evidence about the target. */
     void restart(long nowUs) {
         probe = null;
         nextProbeUs = nowUs;
--- a/src/main/java/hopdrum/fleet/view/Proposer.java
+++ b/src/main/java/hopdrum/fleet/view/Proposer.java
@@ -58,7 +58,7 @@
         return proposal == null && nowUs >= notBeforeUs;
     }
 
-    /** Phase 1: asks all voters for promises. */
+    /** Phase 1: sends a prepare to all voters. */
     void propose(View view, View value, long nowUs) {
         proposal = new Proposal(new Ballot(++highestRound, self.name()), value);
         proposal.deadlineUs = deadlineUs(nowUs);
--- a/src/main/java/hopdrum/fleet/view/RelayedPings.java
+++ b/src/main/java/hopdrum/fleet/view/RelayedPings.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Pings in other members' stead (SWIM's indirect probes, at the helper): their acks are passed on to who asked. */
+/** Pings on behalf of other members (the helper's side of SWIM's indirect probes): relays acks to the requesters. */
 final class RelayedPings {
     private static final int MAX_PENDING = 512;
     private static final int PENDING_PERIODS = 2;
@@ -23,7 +23,7 @@
         this.messenger = messenger;
     }
 
-    /** Pings the target, and tells who asked at once that this helper is alive. */
+    /** Pings the target, and sends the requester a nack at once to show that this helper is alive. */
     void onRequest(Member origin, Message.PingRequest request, long nowUs) {
         long sequence = messenger.nextSequence();
         if (pending.size() < MAX_PENDING) {
--- a/src/main/java/hopdrum/fleet/view/RoundTripListener.java
+++ b/src/main/java/hopdrum/fleet/view/RoundTripListener.java
@@ -7,7 +7,7 @@
     /**
      * A direct ping was answered.
      *
-     * @param peer who answered
+     * @param peer the peer that answered
      * @param roundTripUs from ping to ack, microseconds
      * @param nowUs monotonic time, microseconds
      */
--- a/src/main/java/hopdrum/fleet/view/ShardProtocol.java
+++ b/src/main/java/hopdrum/fleet/view/ShardProtocol.java
@@ -8,14 +8,14 @@
 import java.util.Optional;
 
 /**
- * What {@link Membership} needs of the protocol by which operators share shards: the rule of assignment, messages and
- * time. Called under the lock of {@link Membership}. Times are microseconds of one monotonic clock.
+ * The shard-sharing protocol as {@link Membership} drives it: the assignment rule, messages and
+ * ticks. Called under the lock of {@link Membership}. Times are microseconds of one monotonic clock.
  */
 public interface ShardProtocol extends ShardAssigner {
     /** The protocol of a fleet without shards: it assigns nothing and ignores its messages. */
     ShardProtocol NONE = new NoShards();
 
-    /** Called once, before anything else, with the detector that says which members are present. */
+    /** Called once, before anything else, with the detector of which members are present. */
     void setFailureDetector(FailureDetector detector);
 
     /** Called several times a probe period. */
@@ -27,7 +27,7 @@
     /** A peer's agreement proposals have arrived. */
     void onAgreementProposals(Member from, Message.AgreementProposals proposals, long nowUs);
 
-    /** A member of the same operator says which shards have been handed over. */
+    /** A member of the same operator has announced completed hand-overs of shards. */
     void onShardsHandedOver(Member from, Message.ShardsHandedOver handedOver, long nowUs);
 
     /** A fleet whose operators share no shards: a view with an assignment is refused. */
--- a/src/main/java/hopdrum/fleet/view/SwimMessenger.java
+++ b/src/main/java/hopdrum/fleet/view/SwimMessenger.java
@@ -54,7 +54,7 @@
         sender.send(address, new Message.Nack(sequence));
     }
 
-    /** Asks some live peers to ping the target in this member's stead; gives how many were asked. */
+    /** Sends ping requests for the target to some live peers; returns how many. */
     int requestIndirectPings(Peer target, long sequence) {
         List<Peer> helpers = peers.sample(INDIRECT_PROBERS, peer -> peer.hasState(State.ALIVE) && peer != target);
         for (Peer helper : helpers) {
--- a/src/main/java/hopdrum/fleet/view/ViewCatchUp.java
+++ b/src/main/java/hopdrum/fleet/view/ViewCatchUp.java
@@ -4,7 +4,7 @@
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.message.View;
 
-/** Brings members that hold different settled views to the latest: one that is behind asks for it, or is sent it. */
+/** Brings members that hold different settled views to the latest: one that is behind requests it, or is sent it. */
 final class ViewCatchUp {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /** A peer asks for a view later than its own. */
+    /** A peer requests a view later than its own. */
     void onRequest(View own, Member peer, Message.SettledViewRequest request) {
         if (isLater(own, request.era(), request.number())) {
             sender.send(peer, new Message.ViewSettled(own));
--- a/src/main/java/hopdrum/fleet/view/ViewConsensus.java
+++ b/src/main/java/hopdrum/fleet/view/ViewConsensus.java
@@ -11,7 +11,7 @@
 /**
  * Settled views: each is agreed on by a majority of the members of the one before, by single-decree Paxos for each view
  * number (Lamport, Paxos Made Simple, 2001), so that no number ever names two views. The first view of a fleet takes all
- * founders. {@link ChangeDetector} says what to propose, {@link Proposer} and {@link Acceptor} are the two parts in Paxos,
+ * founders. {@link ChangeDetector} decides what to propose, {@link Proposer} and {@link Acceptor} are the two Paxos roles,
  * {@link ViewCatchUp} spreads what is settled.
  *
  * <p>Not thread-safe: called under the lock of {@link Membership}. Times are microseconds of one monotonic clock.
@@ -196,7 +196,7 @@
         if (!view.hasId(renew.era(), renew.number())) {
             catchUp.onPeerView(view, from, renew.era(), renew.number(), nowUs);
         } else if (!acceptor.hasAccepted()
-                && view.contains(self)) { // who has voted for the next view holds this no longer
+                && view.contains(self)) { // a member that has voted for the next view does not renew this one
             sender.send(from, new Message.Renewed(renew.era(), renew.number(), renew.round(), nowUs));
         }
     }
--- a/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
+++ b/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
@@ -58,7 +58,7 @@
         return fleet;
     }
 
-    private static FleetSimulation settled(int members, int operators, long seed) {
+    private static FleetSimulation settledFleet(int members, int operators, long seed) {
         FleetSimulation fleet = fleet(members, operators, seed);
         fleet.nodes().forEach(node -> fleet.start(node, false));
         assertThat(fleet.until(60 * S, fleet::isSettled)).isTrue();
@@ -83,7 +83,7 @@
 
     @Test
     void sharesAreEvenWithoutAnAgreementAndAnAgreedOneMovesThemWithinTheEpochsBudget() {
-        FleetSimulation fleet = settled(6, 2, 1);
+        FleetSimulation fleet = settledFleet(6, 2, 1);
         assertThat(shares(fleet, 16, 16)).isTrue();
         updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25)));
         assertThat(fleet.until(30 * S, () -> shares(fleet, 24, 8))).isTrue();
@@ -96,7 +96,7 @@
 
     @Test
     void aProposalThatOnePartyRejectsIsAnsweredWithTheReasonAndACounterProposal() {
-        FleetSimulation fleet = settled(4, 2, 2);
+        FleetSimulation fleet = settledFleet(4, 2, 2);
         fleet.recordEvents();
         updateTerms(fleet, "op1", new AgreementTerms(null, 0.4, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false));
         updateTerms(
@@ -128,7 +128,7 @@
 
     @Test
     void proposalsThatTheirOperatorNoLongerSendsExpireAndMakeRoom() {
-        FleetSimulation fleet = settled(4, 2, 8);
+        FleetSimulation fleet = settledFleet(4, 2, 8);
         updateTerms(fleet, "op1", AgreementTerms.NONE);
         for (int i = 0; i < 40; i++) { // more than are known at once
             updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000 + i, false, 75, 25)));
@@ -144,7 +144,7 @@
 
     @Test
     void noAgreementComesIntoForceWithoutTheApprovalOfAPartyAcrossAPartition() {
-        FleetSimulation fleet = settled(5, 2, 3);
+        FleetSimulation fleet = settledFleet(5, 2, 3);
         fleet.setLinkFilter((a, b) ->
                 a.compareTo("m003") >= 0 == b.compareTo("m003") >= 0); // m003 and m004, one of each, are cut off
         for (SimulatedNode node : fleet.nodes()) {
@@ -165,7 +165,7 @@
     @Test
     void anOperatorCutOffActsAloneUntilItsLeaseEndsAndOthersStandInOnlyWhereAgreed() {
         for (boolean standIn : new boolean[] {false, true}) {
-            FleetSimulation fleet = settled(5, 2, 4); // op0 has three, op1 two
+            FleetSimulation fleet = settledFleet(5, 2, 4); // op0 has three, op1 two
             updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, standIn, 50, 50)));
             assertThat(fleet.until(
                             30 * S, () -> fleet.node(0).view().shardAssignment().agreement() != null))
@@ -185,7 +185,7 @@
 
     @Test
     void aNoticeEndsAnAgreementAfterItsNoticePeriodAndLeavesEachPartyItsFloor() {
-        FleetSimulation fleet = settled(4, 2, 5);
+        FleetSimulation fleet = settledFleet(4, 2, 5);
         updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25)));
         assertThat(fleet.until(40 * S, () -> shares(fleet, 24, 8))).isTrue();
         updateTerms(fleet, "op1", new AgreementTerms(null, 2, 0, 0, 0, 0, 0, true));
@@ -202,7 +202,7 @@
 
     @Test
     void agreementsAndOwnersSurviveARestartOfAllMembersAndOneOperatorsLossOfItsStores() {
-        FleetSimulation fleet = settled(6, 2, 6);
+        FleetSimulation fleet = settledFleet(6, 2, 6);
         updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25)));
         assertThat(fleet.until(40 * S, () -> shares(fleet, 24, 8))).isTrue();
         PartnerAgreement before = fleet.node(0).view().shardAssignment().agreement();
@@ -217,7 +217,7 @@
 
     @Test
     void anOwnerCutOffKeepsActingWhileItsShardMovesTwiceAndTheThirdOwnerWaitsForIt() {
-        FleetSimulation fleet = settled(7, 3, 7); // op0 has three, op1 and op2 two each
+        FleetSimulation fleet = settledFleet(7, 3, 7); // op0 has three, op1 and op2 two each
         int[][] shares = {{80, 10, 10}, {10, 80, 10}, {10, 10, 80}};
         for (int revision = 1; revision <= 3; revision++) {
             List<Party> parties = new ArrayList<>();
@@ -388,7 +388,7 @@
         assertThat(rule.mayComeIntoForce(view(d, 1), good, good.operators(), 20))
                 .isFalse(); // said once more
         assertThat(rule.mayComeIntoForce(view(null, 0), good, List.of("op0"), 20))
-                .isFalse(); // one party's word alone
+                .isFalse(); // approved by one party only
         assertThat(rule.violation(view(null, 0), new View(1, 1, view(null, 0).members(), d), 10))
                 .isPresent(); // op1 is not there
         Map<String, Integer> counts = Map.of("op0", d.count("op0"), "op1", d.count("op1"));
