--- a/src/main/java/hopdrum/fleet/latency/LatencyMap.java
+++ b/src/main/java/hopdrum/fleet/latency/LatencyMap.java
@@ -47,7 +47,7 @@
     private static final int READINGS_PER_MESSAGE = 16;
     private static final int MAX_OUTSTANDING_PROBES = 64;
     private static final long MAX_AGE_US = 60_000_000; // older readings are dropped
-    private static final int QUORUM_OF_OBSERVERS = 3; // observers that one wrong one cannot outweigh
+    private static final int QUORUM_OF_OBSERVERS = 3; // the fewest observers of which one wrong one is outvoted
     private static final double MAX_SINGLE_OBSERVER_FACTOR = 2; // how far one observer alone may move an estimate
     private static final double SINGLE_OBSERVER_CONFIDENCE = 0.3;
     private static final double DERIVED_CONFIDENCE = 0.5;
@@ -57,7 +57,7 @@
     private static final class SiteSamples {
         long previousUs;
         long previousAtUs = Long.MIN_VALUE / 2;
-        long minUs = Long.MAX_VALUE; // ever measured: the network itself takes so long
+        long minUs = Long.MAX_VALUE; // ever measured: the propagation delay of the path
         long seq;
     }
 
@@ -136,8 +136,8 @@
     }
 
     /**
-     * Adds a measured round-trip time to a peer. The lesser of the last two samples counts: a delay that a sender, a
-     * receiver or a congested link adds once is no distance, and nothing makes a path look shorter than it is.
+     * Adds a measured round-trip time to a peer. The lesser of the last two samples counts: a single delay in a sender, a
+     * receiver or a congested link is not part of the path's latency, and no error makes a path look shorter.
      *
      * @param peer the member that answered
      * @param rttUs the round-trip time, microseconds; one that cannot be is ignored
@@ -158,7 +158,7 @@
     }
 
     /**
-     * Merges what other members have measured or heard of; readings under this member's own name are ignored.
+     * Merges readings that other members have measured or received; readings under this member's own name are ignored.
      *
      * @param received readings of a peer's message
      * @param nowUs the time, microseconds
--- a/src/main/java/hopdrum/fleet/message/PartnerAgreement.java
+++ b/src/main/java/hopdrum/fleet/message/PartnerAgreement.java
@@ -118,7 +118,7 @@
     }
 
     /**
-     * Finds what keeps the agreement from ever coming in force.
+     * Finds the reasons why the agreement can never come into force.
      *
      * @param nowMs the wall clock, milliseconds
      * @param maxAloneMs the longest that this fleet lets an operator act alone, milliseconds
--- a/src/main/java/hopdrum/fleet/shards/AgreementTerms.java
+++ b/src/main/java/hopdrum/fleet/shards/AgreementTerms.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 
 /**
- * What one operator proposes and would agree to, as its terms file has it.
+ * One operator's proposals and acceptance limits, from its terms file.
  *
  * @param proposal what it proposes, under the revision that it is to have; null for nothing
  * @param minShare its own share of the shards at least, as a fraction of all
@@ -70,8 +70,8 @@
     }
 
     /**
-     * The same agreement with this operator's own figures as near as it would agree to; null where no figure of its own
-     * would help.
+     * The same agreement with this operator's own figures changed to the nearest that it accepts; null where no change
+     * of them would make it acceptable.
      */
     PartnerAgreement counterProposal(PartnerAgreement agreement, String operator) {
         if (minShare >= 1) {
--- a/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
@@ -96,7 +96,7 @@
     }
 
     /**
-     * Replaces what this operator proposes and would agree to.
+     * Replaces this operator's proposals and acceptance limits.
      *
      * @param terms the operator's terms from now on
      */
--- a/src/main/java/hopdrum/fleet/shards/ShardRebalance.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardRebalance.java
@@ -87,7 +87,7 @@
     /** Copies the present owners; returns the shards without an owner or whose owner has too many. */
     private List<Integer> release(char[] owners) {
         List<Integer> available = new ArrayList<>();
-        // the last first: an operator that is left with its floor knows that it keeps its first shards
+        // from the last shard on, since an operator that expires to its floor keeps its first shards
         for (int shard = shards - 1; shard >= 0; shard--) {
             String owner = previousOwner(shard);
             owners[shard] = owner == null ? ShardAssignment.NOBODY : ownerCode(owner);
--- a/src/main/java/hopdrum/fleet/store/Store.java
+++ b/src/main/java/hopdrum/fleet/store/Store.java
@@ -67,7 +67,7 @@
     }
 
     /**
-     * Reads the state. A damaged file is set aside, for a person to look at.
+     * Reads the state. A damaged file is renamed and kept for inspection.
      *
      * @return the state; null where there is none, or it is corrupt: then {@link #damage} has the reason
      */
@@ -113,7 +113,7 @@
     }
 
     /**
-     * Replaces the state; returns once it would outlast a crash of the machine. A vote whose write fails must not be cast.
+     * Replaces the state; returns once it is durable. A vote whose write fails must not be cast.
      *
      * @param state the state
      * @throws IOException where it could not be written
--- a/src/main/java/hopdrum/fleet/view/ConsensusSender.java
+++ b/src/main/java/hopdrum/fleet/view/ConsensusSender.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Sends the messages of consensus. Those to this member itself are queued, to be handled once the present message has been
- * handled whole.
+ * Sends the messages of consensus. Those to this member itself are queued and handled after the present message,
+ * which avoids reentrant calls.
  */
 final class ConsensusSender {
     private final Member self;
--- a/src/main/java/hopdrum/fleet/view/FailureDetector.java
+++ b/src/main/java/hopdrum/fleet/view/FailureDetector.java
@@ -10,8 +10,8 @@
 /**
  * Detects quickly, but only approximately, who is present: SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar,
  * Phillips, Currey 2018). Each period one peer is probed, through helpers if it does not answer; one that is unreachable
- * is suspected, may refute, and is declared dead after a timeout that shrinks as others confirm. Updates are disseminated on the pings.
- * docs/fleet.md lists the differences from the papers.
+ * is suspected, may refute, and is declared dead after a timeout that shrinks as others confirm. Updates are disseminated
+ * on the pings. docs/fleet.md lists the differences from the papers.
  *
  * <p>Not thread-safe: called under the lock of {@link Membership}. Times are microseconds of one monotonic clock.
  */
@@ -80,7 +80,7 @@
     }
 
     /**
-     * All members taken for present, suspected or not; this member comes first unless it leaves.
+     * All members believed to be present, suspected or not; this member comes first unless it is leaving.
      *
      * @return a list of the caller's own
      */
--- a/src/main/java/hopdrum/fleet/view/FleetTiming.java
+++ b/src/main/java/hopdrum/fleet/view/FleetTiming.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * How long after a view was superseded claims under it may still be live elsewhere: a lease, and the drift of two
-     * clocks apart from each other.
+     * How long claims under a view may outlive it elsewhere: the length of a lease, plus the relative drift of two
+     * clocks.
      */
     public long leaseLapseUs() {
         return leaseUs + leaseUs * 2 * MAX_CLOCK_DRIFT_PERCENT / 100;
--- a/src/main/java/hopdrum/fleet/view/GossipQueue.java
+++ b/src/main/java/hopdrum/fleet/view/GossipQueue.java
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Chooses the updates for one message, those sent least first. To a peer that is not taken for alive, its own state
-     * comes first of all, so that it can refute.
+     * Chooses the updates for one message, those sent least first. For a peer that is not believed alive, its own state
+     * comes first, so that it can refute.
      *
      * @param knownPeers how many peers are known, of any state
      */
--- a/src/main/java/hopdrum/fleet/view/Membership.java
+++ b/src/main/java/hopdrum/fleet/view/Membership.java
@@ -8,8 +8,8 @@
 import java.util.SplittableRandom;
 
 /**
- * One member's part in its fleet: gives messages and time to failure detection, consensus, leases, the latency map and the
- * shard protocol, and is inactive while its name belongs to another process.
+ * One member of its fleet: dispatches messages and ticks to failure detection, consensus, leases, the latency map and
+ * the shard protocol, and is inactive while its name belongs to another process.
  *
  * <p>Not thread-safe: its owner calls it, and all that it hands out, under one lock, or in virtual time. Times are
  * microseconds of one monotonic clock.
--- a/src/main/java/hopdrum/fleet/view/Peer.java
+++ b/src/main/java/hopdrum/fleet/view/Peer.java
@@ -17,7 +17,7 @@
     private long incarnation;
     private State state;
     private long stateSinceUs;
-    private long lastHeardUs = NEVER;
+    private long lastContactUs = NEVER;
     private long nextCheckUs;
     private final Set<String> accusers = new HashSet<>(2); // of the present suspicion; cleared with each state change
 
@@ -41,7 +41,7 @@
     /** Replaces the start after a restart; no message of the new start has been received yet. */
     void replaceStart(Member laterStart) {
         member = laterStart;
-        lastHeardUs = NEVER;
+        lastContactUs = NEVER;
     }
 
     /** Counts another accuser of the present suspicion; false if it is known, or if enough have confirmed. */
@@ -98,12 +98,12 @@
     }
 
     /** When this start last sent a message to this member itself. */
-    long lastHeardUs() {
-        return lastHeardUs;
+    long lastContactUs() {
+        return lastContactUs;
     }
 
-    void heard(long nowUs) {
-        lastHeardUs = nowUs;
+    void recordContact(long nowUs) {
+        lastContactUs = nowUs;
     }
 
     /** When a suspect may be checked by this member again. */
--- a/src/main/java/hopdrum/fleet/view/PeerTable.java
+++ b/src/main/java/hopdrum/fleet/view/PeerTable.java
@@ -13,7 +13,7 @@
 /** All peers that are known, by name, in the order in which they became known. */
 final class PeerTable {
     private final SplittableRandom random;
-    private final Map<String, Peer> peers = new LinkedHashMap<>(); // dead and departed ones are removed by age
+    private final Map<String, Peer> peers = new LinkedHashMap<>(); // dead peers and those that left are removed by age
 
     PeerTable(SplittableRandom random) {
         this.random = random;
--- a/src/main/java/hopdrum/fleet/view/PeerUpdates.java
+++ b/src/main/java/hopdrum/fleet/view/PeerUpdates.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Decides which updates about peers are taken over: by SWIM's precedence of incarnations and states, and by the rule that a
- * name belongs to one process at a time. What is taken over is logged and disseminated.
+ * Decides which updates about peers are applied: by SWIM's precedence of incarnations and states, and by the rule that a
+ * name belongs to one process at a time. Applied updates are logged and disseminated.
  */
 final class PeerUpdates {
     private static final int NAME_HELD_ROUNDS = 2; // probe rounds in which a live holder makes contact
@@ -48,7 +48,7 @@
         apply(new GossipUpdate(from, 0, State.ALIVE, from.name()), nowUs);
         Peer peer = peers.get(from.name());
         if (peer != null && peer.member().isSameStart(from)) {
-            peer.heard(nowUs);
+            peer.recordContact(nowUs);
         }
         return peer;
     }
@@ -108,8 +108,9 @@
     private boolean holdsItsName(Peer holder, GossipUpdate later, long nowUs) {
         boolean elsewhere = !later.subject().address().equals(holder.address());
         long roundUs = timing.periodUs() * Math.max(1, peers.presentCount());
-        boolean heardFrom = holder.hasState(State.ALIVE) && nowUs - holder.lastHeardUs() < NAME_HELD_ROUNDS * roundUs;
-        return elsewhere && heardFrom && later.state() != State.LEFT;
+        boolean hasContact =
+                holder.hasState(State.ALIVE) && nowUs - holder.lastContactUs() < NAME_HELD_ROUNDS * roundUs;
+        return elsewhere && hasContact && later.state() != State.LEFT;
     }
 
     private static boolean supersedes(GossipUpdate update, Peer peer) {
@@ -176,7 +177,7 @@
         }
     }
 
-    private void announce(Peer peer, String by) {
+    private void announce(Peer peer, String reporter) {
         log.event(
                 "member",
                 "who",
@@ -186,9 +187,9 @@
                 "state",
                 peer.state().name(),
                 "by",
-                by,
+                reporter,
                 "incarnation",
                 peer.incarnation());
-        gossip.enqueue(peer.toUpdateBy(by));
+        gossip.enqueue(peer.toUpdateBy(reporter));
     }
 }
--- a/src/main/java/hopdrum/fleet/view/SuspectProbes.java
+++ b/src/main/java/hopdrum/fleet/view/SuspectProbes.java
@@ -7,8 +7,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Probes of peers that others suspect: some three members probe each suspect, at once and then each period, so that either
- * the suspicion is confirmed or the suspect learns of it and refutes.
+ * Probes of peers that others suspect: about three members probe each suspect, at once and then each period, so that
+ * either the suspicion is confirmed or the suspect learns of it and refutes.
  */
 final class SuspectProbes {
     private static final int EXPECTED_PROBERS = 3; // of one suspect in one period, in the mean
