--- a/src/main/java/hopdrum/frontdoor/RequestHandler.java
+++ b/src/main/java/hopdrum/frontdoor/RequestHandler.java
@@ -35,7 +35,7 @@
         this.tally = tally;
         this.fleet = fleet;
         this.endpoints = endpoints;
-        gateways = config.settings().gateways();
+        gateways = config.settings().gatewayCount();
         head = new RequestHead(
                 config.methods(), config.plans(), config.settings().methods(), gateways, config.maxUnits());
     }
--- a/src/main/java/hopdrum/frontdoor/server/Warmup.java
+++ b/src/main/java/hopdrum/frontdoor/server/Warmup.java
@@ -61,7 +61,7 @@
                 config.methods(),
                 config.plans(),
                 config.settings().methods(),
-                config.settings().gateways(),
+                config.settings().gatewayCount(),
                 config.maxUnits());
         requests = ExampleRequests.rpcs(config);
         policy = new Policy(config.settings(), 1, this);
--- a/src/main/java/hopdrum/host/Settings.java
+++ b/src/main/java/hopdrum/host/Settings.java
@@ -5,7 +5,7 @@
 /**
  * What a gateway is told of its deployment at start.
  *
- * @param gateways how many there are in its tier
+ * @param gatewayCount the number of gateways in the tier of this gateway
  * @param ordinal this gateway's number, from 0
  * @param tickUs the granularity of the clock that clients and backends see
  * @param methods by index
@@ -28,7 +28,7 @@
  * @param overloadWindowUs that window
  */
 public record Settings(
-        int gateways,
+        int gatewayCount,
         int ordinal,
         long tickUs,
         List<Method> methods,
--- a/src/main/java/hopdrum/policy/backends/Backend.java
+++ b/src/main/java/hopdrum/policy/backends/Backend.java
@@ -36,7 +36,7 @@
     Backend(PolicyContext context, Endpoint endpoint) {
         this.context = context;
         this.endpoint = endpoint;
-        this.limit = new ConcurrencyLimit(context.settings().gateways());
+        this.limit = new ConcurrencyLimit(context.settings().gatewayCount());
         this.slowStart = new SlowStart(context, endpoint);
         this.slownessAtUs = context.nowUs();
         this.lastAnswerUs = context.nowUs();
--- a/src/main/java/hopdrum/policy/backends/BackendTier.java
+++ b/src/main/java/hopdrum/policy/backends/BackendTier.java
@@ -52,7 +52,7 @@
             backend.setReady(endpoint.state() == Endpoint.State.READY);
         }
         backends.values().removeIf(backend -> !backend.isReady());
-        gatewayLimit.resize(before, backends.size(), settings.gateways());
+        gatewayLimit.resize(before, backends.size(), settings.gatewayCount());
     }
 
     // ---- The pick ----
@@ -111,7 +111,7 @@
                 size += sizeOf(backend);
             }
         }
-        return size <= 0 ? 1 : Math.max(1, cores / size * sizeOf(cold) * settings.gateways());
+        return size <= 0 ? 1 : Math.max(1, cores / size * sizeOf(cold) * settings.gatewayCount());
     }
 
     private double sizeOf(Backend backend) {
--- a/src/main/java/hopdrum/policy/backends/SlowStart.java
+++ b/src/main/java/hopdrum/policy/backends/SlowStart.java
@@ -53,7 +53,7 @@
                 + (1 - settings.slowStartInitialFraction()) * Math.max(0, ageUs) / settings.slowStartDurationUs();
         double windowUs = settings.overloadWindowUs();
         double budgetUs =
-                BUDGET_MARGIN * settings.overloadFactor() * fraction * windowUs * warmCores / settings.gateways();
+                BUDGET_MARGIN * settings.overloadFactor() * fraction * windowUs * warmCores / settings.gatewayCount();
         double cycleUs = windowUs * Math.max(1, workUs / budgetUs);
         while (!attempts.isEmpty() && attempts.peek().sentAtUs < nowUs - cycleUs) {
             attempts.poll();
@@ -61,7 +61,7 @@
         if (!attempts.isEmpty()) {
             return attempts.stream().mapToLong(ColdAttempt::workUs).sum() + workUs <= budgetUs;
         }
-        return nowUs >= knownAtUs + cycleUs * settings.ordinal() / settings.gateways();
+        return nowUs >= knownAtUs + cycleUs * settings.ordinal() / settings.gatewayCount();
     }
 
     /** Takes in an attempt that has been sent. */
--- a/src/main/java/hopdrum/policy/quota/CounterPacer.java
+++ b/src/main/java/hopdrum/policy/quota/CounterPacer.java
@@ -103,7 +103,7 @@
         if (answeredSinceLoss) {
             knownGoodPace = (isPaced() ? pace : callRateNow()) * LOSS_FACTOR;
         }
-        pace = Math.max(LEAST_PACE / settings.gateways(), (isPaced() ? pace : callRateNow()) * LOSS_FACTOR);
+        pace = Math.max(LEAST_PACE / settings.gatewayCount(), (isPaced() ? pace : callRateNow()) * LOSS_FACTOR);
         answeredSinceLoss = false;
         lastLossUs = nowUs;
     }
--- a/src/main/java/hopdrum/policy/quota/CustomerQuota.java
+++ b/src/main/java/hopdrum/policy/quota/CustomerQuota.java
@@ -40,7 +40,7 @@
         this.customer = customer;
         this.plan = plan;
         this.firstGateway = firstGateway;
-        this.gateways = Math.max(1, Math.min(gateways, settings.gateways()));
+        this.gateways = Math.max(1, Math.min(gateways, settings.gatewayCount()));
         this.credit = new CreditEstimate(context, customer, plan);
         this.bucket = new FallbackBucket(context, counter, credit, plan, firstGateway, this.gateways);
     }
@@ -320,7 +320,7 @@
             return;
         }
         for (int i = 0; i < gateways; i++) {
-            int gateway = (firstGateway + i) % settings.gateways();
+            int gateway = (firstGateway + i) % settings.gatewayCount();
             if (gateway != settings.ordinal()) {
                 context.host().sendToPeer(gateway, new CreditGossip(customer, credit.unitsAsRead()).encode());
             }
--- a/src/main/java/hopdrum/policy/quota/FallbackBucket.java
+++ b/src/main/java/hopdrum/policy/quota/FallbackBucket.java
@@ -61,7 +61,7 @@
             return 1.0 / gateways;
         }
         return context.nowUs() < lease.untilUs()
-                ? 1.0 / lease.maxGatewaysSharing(firstGateway, gateways, settings.gateways())
+                ? 1.0 / lease.maxGatewaysSharing(firstGateway, gateways, settings.gatewayCount())
                 : 0;
     }
 
