--- a/src/main/java/hopdrum/FleetServer.java
+++ b/src/main/java/hopdrum/FleetServer.java
@@ -30,8 +30,8 @@
             return 1;
         }
         return Server.serve(configFile, (config, loop) -> {
-            Fleet fleet =
-                    Fleet.start(file, terms, termsMs, config.settings().ordinal(), config.seed(), loop.offsetUs());
+            Fleet fleet = Fleet.start(
+                    file, terms, termsMs, config.settings().ordinal(), config.seed(), loop.monotonicOffsetUs());
             fleet.setBackendZones(config.zones());
             return new FleetCompanion(fleet, loop);
         });
--- a/src/main/java/hopdrum/frontdoor/ClientListener.java
+++ b/src/main/java/hopdrum/frontdoor/ClientListener.java
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void ready(SelectionKey ready) throws IOException {
+    public void channelReady(SelectionKey ready) throws IOException {
         accept();
     }
 
@@ -167,7 +167,7 @@
         if (!paused && key != null && key.isValid()) {
             paused = true;
             key.interestOps(0); // else the loop would spin on a connection that it cannot accept
-            loop.in(PAUSE_US, this::resumeAccepting);
+            loop.scheduleAfter(PAUSE_US, this::resumeAccepting);
         }
     }
 
@@ -179,7 +179,7 @@
     }
 
     @Override
-    public void failed(Exception e) {
+    public void channelFailed(Exception e) {
         pauseAccepting(e.getMessage());
     }
 
--- a/src/main/java/hopdrum/frontdoor/CounterClient.java
+++ b/src/main/java/hopdrum/frontdoor/CounterClient.java
@@ -40,7 +40,7 @@
         this.timeoutUs = timeoutUs;
         this.budget = budget;
         this.listener = listener;
-        loop.in(MIN_STALL_US, this::replaceStalledConnections);
+        loop.scheduleAfter(MIN_STALL_US, this::replaceStalledConnections);
     }
 
     /** New calls go to that address at once; pending calls end on their connections. Null if there is no counter. */
@@ -67,7 +67,7 @@
             if (connections[index] == null && address != null) {
                 connections[index] = new CounterConnection(loop, address, timeoutUs, budget, this);
             }
-            if (connections[index] != null && connections[index].call(name, amount, timeToLiveMs)) {
+            if (connections[index] != null && connections[index].sendCall(name, amount, timeToLiveMs)) {
                 return;
             }
         } catch (IOException e) {
@@ -101,7 +101,7 @@
             }
         }
         stallUs = replaced ? Math.min(MAX_STALL_US, 2 * stallUs) : stallUs;
-        loop.in(MIN_STALL_US / 4, this::replaceStalledConnections);
+        loop.scheduleAfter(MIN_STALL_US / 4, this::replaceStalledConnections);
     }
 
     @Override
--- a/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
+++ b/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
@@ -88,7 +88,7 @@
     private void checkPeriodically() {
         if (!closed) {
             check();
-            loop.in(CHECK_INTERVAL_US, this::checkPeriodically);
+            loop.scheduleAfter(CHECK_INTERVAL_US, this::checkPeriodically);
         }
     }
 
@@ -210,12 +210,12 @@
                     isWatch, version, address.getAddress().getHostAddress() + ":" + address.getPort(), out);
             flush();
             if (!isWatch) {
-                loop.in(FETCH_TIMEOUT_US, this::close);
+                loop.scheduleAfter(FETCH_TIMEOUT_US, this::close);
             }
         }
 
         @Override
-        protected void received() {
+        protected void bytesReceived() {
             lastReadUs = DiscoveryClient.this.loop.nowUs();
             try {
                 if (reader.read(in)) {
@@ -228,7 +228,7 @@
         }
 
         @Override
-        protected void ended(Ending ending) {
+        protected void disconnected(CloseCause cause) {
             if (isWatch) {
                 LOG.info("the watch has ended and is reopened", null);
                 firstLineTimeoutUs =
@@ -238,7 +238,7 @@
         }
 
         @Override
-        protected void released() {
+        protected void connectionClosed() {
             if (watch == this) {
                 watch = null;
             }
--- a/src/main/java/hopdrum/frontdoor/EndpointUpdater.java
+++ b/src/main/java/hopdrum/frontdoor/EndpointUpdater.java
@@ -35,7 +35,7 @@
             return NO_VERSION;
         }
         try {
-            List<Endpoint> endpoints = directory.applyList(DiscoveredBackend.parseList(cached), true);
+            List<Endpoint> endpoints = directory.applyEndpointList(DiscoveredBackend.parseList(cached), true);
             policy.endpointsUpdated(BACKEND_TIER, Endpoint.UpdateKind.CACHED, endpoints);
             anyListed = !endpoints.isEmpty();
             return seq.longValue();
@@ -47,7 +47,7 @@
 
     /** Applies a list of discovery's: all backends if it is complete, else changes. */
     void applyDiscovered(List<DiscoveredBackend> backends, boolean complete) {
-        List<Endpoint> endpoints = directory.applyList(backends, complete);
+        List<Endpoint> endpoints = directory.applyEndpointList(backends, complete);
         anyListed |= !endpoints.isEmpty();
         if (complete || !endpoints.isEmpty()) {
             policy.endpointsUpdated(
--- a/src/main/java/hopdrum/frontdoor/FrontDoor.java
+++ b/src/main/java/hopdrum/frontdoor/FrontDoor.java
@@ -53,7 +53,7 @@
         this.config = config;
         this.loop = loop;
         budget = new ResourceBudget(
-                config.sockets(), config.memoryMb() * (1L << 20) / BUFFER_SHARE_OF_MEMORY, TRANSFER_TIMEOUT_US);
+                config.maxDescriptors(), config.memoryMb() * (1L << 20) / BUFFER_SHARE_OF_MEMORY, TRANSFER_TIMEOUT_US);
         directory = new BackendDirectory(config.zones(), config.kinds());
         RequestTally tally = new RequestTally(loop, requests, budget);
         AttemptDispatcher attempts = new AttemptDispatcher(config, loop, directory, requests, budget, tally);
@@ -77,9 +77,9 @@
                 config.listen(),
                 budget,
                 new RequestHandler(config, loop, host.policy(), requests, tally, fleet, endpoints));
-        loop.execute(
-                () -> loop.in(DISCOVERY_TIMEOUT_US, this::startAccepting)); // the loop's clock stands still till then
-        loop.in(HOUSEKEEPING_INTERVAL_US, this::closeUnusedConnections);
+        loop.execute(() -> loop.scheduleAfter(
+                DISCOVERY_TIMEOUT_US, this::startAccepting)); // the loop's clock stands still till then
+        loop.scheduleAfter(HOUSEKEEPING_INTERVAL_US, this::closeUnusedConnections);
         tally.start();
     }
 
@@ -136,7 +136,7 @@
             }
         }
         directory.removeWithdrawn();
-        loop.in(HOUSEKEEPING_INTERVAL_US, this::closeUnusedConnections);
+        loop.scheduleAfter(HOUSEKEEPING_INTERVAL_US, this::closeUnusedConnections);
     }
 
     /** Follows discovery and the counter to the addresses of a new configuration; the rest of it takes a restart. */
@@ -153,21 +153,22 @@
     public void stop() {
         LOG.info("stopping", requests.size() + " requests in flight");
         clients.startDraining();
-        loop.in(SHUTDOWN_ACCEPT_US, () -> {
+        loop.scheduleAfter(SHUTDOWN_ACCEPT_US, () -> {
             clients.stopAccepting();
             stopLoopOnceDrained();
         });
-        loop.in(
+        loop.scheduleAfter(
                 SLOW_SHUTDOWN_US,
                 () -> LOG.info(
-                        "not stopped yet", requests.size() + " requests in flight, clients=" + budget.clients()));
+                        "not stopped yet",
+                        requests.size() + " requests in flight, clients=" + budget.clientConnections()));
     }
 
     private void stopLoopOnceDrained() {
         if (clients.isEmpty()) {
             loop.stop();
         } else {
-            loop.in(SHUTDOWN_POLL_US, this::stopLoopOnceDrained);
+            loop.scheduleAfter(SHUTDOWN_POLL_US, this::stopLoopOnceDrained);
         }
     }
 
--- a/src/main/java/hopdrum/frontdoor/PeerMessenger.java
+++ b/src/main/java/hopdrum/frontdoor/PeerMessenger.java
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void ready(SelectionKey key) throws IOException {
+    public void channelReady(SelectionKey key) throws IOException {
         for (int i = 0; i < MAX_RECEIVED_AT_ONCE; i++) {
             buffer.clear();
             SocketAddress from = channel.receive(buffer);
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public void failed(Exception e) {
+    public void channelFailed(Exception e) {
         LOG.warning("the datagram socket failed to read", e.getMessage());
     }
 
--- a/src/main/java/hopdrum/frontdoor/PolicyHost.java
+++ b/src/main/java/hopdrum/frontdoor/PolicyHost.java
@@ -127,7 +127,7 @@
         if (wakeUp != null) {
             wakeUp.cancel();
         }
-        wakeUp = loop.in(delayUs, this::wakeUpPolicy);
+        wakeUp = loop.scheduleAfter(delayUs, this::wakeUpPolicy);
     }
 
     private void wakeUpPolicy() {
--- a/src/main/java/hopdrum/frontdoor/RequestHandler.java
+++ b/src/main/java/hopdrum/frontdoor/RequestHandler.java
@@ -61,7 +61,7 @@
         client.attachRequest(request);
         tally.requestReceived();
         // With partners any front door takes any customer: its gateways are all that its shard's owner has.
-        request.accepted(policy.requestReceived(
+        request.setHandle(policy.requestReceived(
                 request.id(),
                 head.method,
                 head.customer,
--- a/src/main/java/hopdrum/frontdoor/RequestTally.java
+++ b/src/main/java/hopdrum/frontdoor/RequestTally.java
@@ -27,7 +27,7 @@
 
     /** Schedules the summaries. */
     void start() {
-        loop.in(SUMMARY_INTERVAL_US, this::logSummary);
+        loop.scheduleAfter(SUMMARY_INTERVAL_US, this::logSummary);
     }
 
     void requestReceived() {
@@ -59,13 +59,13 @@
                     "in 10 s",
                     "received=" + received + " ok=" + ok + " rejected=" + rejected + " aborted=" + aborted
                             + " disconnected=" + disconnected + "; now in_flight=" + requests.size() + " clients="
-                            + budget.clients() + " backends=" + budget.backends());
+                            + budget.clientConnections() + " backends=" + budget.backendConnections());
             received = 0;
             ok = 0;
             rejected = 0;
             aborted = 0;
             disconnected = 0;
         }
-        loop.in(SUMMARY_INTERVAL_US, this::logSummary);
+        loop.scheduleAfter(SUMMARY_INTERVAL_US, this::logSummary);
     }
 }
--- a/src/main/java/hopdrum/frontdoor/connection/Attempt.java
+++ b/src/main/java/hopdrum/frontdoor/connection/Attempt.java
@@ -52,7 +52,7 @@
 
     /** Runs {@code onTimeout} at the attempt's deadline unless it has ended by then. */
     public void armTimeout(EventLoop loop, Runnable onTimeout) {
-        timeout = loop.at(deadlineUs, onTimeout);
+        timeout = loop.scheduleAt(deadlineUs, onTimeout);
     }
 
     /** Marks the attempt as ended and cancels its timeout; false if it had ended before. */
--- a/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
@@ -70,7 +70,7 @@
         this.listener = listener;
         this.reportFields = reportFields;
         if (!isConnected()) {
-            connectTimeout = loop.in(connectTimeoutUs, this::connectTimedOut);
+            connectTimeout = loop.scheduleAfter(connectTimeoutUs, this::connectTimedOut);
         }
     }
 
@@ -139,18 +139,18 @@
 
     private void connectTimedOut() {
         if (!isConnected() && !isClosed()) {
-            ended(Ending.BROKEN);
+            disconnected(CloseCause.FAILURE);
             close();
         }
     }
 
     @Override
-    protected void drained() {
+    protected void outputDrained() {
         requestWritten = true;
     }
 
     @Override
-    protected void received() {
+    protected void bytesReceived() {
         if (attempt == null) {
             close(); // bytes that belong to no response
             return;
@@ -182,7 +182,7 @@
 
     /** Ends an attempt whose response begins and does not go on: its client would wait for nothing. */
     private void watchForStall(long delayUs, Attempt watched) {
-        loop.in(delayUs, () -> {
+        loop.scheduleAfter(delayUs, () -> {
             long remainingUs = partialResponseUs + STALLED_RESPONSE_US - loop.nowUs();
             if (attempt == watched && !isClosed() && remainingUs > 0) {
                 watchForStall(remainingUs, watched);
@@ -228,11 +228,11 @@
     }
 
     @Override
-    protected void ended(Ending ending) {
+    protected void disconnected(CloseCause cause) {
         if (attempt == null) {
             return;
         }
-        if (ending == Ending.IN_ORDER && requestWritten && reader.isUntilClose()) {
+        if (cause == CloseCause.END_OF_STREAM && requestWritten && reader.isUntilClose()) {
             reader.endAtClose();
             completeResponse(false);
             return;
@@ -247,7 +247,7 @@
     }
 
     @Override
-    protected void released() {
+    protected void connectionClosed() {
         if (connectTimeout != null) {
             connectTimeout.cancel();
         }
--- a/src/main/java/hopdrum/frontdoor/connection/BackendDirectory.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendDirectory.java
@@ -63,7 +63,7 @@
      * @param complete whether the list names all backends, so that others are withdrawn; else it names changes
      * @return the same backends for Policy
      */
-    public List<Endpoint> applyList(List<DiscoveredBackend> backends, boolean complete) {
+    public List<Endpoint> applyEndpointList(List<DiscoveredBackend> backends, boolean complete) {
         if (complete) {
             // Only what is not named any more: withdrawing closes a backend's idle connections.
             Set<String> named = new HashSet<>();
@@ -107,7 +107,7 @@
         for (ShardOwnership.PartnerEndpoint partner : partners) {
             String name = prefix + partner.name();
             ConnectionPool pool = byName.computeIfAbsent(
-                    name, k -> new ConnectionPool(nextId++, Config.address("serves", partner.address()), true));
+                    name, k -> new ConnectionPool(nextId++, Config.parseAddress("serves", partner.address()), true));
             byId.put(pool.backendId(), pool);
             pool.updateState(Endpoint.State.READY);
             named.add(name);
--- a/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
@@ -71,7 +71,7 @@
         super(loop, channel, MAX_MESSAGE_BYTES, HttpReader.RESPONSE_RING_BYTES, budget);
         this.listener = listener;
         this.messageTimeoutUs = budget.transferTimeoutUs();
-        timeout = loop.in(FIRST_MESSAGE_TIMEOUT_US, this::firstMessageTimedOut);
+        timeout = loop.scheduleAfter(FIRST_MESSAGE_TIMEOUT_US, this::firstMessageTimedOut);
         idleSinceUs = loop.nowUs();
     }
 
@@ -101,7 +101,7 @@
     }
 
     @Override
-    protected void received() {
+    protected void bytesReceived() {
         if (closing) {
             discardedBytes += in.size();
             in.skip(in.size());
@@ -154,7 +154,7 @@
             }
             if (timeout == null) {
                 // A sender must not hold a connection by sending slowly.
-                timeout = loop.in(messageTimeoutUs, this::transferTimedOut);
+                timeout = loop.scheduleAfter(messageTimeoutUs, this::transferTimedOut);
             }
         }
     }
@@ -241,7 +241,8 @@
             flush();
         }
         if (!out.isEmpty() && timeout == null) {
-            timeout = loop.in(READ_RESPONSE_TIMEOUT_US, this::transferTimedOut); // the client may never read it
+            timeout = loop.scheduleAfter(
+                    READ_RESPONSE_TIMEOUT_US, this::transferTimedOut); // the client may never read it
         }
         if (!last) {
             loop.runAfterCurrentEvent(this::resumeAfterResponse);
@@ -260,7 +261,7 @@
     }
 
     @Override
-    protected void drained() {
+    protected void outputDrained() {
         cancelTimeout();
         if (closing && !isClosed()) {
             linger(LINGER_US);
@@ -280,7 +281,7 @@
         endSending();
         if (!isClosed()) {
             idleSinceUs = loop.nowUs();
-            timeout = loop.in(maxUs, this::close);
+            timeout = loop.scheduleAfter(maxUs, this::close);
             listener.connectionLingering(this);
         }
     }
@@ -291,12 +292,12 @@
     }
 
     @Override
-    protected void ended(Ending ending) {
-        // released() notifies the listener, however the connection ends
+    protected void disconnected(CloseCause cause) {
+        // connectionClosed() notifies the listener, however the connection ends
     }
 
     @Override
-    protected void released() {
+    protected void connectionClosed() {
         cancelTimeout();
         if (request != null) {
             listener.clientDisconnected(this);
--- a/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
@@ -80,7 +80,7 @@
      * @param timeToLiveMs how long the counter keeps the name
      * @return false if the send buffer has no room for it; the call does not take place then
      */
-    public boolean call(long name, double amount, long timeToLiveMs) {
+    public boolean sendCall(long name, double amount, long timeToLiveMs) {
         int before = out.size();
         if (!CounterProtocol.writeCall(name, amount, timeToLiveMs, out)) {
             return false;
@@ -95,7 +95,7 @@
         flush();
         if (!timeoutArmed) {
             timeoutArmed = true;
-            loop.in(timeoutUs, this::handleTimeout);
+            loop.scheduleAfter(timeoutUs, this::handleTimeout);
         }
         return true;
     }
@@ -132,7 +132,7 @@
         }
         if (!awaited.isEmpty()) {
             timeoutArmed = true;
-            loop.at(awaited.peek().sentUs + timeoutUs, this::handleTimeout);
+            loop.scheduleAt(awaited.peek().sentUs + timeoutUs, this::handleTimeout);
         }
     }
 
@@ -144,12 +144,12 @@
     }
 
     @Override
-    protected void wrote(int count) {
+    protected void bytesWritten(int count) {
         writtenBytes += count;
     }
 
     @Override
-    protected void received() {
+    protected void bytesReceived() {
         lastReceivedUs = loop.nowUs();
         try {
             while (!isClosed() && reader.read(in)) {
@@ -170,7 +170,7 @@
             }
             if (!isClosed() && !in.isEmpty()) {
                 partialResponseUs = lastReceivedUs;
-                loop.in(STALLED_RESPONSE_US, this::checkForStall);
+                loop.scheduleAfter(STALLED_RESPONSE_US, this::checkForStall);
             }
         } catch (MalformedMessageException e) {
             responseUnreadable();
@@ -195,7 +195,7 @@
 
     /** A call that was written completely may have been added, or may yet be; the others never are. */
     @Override
-    protected void ended(Ending ending) {
+    protected void disconnected(CloseCause cause) {
         endCalls();
     }
 
@@ -216,7 +216,7 @@
     }
 
     @Override
-    protected void released() {
+    protected void connectionClosed() {
         listener.connectionClosed(this);
     }
 }
--- a/src/main/java/hopdrum/frontdoor/connection/DiscoveredBackend.java
+++ b/src/main/java/hopdrum/frontdoor/connection/DiscoveredBackend.java
@@ -52,7 +52,7 @@
     private static DiscoveredBackend parse(Map<?, ?> fields) {
         return new DiscoveredBackend(
                 text(fields, "host"),
-                Config.address("dial", text(fields, "dial")),
+                Config.parseAddress("dial", text(fields, "dial")),
                 String.valueOf(fields.get("site")),
                 String.valueOf(fields.get("class")),
                 (int) number(fields, "block", 0),
--- a/src/main/java/hopdrum/frontdoor/connection/InFlightRequest.java
+++ b/src/main/java/hopdrum/frontdoor/connection/InFlightRequest.java
@@ -59,7 +59,7 @@
     }
 
     /** Stores the handle that Policy gave out for the request. */
-    public void accepted(Request policyHandle) {
+    public void setHandle(Request policyHandle) {
         handle = policyHandle;
     }
 
--- a/src/main/java/hopdrum/frontdoor/connection/ResourceBudget.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ResourceBudget.java
@@ -65,12 +65,12 @@
     }
 
     /** How many clients' connections are open. */
-    public int clients() {
+    public int clientConnections() {
         return clients;
     }
 
     /** How many connections to backends are open. */
-    public int backends() {
+    public int backendConnections() {
         return backends;
     }
 
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Config.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Config.java
@@ -23,7 +23,7 @@
  * @param peers the gossip addresses of all front doors, in the order of their ordinals
  * @param seed the seed of the policy's random numbers
  * @param memoryMb the memory that the process may take, in MiB
- * @param sockets how many descriptors the process may open
+ * @param maxDescriptors how many descriptors the process may open
  * @param cachedEndpointList the endpoint list as it was last known, in the form of discovery's; null without one
  * @param settings what the policy decides by
  * @param methods the methods' names, in the order of the settings
@@ -43,7 +43,7 @@
         List<InetSocketAddress> peers,
         long seed,
         int memoryMb,
-        int sockets,
+        int maxDescriptors,
         Map<?, ?> cachedEndpointList,
         Settings settings,
         List<String> methods,
@@ -89,7 +89,7 @@
         List<InetSocketAddress> peers = new ArrayList<>();
         if (root.get("peers") instanceof List<?> list) {
             for (Object peer : list) {
-                peers.add(address("peers", peer));
+                peers.add(parseAddress("peers", peer));
             }
         }
         Map<?, ?> limits = root.get("limits") instanceof Map<?, ?> map ? map : Map.of();
@@ -166,11 +166,11 @@
         if (root.get(key) == null) {
             throw new InvalidConfigException("the configuration lacks " + key);
         }
-        return address(key, root.get(key));
+        return parseAddress(key, root.get(key));
     }
 
     private static InetSocketAddress optionalAddress(Map<?, ?> root, String key) {
-        return root.get(key) == null ? null : address(key, root.get(key));
+        return root.get(key) == null ? null : parseAddress(key, root.get(key));
     }
 
     /**
@@ -179,7 +179,7 @@
      * @param key what the address is of, for the message
      * @throws InvalidConfigException if the value is no such text
      */
-    public static InetSocketAddress address(String key, Object value) {
+    public static InetSocketAddress parseAddress(String key, Object value) {
         String text = String.valueOf(value);
         int colon = text.lastIndexOf(':');
         try {
--- a/src/main/java/hopdrum/frontdoor/lifecycle/EventLoop.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/EventLoop.java
@@ -19,12 +19,12 @@
         /**
          * The channel is ready for an operation of interest.
          *
-         * @throws IOException if the channel has failed; {@link #failed} is called with it
+         * @throws IOException if the channel has failed; {@link #channelFailed} is called with it
          */
-        void ready(SelectionKey key) throws IOException;
+        void channelReady(SelectionKey key) throws IOException;
 
         /** Handling an event has thrown: the channel is to be given up. */
-        void failed(Exception e);
+        void channelFailed(Exception e);
     }
 
     /** A time at which a task runs; a cancelled one stays in its queue until it is the next. */
@@ -89,7 +89,7 @@
     }
 
     /** How far this clock is ahead of the machine's monotonic one, in microseconds. */
-    public long offsetUs() {
+    public long monotonicOffsetUs() {
         return wallClockAtStartUs - nanosAtStart / 1000;
     }
 
@@ -99,15 +99,15 @@
     }
 
     /** Runs a task at a time of the loop's clock, in microseconds; at once if it has passed. */
-    public Timer at(long atUs, Runnable task) {
+    public Timer scheduleAt(long atUs, Runnable task) {
         Timer timer = new Timer(atUs, nextOrder++, task);
         timers.add(timer);
         return timer;
     }
 
     /** Runs a task after a delay in microseconds from the present event's time. */
-    public Timer in(long delayUs, Runnable task) {
-        return at(nowUs + delayUs, task);
+    public Timer scheduleAfter(long delayUs, Runnable task) {
+        return scheduleAt(nowUs + delayUs, task);
     }
 
     /** Runs a task once the present event is handled: for what may not happen inside Policy's calls on its Host. */
@@ -190,9 +190,9 @@
         selectionReturned();
         ChannelHandler handler = (ChannelHandler) key.attachment();
         try {
-            handler.ready(key);
+            handler.channelReady(key);
         } catch (IOException | RuntimeException e) {
-            runGuarded(() -> handler.failed(e));
+            runGuarded(() -> handler.channelFailed(e));
         }
         runAfterEvent();
     }
@@ -227,7 +227,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.fault("an event's handling failed", e);
+            LOG.error("an event's handling failed", e);
         }
     }
 }
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Log.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Log.java
@@ -45,7 +45,7 @@
     }
 
     /** Writes a fault of this program, with its stack. */
-    public void fault(String kind, Throwable thrown) {
+    public void error(String kind, Throwable thrown) {
         log(System.Logger.Level.ERROR, kind, thrown, thrown);
     }
 
--- a/src/main/java/hopdrum/frontdoor/lifecycle/StreamConnection.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/StreamConnection.java
@@ -15,11 +15,11 @@
  */
 public abstract class StreamConnection implements EventLoop.ChannelHandler {
     /** How the other side ended a connection. */
-    public enum Ending {
+    public enum CloseCause {
         /** By the end of its stream. */
-        IN_ORDER,
+        END_OF_STREAM,
         /** By a reset, a refusal or a failure. */
-        BROKEN
+        FAILURE
     }
 
     private static final int MAX_READ_BYTES = 16 << 10; // per event: guards all others against one at full speed
@@ -95,22 +95,22 @@
     }
 
     /** Bytes have come in. */
-    protected abstract void received();
+    protected abstract void bytesReceived();
 
     /** The other side has ended the connection, or it broke; called once, and not after {@link #close}. */
-    protected abstract void ended(Ending ending);
+    protected abstract void disconnected(CloseCause cause);
 
     /** The connection has come up. */
     protected void connected() {}
 
     /** A number of bytes has been written to the socket. */
-    protected void wrote(int count) {}
+    protected void bytesWritten(int count) {}
 
     /** All that was to be written is written. */
-    protected void drained() {}
+    protected void outputDrained() {}
 
     /** Called by {@link #close}: what counts connections learns that this one is gone. */
-    protected abstract void released();
+    protected abstract void connectionClosed();
 
     /** Whether the connection has come up and is not closed on this side. */
     public final boolean isConnected() {
@@ -123,7 +123,7 @@
     }
 
     @Override
-    public final void ready(SelectionKey ready) throws IOException {
+    public final void channelReady(SelectionKey ready) throws IOException {
         if (closed) {
             return;
         }
@@ -144,11 +144,11 @@
     }
 
     @Override
-    public final void failed(Exception e) {
+    public final void channelFailed(Exception e) {
         if (!(e instanceof IOException)) {
-            new Log("link").fault("a connection's handling failed", e);
+            new Log("link").error("a connection's handling failed", e);
         }
-        end(Ending.BROKEN);
+        handleDisconnect(CloseCause.FAILURE);
     }
 
     /** Reads bytes that have come in before the selector says so; what they cause happens at once. */
@@ -157,7 +157,7 @@
             try {
                 read();
             } catch (IOException e) {
-                end(Ending.BROKEN);
+                handleDisconnect(CloseCause.FAILURE);
             }
         }
     }
@@ -183,11 +183,11 @@
             }
         }
         if (any) {
-            received();
+            bytesReceived();
         }
         if (end && !closed) {
             inputEnded = true;
-            end(Ending.IN_ORDER);
+            handleDisconnect(CloseCause.END_OF_STREAM);
         } else if (!closed) {
             updateInterest();
         }
@@ -203,7 +203,7 @@
         } catch (IOException e) {
             if (!failureScheduled) {
                 failureScheduled = true;
-                loop.runAfterCurrentEvent(() -> end(Ending.BROKEN));
+                loop.runAfterCurrentEvent(() -> handleDisconnect(CloseCause.FAILURE));
             }
         }
     }
@@ -214,7 +214,7 @@
             ByteBuffer content = out.content();
             int count = channel.write(content);
             out.skip(count);
-            wrote(count);
+            bytesWritten(count);
             if (content.hasRemaining()) {
                 break;
             }
@@ -222,7 +222,7 @@
         updateInterest();
         if (any && out.isEmpty()) {
             out.shrink();
-            drained();
+            outputDrained();
         }
     }
 
@@ -237,9 +237,9 @@
         }
     }
 
-    private void end(Ending ending) {
+    private void handleDisconnect(CloseCause cause) {
         if (!closed) {
-            ended(ending);
+            disconnected(cause);
             close();
         }
     }
@@ -267,6 +267,6 @@
         }
         in.free();
         out.free();
-        released();
+        connectionClosed();
     }
 }
--- a/src/rig/java/hopdrum/rig/faulty/ReferencePlacementServer.java
+++ b/src/rig/java/hopdrum/rig/faulty/ReferencePlacementServer.java
@@ -44,7 +44,7 @@
         }
         return Server.serve(System.getenv("LB_CONFIG"), (config, loop) -> {
             Fleet fleet = Fleet.start(
-                    file, AgreementTerms.NONE, 0, config.settings().ordinal(), config.seed(), loop.offsetUs());
+                    file, AgreementTerms.NONE, 0, config.settings().ordinal(), config.seed(), loop.monotonicOffsetUs());
             Path truthFile = fleetFile.toAbsolutePath().getParent().resolveSibling("ways.json");
             Thread poller =
                     new Thread(() -> pollTruth(truthFile, file.site(), config.zones(), allKnowing), "true-latencies");
--- a/src/test/java/hopdrum/frontdoor/CounterOverSocketsTest.java
+++ b/src/test/java/hopdrum/frontdoor/CounterOverSocketsTest.java
@@ -99,7 +99,7 @@
         runInBackground(loop::run);
         counter.responder = request -> request.contains("/1?") ? NO_RESPONSE : okResponse("1");
         loop.execute(() -> calls.add(1, 1, 1000));
-        loop.execute(() -> loop.in(10_000, () -> calls.add(2, 1, 1000))); // on the other connection
+        loop.execute(() -> loop.scheduleAfter(10_000, () -> calls.add(2, 1, 1000))); // on the other connection
         assertThat(ends.poll(10, TimeUnit.SECONDS)).isEqualTo("2 OK");
         assertThat(ends.poll(10, TimeUnit.SECONDS))
                 .as("no timeout of the counter")
--- a/src/test/java/hopdrum/frontdoor/DiscoveryWatchTest.java
+++ b/src/test/java/hopdrum/frontdoor/DiscoveryWatchTest.java
@@ -49,7 +49,7 @@
         };
         start();
         Client early = new Client().send(request("t1", "order", ""));
-        loop.execute(() -> loop.in(50_000, () -> spoken.complete(null)));
+        loop.execute(() -> loop.scheduleAfter(50_000, () -> spoken.complete(null)));
         assertThat(early.receive()).endsWith("second");
         assertThat(backend.requests).isEmpty();
     }
--- a/src/test/java/hopdrum/frontdoor/FrontDoorFixture.java
+++ b/src/test/java/hopdrum/frontdoor/FrontDoorFixture.java
@@ -279,7 +279,7 @@
     /** Waits until a connection to a backend that was just used may be used again. */
     void awaitReusableConnection() throws Exception {
         CompletableFuture<Void> rested = new CompletableFuture<>();
-        loop.execute(() -> loop.in(5_000, () -> rested.complete(null)));
+        loop.execute(() -> loop.scheduleAfter(5_000, () -> rested.complete(null)));
         rested.get(10, TimeUnit.SECONDS);
     }
 
@@ -337,7 +337,7 @@
     /** Waits that long by the loop's clock. */
     void awaitLoopDelay(long delayUs) throws Exception {
         CompletableFuture<Void> due = new CompletableFuture<>();
-        loop.execute(() -> loop.in(delayUs, () -> due.complete(null)));
+        loop.execute(() -> loop.scheduleAfter(delayUs, () -> due.complete(null)));
         due.get(10, TimeUnit.SECONDS);
     }
 
