--- a/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
+++ b/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
@@ -112,7 +112,7 @@
 
     private void check() {
         if (watch != null && loop.nowUs() - watch.lastReadUs > TRUNCATED_MESSAGE_US) {
-            watch.reader.endOpenMessage(); // truncated: else only the next line, up to 2 s later, would show it
+            watch.reader.flushIncompleteMessage(); // truncated: else only the next line, up to 2 s later, would show it
         }
         if (watch != null && loop.nowUs() - lastLineUs > silenceLimitUs()) {
             LOG.warning("the watch is silent and is reopened", null);
--- a/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
@@ -158,8 +158,8 @@
         try {
             if (reader.read(in)) {
                 completeResponse(reader.keepAlive() && requestWritten);
-            } else if (reader.isUntilClose() && reader.status() != 200) {
-                reader.endAtHead();
+            } else if (reader.isCloseDelimited() && reader.status() != 200) {
+                reader.completeAtHead();
                 completeResponse(false);
             } else if (partialResponseUs == 0 && !in.isEmpty()) {
                 partialResponseUs = loop.nowUs();
@@ -217,7 +217,7 @@
     }
 
     private void becomeIdle() {
-        reader.done(in);
+        reader.removeMessage(in);
         if (!in.isEmpty()) {
             close(); // bytes behind the response
             return;
@@ -232,8 +232,8 @@
         if (attempt == null) {
             return;
         }
-        if (cause == CloseCause.END_OF_STREAM && requestWritten && reader.isUntilClose()) {
-            reader.endAtClose();
+        if (cause == CloseCause.END_OF_STREAM && requestWritten && reader.isCloseDelimited()) {
+            reader.completeAtClose();
             completeResponse(false);
             return;
         }
--- a/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
@@ -146,7 +146,7 @@
             messageSinceUs = 0;
             becomeIdle();
         } else {
-            if (reader.takeExpectContinue() && HttpWriter.continueResponse(out)) {
+            if (reader.takeExpectContinue() && HttpWriter.writeContinueResponse(out)) {
                 flush();
             }
             if (in.isFull()) {
@@ -204,7 +204,7 @@
      * @return false if the send buffer has no room for it
      */
     public boolean forwardResponse(RingBuffer from, HttpReader response) {
-        boolean last = !reader.keepAlive() || listener.closesAfterResponse(in.size() > reader.end());
+        boolean last = !reader.keepAlive() || listener.closesAfterResponse(in.size() > reader.messageTo());
         if (!HttpWriter.forwardResponse(from, response, last, out)) {
             return false;
         }
@@ -219,8 +219,8 @@
      * @param close whether the connection closes after the response in any case
      */
     public void respond(int status, long retryAfterUs, boolean close) {
-        boolean last = close || !reader.keepAlive() || listener.closesAfterResponse(in.size() > reader.end());
-        if (!HttpWriter.emptyResponse(status, retryAfterUs, last, out)) {
+        boolean last = close || !reader.keepAlive() || listener.closesAfterResponse(in.size() > reader.messageTo());
+        if (!HttpWriter.writeEmptyResponse(status, retryAfterUs, last, out)) {
             loop.runAfterCurrentEvent(this::close);
             return;
         }
@@ -233,7 +233,7 @@
         if (last) {
             in.skip(in.size());
         } else {
-            reader.done(in);
+            reader.removeMessage(in);
             messageSinceUs = in.isEmpty() ? 0 : nextMessageSinceUs == 0 ? messageSinceUs : nextMessageSinceUs;
             nextMessageSinceUs = 0;
         }
--- a/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
@@ -82,7 +82,7 @@
      */
     public boolean sendCall(long name, double amount, long timeToLiveMs) {
         int before = out.size();
-        if (!CounterProtocol.writeCall(name, amount, timeToLiveMs, out)) {
+        if (!CounterProtocol.writeRequest(name, amount, timeToLiveMs, out)) {
             return false;
         }
         if (pending.isEmpty()) {
@@ -161,7 +161,7 @@
                 }
                 awaited.remove(call);
                 boolean keepAlive = reader.keepAlive();
-                reader.done(in);
+                reader.removeMessage(in);
                 report(call, reply.outcome(), reply.total());
                 if ((!keepAlive || (draining && pending.isEmpty())) && !isClosed()) {
                     endCalls();
--- a/src/main/java/hopdrum/frontdoor/connection/ResourceBudget.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ResourceBudget.java
@@ -3,7 +3,7 @@
 import hopdrum.frontdoor.wire.RingBuffer;
 
 /** Limits on the descriptors, memory and transfer time of all connections, and what is in use now. */
-public final class ResourceBudget implements RingBuffer.Account {
+public final class ResourceBudget implements RingBuffer.MemoryListener {
     private static final int RESERVED_DESCRIPTORS = 32; // for files, discovery, the counter, UDP and the selector
     private static final int MIN_CONNECTIONS = 8;
     private final int maxClients;
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void changed(int byBytes) {
-        bytes += byBytes;
+    public void memoryChanged(int deltaBytes) {
+        bytes += deltaBytes;
     }
 }
--- a/src/main/java/hopdrum/frontdoor/lifecycle/StreamConnection.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/StreamConnection.java
@@ -46,7 +46,8 @@
      * @param account notified of the rings' memory
      * @throws IOException if the channel cannot be set up; it is closed then
      */
-    protected StreamConnection(EventLoop loop, SocketChannel channel, int maxIn, int maxOut, RingBuffer.Account account)
+    protected StreamConnection(
+            EventLoop loop, SocketChannel channel, int maxIn, int maxOut, RingBuffer.MemoryListener account)
             throws IOException {
         this(loop, channel, maxIn, maxOut, account, true);
     }
@@ -59,13 +60,19 @@
      * @param account notified of the rings' memory
      * @throws IOException if the system refuses a socket or the connection at once
      */
-    protected StreamConnection(EventLoop loop, SocketAddress to, int maxIn, int maxOut, RingBuffer.Account account)
+    protected StreamConnection(
+            EventLoop loop, SocketAddress to, int maxIn, int maxOut, RingBuffer.MemoryListener account)
             throws IOException {
         this(loop, open(to), maxIn, maxOut, account, false);
     }
 
     private StreamConnection(
-            EventLoop loop, SocketChannel channel, int maxIn, int maxOut, RingBuffer.Account account, boolean accepted)
+            EventLoop loop,
+            SocketChannel channel,
+            int maxIn,
+            int maxOut,
+            RingBuffer.MemoryListener account,
+            boolean accepted)
             throws IOException {
         this.loop = loop;
         this.channel = channel;
@@ -167,14 +174,14 @@
         boolean end = false;
         int sizeBefore = in.size();
         while (!in.isFull() && in.size() - sizeBefore < MAX_READ_BYTES) {
-            if (in.size() > 0 && in.space().remaining() == 0 && !in.reserve(1)) {
+            if (in.size() > 0 && in.contiguousSpace().remaining() == 0 && !in.reserve(1)) {
                 break;
             }
-            ByteBuffer space = in.space();
+            ByteBuffer space = in.contiguousSpace();
             int capacity = space.remaining();
             int count = channel.read(space);
             if (count > 0) {
-                in.filled(count);
+                in.advanceEnd(count);
                 any = true;
             }
             end = count < 0;
@@ -211,7 +218,7 @@
     private void write() throws IOException {
         boolean any = !out.isEmpty();
         while (!out.isEmpty()) {
-            ByteBuffer content = out.content();
+            ByteBuffer content = out.contiguousContent();
             int count = channel.write(content);
             out.skip(count);
             bytesWritten(count);
--- a/src/main/java/hopdrum/frontdoor/server/Warmup.java
+++ b/src/main/java/hopdrum/frontdoor/server/Warmup.java
@@ -31,7 +31,7 @@
 public final class Warmup implements Host {
     private static final int MAX_RPCS = 500;
     private static final long MAX_NANOS = 400_000_000L;
-    private static final RingBuffer.Account NO_ACCOUNT = byBytes -> {};
+    private static final RingBuffer.MemoryListener NO_ACCOUNT = byBytes -> {};
     private static final int RING_BYTES = 1 << 17;
     private static final int COUNTER_RING_BYTES = 1 << 16;
     private static final long STEP_US = 500;
@@ -113,7 +113,7 @@
             }
         }
         openRpcs.values().removeIf(Request::isFinished);
-        request.done(client);
+        request.removeMessage(client);
         toClient.skip(toClient.size());
     }
 
@@ -142,7 +142,7 @@
             HttpWriter.forwardResponse(backend, response, false, toClient);
             float[] report = BackendResponse.loadReport(
                     backend, response, config.settings().reportFields());
-            response.done(backend);
+            response.removeMessage(backend);
             rpc.attemptEnded(0, outcome, STEP_US, true, 0, report);
         }
     }
@@ -163,17 +163,17 @@
 
     @Override
     public void reject(long id, long retryAfterUs) {
-        HttpWriter.emptyResponse(429, retryAfterUs, false, toClient);
+        HttpWriter.writeEmptyResponse(429, retryAfterUs, false, toClient);
     }
 
     @Override
     public void abort(long id) {
-        HttpWriter.emptyResponse(500, 0, false, toClient);
+        HttpWriter.writeEmptyResponse(500, 0, false, toClient);
     }
 
     @Override
     public void addToCounter(long name, double units, long timeToLiveUs) {
-        CounterProtocol.writeCall(name, units, timeToLiveUs / 1000, counter);
+        CounterProtocol.writeRequest(name, units, timeToLiveUs / 1000, counter);
         counter.skip(counter.size());
         replies.add(() -> reply(name));
     }
@@ -182,7 +182,7 @@
         readResponse(counter, COUNTER_RESPONSE);
         try {
             double total = CounterProtocol.readReply(counter, response).total();
-            response.done(counter);
+            response.removeMessage(counter);
             policy.counterAnswered(name, Outcome.OK, total, STEP_US);
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
--- a/src/main/java/hopdrum/frontdoor/wire/CounterProtocol.java
+++ b/src/main/java/hopdrum/frontdoor/wire/CounterProtocol.java
@@ -24,7 +24,7 @@
      * @param timeToLiveMs how long a number that is new is kept; 1 at least is written
      * @return false, and nothing is written, without room
      */
-    public static boolean writeCall(long name, double amount, long timeToLiveMs, RingBuffer out) {
+    public static boolean writeRequest(long name, double amount, long timeToLiveMs, RingBuffer out) {
         if (!out.reserve(MAX_CALL_BYTES)) {
             return false;
         }
--- a/src/main/java/hopdrum/frontdoor/wire/EndpointListReader.java
+++ b/src/main/java/hopdrum/frontdoor/wire/EndpointListReader.java
@@ -132,7 +132,7 @@
     }
 
     /** Ends a message of several lines that nothing has been added to for too long: what there is of it is handed on. */
-    public void endOpenMessage() {
+    public void flushIncompleteMessage() {
         if (lineFrom > 0) {
             messageEnds(length);
         }
--- a/src/main/java/hopdrum/frontdoor/wire/HttpReader.java
+++ b/src/main/java/hopdrum/frontdoor/wire/HttpReader.java
@@ -2,7 +2,7 @@
 
 /**
  * One HTTP/1.1 message at the front of a ring. {@link #read} goes on from where it stopped and is true once the message
- * is complete; its parts are then positions in the ring, valid until {@link #done} takes the message off.
+ * is complete; its parts are then positions in the ring, valid until {@link #removeMessage} takes the message off.
  */
 public final class HttpReader {
     /** Which side's messages are read. */
@@ -69,22 +69,22 @@
     }
 
     /** True if the head is complete and states no end of the body: only the connection's end would be one. */
-    public boolean isUntilClose() {
+    public boolean isCloseDelimited() {
         return state == State.UNTIL_CLOSE;
     }
 
     /** Completes a message whose head is all that counts. */
-    public void endAtHead() {
+    public void completeAtHead() {
         complete(head.headTo(), head.headTo());
     }
 
     /** Completes a message at the orderly end of its connection: what has come is the body. A reset is no end. */
-    public void endAtClose() {
+    public void completeAtClose() {
         complete(bodyTo, bodyTo);
     }
 
     /** Takes the message off the ring and starts anew. */
-    public void done(RingBuffer ring) {
+    public void removeMessage(RingBuffer ring) {
         ring.skip(end);
         state = State.HEAD;
         head.reset();
@@ -108,7 +108,7 @@
                 throw new MalformedMessageException(400, "a protocol switch, or too many interim responses");
             } else {
                 end = head.headTo();
-                done(ring);
+                removeMessage(ring);
             }
         }
         return state != State.HEAD;
@@ -225,7 +225,7 @@
     }
 
     /** How many bytes of the ring the message takes, framing and all. */
-    public int end() {
+    public int messageTo() {
         return end;
     }
 }
--- a/src/main/java/hopdrum/frontdoor/wire/HttpWriter.java
+++ b/src/main/java/hopdrum/frontdoor/wire/HttpWriter.java
@@ -90,7 +90,7 @@
      * @param close whether the connection ends with this response
      * @return false, and nothing is written, without room
      */
-    public static boolean emptyResponse(int status, long retryAfterUs, boolean close, RingBuffer out) {
+    public static boolean writeEmptyResponse(int status, long retryAfterUs, boolean close, RingBuffer out) {
         if (!out.reserve(MAX_EMPTY_RESPONSE_BYTES)) {
             return false;
         }
@@ -116,7 +116,7 @@
     }
 
     /** Writes the interim response upon which a client sends its body; false, and nothing is written, without room. */
-    public static boolean continueResponse(RingBuffer out) {
+    public static boolean writeContinueResponse(RingBuffer out) {
         if (!out.reserve(CONTINUE.length)) {
             return false;
         }
--- a/src/main/java/hopdrum/frontdoor/wire/RingBuffer.java
+++ b/src/main/java/hopdrum/frontdoor/wire/RingBuffer.java
@@ -10,15 +10,15 @@
 public final class RingBuffer {
     private static final int INITIAL_CAPACITY = 1 << 10;
     private final int limit;
-    private final Account account;
+    private final MemoryListener account;
     private byte[] bytes; // its length is a power of two, so that a mask wraps positions
     private int front;
     private int size;
 
     /** Notified of every change in the memory that rings hold, so that all of them together can be bounded. */
-    public interface Account {
+    public interface MemoryListener {
         /** A ring holds this many bytes more than before, or fewer if below 0. */
-        void changed(int byBytes);
+        void memoryChanged(int deltaBytes);
     }
 
     /**
@@ -27,11 +27,11 @@
      * @param limit the most bytes that it may hold
      * @param account notified of this ring's memory, from now on
      */
-    public RingBuffer(int limit, Account account) {
+    public RingBuffer(int limit, MemoryListener account) {
         this.limit = limit;
         this.account = account;
         this.bytes = new byte[INITIAL_CAPACITY];
-        account.changed(INITIAL_CAPACITY);
+        account.memoryChanged(INITIAL_CAPACITY);
     }
 
     /** How many bytes are in the ring. */
@@ -79,7 +79,7 @@
 
     /** Gives all memory back as the owner's connection closes; the ring is not used again. */
     public void free() {
-        account.changed(-bytes.length);
+        account.memoryChanged(-bytes.length);
         bytes = new byte[1];
         size = 0;
         front = 0;
@@ -88,13 +88,13 @@
     private void resize(int capacity) {
         byte[] resized = new byte[capacity];
         copyOut(0, size, resized, 0);
-        account.changed(capacity - bytes.length);
+        account.memoryChanged(capacity - bytes.length);
         bytes = resized;
         front = 0;
     }
 
-    /** The free part that can be read into in one piece; {@link #filled} says how much of it was. */
-    public ByteBuffer space() {
+    /** The free part that can be read into in one piece; {@link #advanceEnd} says how much of it was. */
+    public ByteBuffer contiguousSpace() {
         if (size == 0) {
             front = 0;
         }
@@ -103,13 +103,13 @@
         return ByteBuffer.wrap(bytes, end, length);
     }
 
-    /** Adds the first bytes that were read into {@link #space}. */
-    public void filled(int count) {
+    /** Adds the first bytes that were read into {@link #contiguousSpace}. */
+    public void advanceEnd(int count) {
         size += count;
     }
 
     /** The bytes from the front that lie in one piece; {@link #skip} takes them off. */
-    public ByteBuffer content() {
+    public ByteBuffer contiguousContent() {
         return ByteBuffer.wrap(bytes, front, Math.min(size, bytes.length - front));
     }
 
--- a/src/test/java/hopdrum/frontdoor/wire/HttpReaderTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/HttpReaderTest.java
@@ -18,11 +18,11 @@
                 HttpReader.Kind.REQUEST,
                 WireFixture.RPC + "\r\nGET /api HTTP/1.1\r\nConnection: x, close\r\n\r\n");
         assertThat(reader.keepAlive()).isTrue();
-        reader.done(ring);
+        reader.removeMessage(ring);
         assertThat(reader.read(ring)).isTrue();
         assertThat(ring.text(0, reader.targetTo())).isEqualTo("GET /api");
         assertThat(reader.keepAlive()).isFalse();
-        reader.done(ring);
+        reader.removeMessage(ring);
         assertThat(ring.isEmpty()).isTrue();
     }
 
@@ -36,7 +36,7 @@
             assertThat(reader.read(ring)).isEqualTo(i == answer.length() - 1);
         }
         assertThat(ring.text(reader.bodyFrom(), reader.bodyTo())).isEqualTo("abc0123456789");
-        reader.done(ring);
+        reader.removeMessage(ring);
         assertThat(ring.isEmpty()).isTrue();
     }
 
@@ -45,8 +45,8 @@
         HttpReader reader = new HttpReader(HttpReader.Kind.RESPONSE);
         WireFixture.put(ring, "HTTP/1.1 200 OK\r\n\r\nall of it, or not");
         assertThat(reader.read(ring)).isFalse();
-        assertThat(reader.isUntilClose()).isTrue();
-        reader.endAtHead();
+        assertThat(reader.isCloseDelimited()).isTrue();
+        reader.completeAtHead();
         assertThat(reader.read(ring)).as("its head alone").isTrue();
         assertThat(reader.bodyTo()).isEqualTo(reader.bodyFrom());
     }
--- a/src/test/java/hopdrum/frontdoor/wire/ResponseTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/ResponseTest.java
@@ -67,7 +67,7 @@
                 .isEqualTo(
                         "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: 3\r\n\r\nabc");
         out.skip(out.size());
-        assertThat(HttpWriter.emptyResponse(429, 1_234_567, false, out)).isTrue();
+        assertThat(HttpWriter.writeEmptyResponse(429, 1_234_567, false, out)).isTrue();
         assertThat(WireFixture.allText(out))
                 .isEqualTo("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 1.235\r\nContent-Length: 0\r\n\r\n");
     }
