--- a/src/main/java/hopdrum/FleetServer.java
+++ b/src/main/java/hopdrum/FleetServer.java
@@ -40,16 +40,17 @@
     /** The fleet's runtime, which follows the lifecycle of its front door. */
     private record FleetCompanion(Fleet fleet, EventLoop loop) implements Companion {
         @Override
-        public void started(FrontDoor door) {
-            door.setFleet(fleet, fleet::zoneLatencies);
+        public void frontDoorStarted(FrontDoor door) {
+            door.setFleetSuppliers(fleet, fleet::zoneLatencies);
             if (fleet.sharesCustomers()) {
-                door.setShardOwnership(fleet::shards);
-                fleet.setPartnerEndpointListener((tier, there) -> loop.execute(() -> door.updatePartners(tier, there)));
+                door.setShardOwnershipSupplier(fleet::shards);
+                fleet.setPartnerEndpointListener(
+                        (tier, there) -> loop.execute(() -> door.updatePartnerEndpoints(tier, there)));
             }
         }
 
         @Override
-        public void stopping() {
+        public void shutdownRequested() {
             fleet.leave();
         }
 
--- a/src/main/java/hopdrum/frontdoor/FleetHooks.java
+++ b/src/main/java/hopdrum/frontdoor/FleetSuppliers.java
@@ -6,17 +6,17 @@
 import java.util.function.Supplier;
 
 /** What a fleet and its partners supply to the front door. Each is looked up anew whenever Policy needs it. */
-final class FleetHooks {
+final class FleetSuppliers {
     private Supplier<QuotaLease> quotaLease = () -> null;
     private Supplier<ZoneLatencies> zoneLatencies = () -> null;
     private Supplier<ShardOwnership> shardOwnership; // null where no partners share the customers
 
-    void setFleet(Supplier<QuotaLease> lease, Supplier<ZoneLatencies> latencies) {
+    void setFleetSuppliers(Supplier<QuotaLease> lease, Supplier<ZoneLatencies> latencies) {
         quotaLease = lease;
         zoneLatencies = latencies;
     }
 
-    void setShardOwnership(Supplier<ShardOwnership> ownership) {
+    void setShardOwnershipSupplier(Supplier<ShardOwnership> ownership) {
         shardOwnership = ownership;
     }
 
--- a/src/main/java/hopdrum/frontdoor/FrontDoor.java
+++ b/src/main/java/hopdrum/frontdoor/FrontDoor.java
@@ -36,7 +36,7 @@
     private final ResourceBudget budget;
     private final BackendDirectory directory;
     private final InFlightRequests requests = new InFlightRequests();
-    private final FleetHooks fleet = new FleetHooks();
+    private final FleetSuppliers fleet = new FleetSuppliers();
     private final PolicyHost host;
     private final EndpointUpdater endpoints;
     private final DiscoveryClient discovery;
@@ -98,17 +98,17 @@
     }
 
     /** Sets where the fleet's quota lease and zone latencies are looked up, for each request that needs them. */
-    public void setFleet(Supplier<QuotaLease> quotaLease, Supplier<ZoneLatencies> zoneLatencies) {
-        fleet.setFleet(quotaLease, zoneLatencies);
+    public void setFleetSuppliers(Supplier<QuotaLease> quotaLease, Supplier<ZoneLatencies> zoneLatencies) {
+        fleet.setFleetSuppliers(quotaLease, zoneLatencies);
     }
 
     /** Sets where the owner of a shard is looked up, for each request; only where partners share the customers. */
-    public void setShardOwnership(Supplier<ShardOwnership> ownership) {
-        fleet.setShardOwnership(ownership);
+    public void setShardOwnershipSupplier(Supplier<ShardOwnership> ownership) {
+        fleet.setShardOwnershipSupplier(ownership);
     }
 
     /** Applies the complete list of another tier's front doors. */
-    public void updatePartners(int tier, List<ShardOwnership.PartnerEndpoint> partners) {
+    public void updatePartnerEndpoints(int tier, List<ShardOwnership.PartnerEndpoint> partners) {
         endpoints.applyPartners(tier, partners);
     }
 
@@ -150,7 +150,7 @@
      * Starts the graceful shutdown: the front door is not ready any more, accepts connections for a while, finishes the
      * requests in flight, and then stops the loop.
      */
-    public void stop() {
+    public void startGracefulShutdown() {
         LOG.info("stopping", requests.size() + " requests in flight");
         clients.startDraining();
         loop.scheduleAfter(SHUTDOWN_ACCEPT_US, () -> {
--- a/src/main/java/hopdrum/frontdoor/PolicyHost.java
+++ b/src/main/java/hopdrum/frontdoor/PolicyHost.java
@@ -23,7 +23,7 @@
     private final InFlightRequests requests;
     private final AttemptDispatcher attempts;
     private final RequestTally tally;
-    private final FleetHooks fleet;
+    private final FleetSuppliers fleet;
     private final Policy policy;
     private final CounterClient counter;
     private final PeerMessenger peers; // null where gateways send each other no messages
@@ -36,7 +36,7 @@
             InFlightRequests requests,
             AttemptDispatcher attempts,
             RequestTally tally,
-            FleetHooks fleet)
+            FleetSuppliers fleet)
             throws IOException {
         this.loop = loop;
         this.requests = requests;
--- a/src/main/java/hopdrum/frontdoor/RequestHandler.java
+++ b/src/main/java/hopdrum/frontdoor/RequestHandler.java
@@ -16,7 +16,7 @@
     private final Policy policy;
     private final InFlightRequests requests;
     private final RequestTally tally;
-    private final FleetHooks fleet;
+    private final FleetSuppliers fleet;
     private final EndpointUpdater endpoints;
     private final RequestHead head; // of the request that is being handled
     private final int gateways;
@@ -27,7 +27,7 @@
             Policy policy,
             InFlightRequests requests,
             RequestTally tally,
-            FleetHooks fleet,
+            FleetSuppliers fleet,
             EndpointUpdater endpoints) {
         this.loop = loop;
         this.policy = policy;
--- a/src/main/java/hopdrum/frontdoor/server/Companion.java
+++ b/src/main/java/hopdrum/frontdoor/server/Companion.java
@@ -10,12 +10,12 @@
     /** No companion. */
     Companion NONE = new Companion() {
         @Override
-        public void started(FrontDoor door) {
+        public void frontDoorStarted(FrontDoor door) {
             // nothing runs
         }
 
         @Override
-        public void stopping() {
+        public void shutdownRequested() {
             // nothing runs
         }
 
@@ -37,10 +37,10 @@
     }
 
     /** The front door has been made, on the event loop's thread; its loop runs from now on. */
-    void started(FrontDoor door);
+    void frontDoorStarted(FrontDoor door);
 
-    /** SIGTERM has come; called on another thread, and before {@link #started} if the signal comes early. */
-    void stopping();
+    /** SIGTERM has come; called on another thread, and before {@link #frontDoorStarted} if the signal comes early. */
+    void shutdownRequested();
 
     /**
      * The event loop has ended, or the start has failed.
--- a/src/main/java/hopdrum/frontdoor/server/Server.java
+++ b/src/main/java/hopdrum/frontdoor/server/Server.java
@@ -112,7 +112,7 @@
             try {
                 FrontDoor door = new FrontDoor(config, loop);
                 reload.attach(door);
-                companion.started(door);
+                companion.frontDoorStarted(door);
                 startListener.started(config, loop, door);
                 loop.run();
                 door.close();
--- a/src/main/java/hopdrum/frontdoor/server/ShutdownHook.java
+++ b/src/main/java/hopdrum/frontdoor/server/ShutdownHook.java
@@ -45,11 +45,11 @@
 
     private void shutDown() {
         synchronized (this) {
-            companion.stopping();
+            companion.shutdownRequested();
             if (door == null) {
                 Runtime.getRuntime().halt(0);
             }
-            loop.execute(door::stop);
+            loop.execute(door::startGracefulShutdown);
         }
         try {
             serverThread.join();
--- a/src/rig/java/hopdrum/rig/faulty/ReferencePlacementServer.java
+++ b/src/rig/java/hopdrum/rig/faulty/ReferencePlacementServer.java
@@ -52,12 +52,12 @@
             poller.start();
             return new Companion() {
                 @Override
-                public void started(FrontDoor door) {
-                    door.setFleet(fleet, () -> latencies);
+                public void frontDoorStarted(FrontDoor door) {
+                    door.setFleetSuppliers(fleet, () -> latencies);
                 }
 
                 @Override
-                public void stopping() {
+                public void shutdownRequested() {
                     fleet.leave();
                 }
 
--- a/src/test/java/hopdrum/frontdoor/GracefulShutdownTest.java
+++ b/src/test/java/hopdrum/frontdoor/GracefulShutdownTest.java
@@ -20,7 +20,7 @@
         };
         Client taken = new Client().send(request("t1", "order", ""));
         assertThat(backend.nextRequest()).contains("t1");
-        loop.execute(frontDoor::stop);
+        loop.execute(frontDoor::startGracefulShutdown);
         String ready;
         do {
             ready = exchange("GET /health/ready HTTP/1.1\r\n\r\n");
@@ -36,7 +36,7 @@
         start();
         Client idle = new Client();
         assertThat(idle.send(request("t1", "order", "")).receive()).endsWith("for t1");
-        loop.execute(frontDoor::stop);
+        loop.execute(frontDoor::startGracefulShutdown);
         assertThat(idle.send(request("t2", "order", "")).receive())
                 .contains("Connection: close")
                 .endsWith("for t2");
@@ -50,7 +50,7 @@
         String request = request("t1", "order", "");
         Client half = new Client().send(request.substring(0, 40));
         awaitPendingEvents();
-        loop.execute(frontDoor::stop);
+        loop.execute(frontDoor::startGracefulShutdown);
         awaitLoopDelay(700_000); // no connection is accepted any more, and idle ones are closed
         assertThat(half.send(request.substring(40)).receive())
                 .contains("Connection: close")
@@ -69,7 +69,7 @@
                         + withCustomer(3, request("t3", "order", "")));
         assertThat(backend.nextRequest()).contains("t1");
         awaitPendingEvents();
-        loop.execute(frontDoor::stop);
+        loop.execute(frontDoor::startGracefulShutdown);
         awaitPendingEvents();
         release.complete(null);
         assertThat(client.receive()).doesNotContain("Connection: close").endsWith("for t1");
@@ -96,7 +96,7 @@
         start();
         Client idle = new Client();
         assertThat(idle.send(request("t1", "order", "")).receive()).endsWith("for t1");
-        loop.execute(frontDoor::stop);
+        loop.execute(frontDoor::startGracefulShutdown);
         assertThat(idle.receive()).as("closed while idle").isNull();
         String crossing = request("t2", "order", "");
         idle.send(crossing.substring(0, 40));
@@ -117,7 +117,7 @@
         start();
         Client slow = new Client().send(request("t1", "order", ""));
         assertThat(backend.nextRequest()).contains("t1");
-        loop.execute(frontDoor::stop);
+        loop.execute(frontDoor::startGracefulShutdown);
         release.complete(null);
         loopEnded.get(10, TimeUnit.SECONDS);
         assertThat(slow.receive()).as("nothing is lost with the process").endsWith(body + "t1");
--- a/src/test/java/hopdrum/frontdoor/PartnerFrontDoorTest.java
+++ b/src/test/java/hopdrum/frontdoor/PartnerFrontDoorTest.java
@@ -18,7 +18,7 @@
     private void setPartners(StandIn... partners) throws Exception {
         CompletableFuture<Void> updated = new CompletableFuture<>();
         loop.execute(() -> {
-            frontDoor.setShardOwnership(() -> new ShardOwnership() {
+            frontDoor.setShardOwnershipSupplier(() -> new ShardOwnership() {
                 @Override
                 public CustomerOwner owner(long customer, boolean forwardedByPartner, long nowUs) {
                     return forwardedByPartner ? CustomerOwner.unknown(200_000) : CustomerOwner.partner(1);
@@ -33,7 +33,7 @@
             for (StandIn partner : partners) {
                 endpoints.add(new ShardOwnership.PartnerEndpoint("door/" + partner.address(), "z", partner.address()));
             }
-            frontDoor.updatePartners(1, endpoints);
+            frontDoor.updatePartnerEndpoints(1, endpoints);
             updated.complete(null);
         });
         updated.get(10, TimeUnit.SECONDS);
