--- a/src/main/java/hopdrum/fleet/Fleet.java
+++ b/src/main/java/hopdrum/fleet/Fleet.java
@@ -82,7 +82,7 @@
 
         @Override
         public void rejectedBy(String address, String reason) {
-            log.limited("refused_by", address + ": " + reason);
+            log.rateLimitedEvent("refused_by", address + ": " + reason);
         }
     }
 
@@ -110,7 +110,7 @@
             tickThread = new Thread(null, this::runTicks, "fleet-view", STACK_BYTES);
             tickThread.setDaemon(true);
             zoneLatencies = new ZoneLatencyPublisher(self.site());
-            statusLog = new FleetStatusLog(self, log, file.timing().periodUs());
+            statusLog = new FleetStatusLog(self, log, file.timing().probePeriodUs());
             quotaLeases = new QuotaLeasePublisher(self.operator(), log, loopOffsetUs);
         } catch (IOException | RuntimeException e) {
             store.close();
@@ -175,7 +175,7 @@
 
     private TermsFileReloader newTermsReloader(long termsMs) {
         return new TermsFileReloader(
-                file.terms(), shardCoordinator, log, file.timing().periodUs(), termsMs);
+                file.terms(), shardCoordinator, log, file.timing().probePeriodUs(), termsMs);
     }
 
     private Membership newMembership(Store.DurableState stored, SplittableRandom random) {
@@ -293,21 +293,21 @@
                     statusLog.logStatusIfDue(membership, connections, nowUs());
                     statusLog.logLatencyMapIfDue(membership, nowUs());
                     if (file.usesLatencyMap()) {
-                        zoneLatencies.update(membership.latency(), nowUs());
+                        zoneLatencies.update(membership.latencyMap(), nowUs());
                     }
                 }
                 connections.cutStalled(nowUs());
             } catch (RuntimeException e) { // a failed tick must not cancel the timer
-                log.limited("fault", e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?"));
+                log.rateLimitedEvent("fault", e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?"));
             }
-            pause(file.timing().periodUs() / TICKS_PER_PERIOD / 1000);
+            pause(file.timing().probePeriodUs() / TICKS_PER_PERIOD / 1000);
         }
     }
 
     /** On the vote writer's thread, once a vote is on disk. */
     private synchronized void voteWritten(Runnable continuation) {
         if (!closed) {
-            membership.viewConsensus().onDurable(continuation, nowUs());
+            membership.viewConsensus().onStateDurable(continuation, nowUs());
             publishAndSend();
         }
     }
@@ -336,7 +336,7 @@
     private void publishShardTable() {
         if (shardTables != null) {
             long now = nowUs();
-            shardTables.publish(membership.viewConsensus().leases(), leaving || membership.isInactive(now), now);
+            shardTables.publish(membership.viewConsensus().lease(), leaving || membership.isInactive(now), now);
         }
     }
 
--- a/src/main/java/hopdrum/fleet/FleetStatusLog.java
+++ b/src/main/java/hopdrum/fleet/FleetStatusLog.java
@@ -36,10 +36,10 @@
         }
         lastMapUs = nowUs;
         Set<String> sites = new TreeSet<>();
-        membership.failureDetector().present().forEach(member -> sites.add(member.site()));
+        membership.failureDetector().presentMembers().forEach(member -> sites.add(member.site()));
         Map<String, Object> estimates = new TreeMap<>();
         membership
-                .latency()
+                .latencyMap()
                 .estimatesFromHere(sites, nowUs)
                 .forEach((site, estimate) -> estimates.put(
                         site,
@@ -73,7 +73,7 @@
                 "alive",
                 alive + 1,
                 "cut_off",
-                membership.viewConsensus().leases().isCutOff(),
+                membership.viewConsensus().lease().isCutOff(),
                 "bytes_out",
                 connections.bytesSent(),
                 "messages_out",
--- a/src/main/java/hopdrum/fleet/QuotaLeasePublisher.java
+++ b/src/main/java/hopdrum/fleet/QuotaLeasePublisher.java
@@ -3,8 +3,8 @@
 import hopdrum.fleet.log.FleetLog;
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.View;
-import hopdrum.fleet.view.Leases;
 import hopdrum.fleet.view.Membership;
+import hopdrum.fleet.view.ViewLease;
 import hopdrum.host.QuotaLease;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -37,11 +37,11 @@
 
     /** Publishes a new lease if what may be claimed has changed; that is logged first. */
     void publishIfChanged(Membership membership, long nowUs) {
-        Leases leases = membership.viewConsensus().leases();
-        long untilUs = membership.isInactive(nowUs) ? NO_LEASE_US : leases.expiresAtUs(nowUs);
+        ViewLease lease = membership.viewConsensus().lease();
+        long untilUs = membership.isInactive(nowUs) ? NO_LEASE_US : lease.expiresAtUs(nowUs);
         List<BitSet> views = new ArrayList<>();
         int maxGateways = 0;
-        for (View view : leases.liveViews(nowUs)) {
+        for (View view : lease.liveViews(nowUs)) {
             BitSet gateways = new BitSet();
             for (Member member : view.members()) {
                 if (member.operator().equals(operator)) {
--- a/src/main/java/hopdrum/fleet/ShardTablePublisher.java
+++ b/src/main/java/hopdrum/fleet/ShardTablePublisher.java
@@ -1,7 +1,7 @@
 package hopdrum.fleet;
 
 import hopdrum.fleet.shards.ShardCoordinator;
-import hopdrum.fleet.view.Leases;
+import hopdrum.fleet.view.ViewLease;
 import hopdrum.host.ShardOwnership;
 import hopdrum.host.ShardOwnership.PartnerEndpoint;
 import java.util.List;
@@ -39,8 +39,8 @@
     }
 
     /** Publishes a new snapshot, and the endpoints that have changed. */
-    void publish(Leases viewLeases, boolean actsOnNothing, long nowUs) {
-        table = coordinator.table(viewLeases, operators, actsOnNothing, loopOffsetUs, nowUs);
+    void publish(ViewLease viewLease, boolean actsOnNothing, long nowUs) {
+        table = coordinator.table(viewLease, operators, actsOnNothing, loopOffsetUs, nowUs);
         Map<String, List<PartnerEndpoint>> before = endpoints;
         endpoints = coordinator.partnerEndpoints();
         notifyChanged(before);
--- a/src/main/java/hopdrum/fleet/TermsFileReloader.java
+++ b/src/main/java/hopdrum/fleet/TermsFileReloader.java
@@ -40,7 +40,7 @@
         try {
             coordinator.updateTerms(TermsFile.read(file));
         } catch (InvalidFileException e) {
-            log.limited("terms_faulty", e.getMessage());
+            log.rateLimitedEvent("terms_faulty", e.getMessage());
         }
     }
 }
--- a/src/main/java/hopdrum/fleet/VoteWriter.java
+++ b/src/main/java/hopdrum/fleet/VoteWriter.java
@@ -60,7 +60,7 @@
                 store.write(vote.state);
                 written.accept(vote.continuation);
             } catch (IOException e) {
-                log.limited("store_failed", String.valueOf(e.getMessage()));
+                log.rateLimitedEvent("store_failed", String.valueOf(e.getMessage()));
             } catch (InterruptedException e) {
                 return; // stopAndJoin(): this thread ends
             }
--- a/src/main/java/hopdrum/fleet/link/OutboundConnection.java
+++ b/src/main/java/hopdrum/fleet/link/OutboundConnection.java
@@ -48,7 +48,7 @@
     synchronized void offer(Message message) {
         if (queue.size() == MAX_QUEUED) {
             queue.poll();
-            connections.log().limited("queue_full", address);
+            connections.log().rateLimitedEvent("queue_full", address);
         }
         queue.add(new QueuedMessage(message, nowUs()));
         notifyAll();
@@ -75,7 +75,7 @@
                 disconnect();
             } catch (IOException e) {
                 disconnect();
-                connections.log().limited("link_down", address + ": " + e.getMessage());
+                connections.log().rateLimitedEvent("link_down", address + ": " + e.getMessage());
                 if (!pause(backoffMs / 2 + random.nextLong(backoffMs))) {
                     return;
                 }
@@ -177,7 +177,7 @@
     /** Disconnects where a write has not come through since before that time. */
     synchronized void cutIfStalledSince(long sinceUs) {
         if (writingSinceUs != 0 && writingSinceUs < sinceUs) {
-            connections.log().limited("peer_cut", address + " does not read");
+            connections.log().rateLimitedEvent("peer_cut", address + " does not read");
             disconnect();
         }
     }
--- a/src/main/java/hopdrum/fleet/link/PeerConnections.java
+++ b/src/main/java/hopdrum/fleet/link/PeerConnections.java
@@ -159,7 +159,7 @@
                 if (listener.isClosed()) {
                     return;
                 }
-                log.limited("accept_failed", e.getMessage());
+                log.rateLimitedEvent("accept_failed", e.getMessage());
             }
         }
     }
@@ -177,7 +177,7 @@
             }
         } catch (IOException | RuntimeException e) {
             if (!isClosed() && !(e instanceof SocketTimeoutException || e instanceof SocketException)) {
-                log.limited("peer_dropped", e.getMessage());
+                log.rateLimitedEvent("peer_dropped", e.getMessage());
             }
         } finally {
             synchronized (this) {
--- a/src/main/java/hopdrum/fleet/log/FleetLog.java
+++ b/src/main/java/hopdrum/fleet/log/FleetLog.java
@@ -84,7 +84,7 @@
      * @param event the event's name
      * @param reason what happened
      */
-    public synchronized void limited(String event, String reason) {
+    public synchronized void rateLimitedEvent(String event, String reason) {
         long nowUs = System.nanoTime() / 1000;
         RateLimit limit = rateLimits.computeIfAbsent(event, key -> new RateLimit(nowUs - MIN_INTERVAL_US));
         if (nowUs - limit.lastUs < MIN_INTERVAL_US) {
--- a/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
@@ -10,9 +10,9 @@
 import hopdrum.fleet.view.DecisionLog;
 import hopdrum.fleet.view.FailureDetector;
 import hopdrum.fleet.view.FleetTiming;
-import hopdrum.fleet.view.Leases;
 import hopdrum.fleet.view.MessageSender;
 import hopdrum.fleet.view.ShardProtocol;
+import hopdrum.fleet.view.ViewLease;
 import hopdrum.host.ShardOwnership;
 import java.util.ArrayList;
 import java.util.List;
@@ -151,7 +151,7 @@
         if (!assignment.isLike(before.shardAssignment())) {
             logAssignment(assignment);
         }
-        notifyReceiversUntilUs = nowUs + RECEIVER_NOTICE_PERIODS * timing.periodUs();
+        notifyReceiversUntilUs = nowUs + RECEIVER_NOTICE_PERIODS * timing.probePeriodUs();
         notifyReceivers(nowUs);
     }
 
@@ -183,7 +183,7 @@
      * wait for that. Repeated, since messages get lost.
      */
     private void notifyReceivers(long nowUs) {
-        nextNotifyReceiversUs = nowUs + timing.periodUs() / 2;
+        nextNotifyReceiversUs = nowUs + timing.probePeriodUs() / 2;
         ShardAssignment assignment = view.shardAssignment();
         Set<String> receivers = new TreeSet<>();
         for (Move move : assignment.moves()) {
@@ -245,14 +245,14 @@
 
     @Override
     public void tick(long nowUs) {
-        for (Member member : failureDetector.left()) {
+        for (Member member : failureDetector.departedMembers()) {
             leases.left(member);
         }
         if (nowUs < notifyReceiversUntilUs && nowUs >= nextNotifyReceiversUs) {
             notifyReceivers(nowUs);
         }
         negotiation.tick(view, isRepresentative(), wallMs.getAsLong(), nowUs);
-        List<Member> peers = failureDetector.present();
+        List<Member> peers = failureDetector.presentMembers();
         peers.removeIf(member -> member.isSameStart(self));
         sendProposals(peers, nowUs);
         sendHandOvers(peers, nowUs);
@@ -262,7 +262,7 @@
         if (nowUs < nextProposalsUs || peers.isEmpty()) {
             return;
         }
-        nextProposalsUs = nowUs + timing.periodUs();
+        nextProposalsUs = nowUs + timing.probePeriodUs();
         List<AgreementProposal> proposals = negotiation.proposals();
         for (int i = 0; i < PROPOSAL_FANOUT && !proposals.isEmpty(); i++) {
             out.send(peers.get(random.nextInt(peers.size())).address(), new Message.AgreementProposals(proposals));
@@ -274,7 +274,7 @@
         if (handedOver.isEmpty() || (handedOver.equals(sentHandOvers) && nowUs < nextHandOversUs)) {
             return;
         }
-        nextHandOversUs = nowUs + HAND_OVER_REPEAT_PERIODS * timing.periodUs();
+        nextHandOversUs = nowUs + HAND_OVER_REPEAT_PERIODS * timing.probePeriodUs();
         sentHandOvers = handedOver;
         for (Member member : peers) {
             if (member.operator().equals(self.operator())) {
@@ -321,22 +321,22 @@
      * Returns what this front door may act on, and where to forward the rest. Changes are logged, so that
      * the log alone shows which operator acted on a shard, and until when.
      *
-     * @param viewLeases this member's leases on the view
+     * @param viewLease this member's lease on the settled view
      * @param operators tiers by number, from 1 on
      * @param isLeaving whether this member has left: then it acts on nothing
      * @param offsetUs what the table's clock is ahead of this one, microseconds
      * @param nowUs the time, microseconds
      * @return the table; null before the first assignment
      */
-    public ShardTable table(Leases viewLeases, List<String> operators, boolean isLeaving, long offsetUs, long nowUs) {
-        long sinceUs = isLeaving ? Long.MIN_VALUE / 2 : viewLeases.heldSinceUs(nowUs);
+    public ShardTable table(ViewLease viewLease, List<String> operators, boolean isLeaving, long offsetUs, long nowUs) {
+        long sinceUs = isLeaving ? Long.MIN_VALUE / 2 : viewLease.lastConfirmedUs(nowUs);
         ShardLeases.Snapshot snapshot = leases.snapshot(sinceUs, nowUs, wallMs.getAsLong() * 1000);
         if (snapshot == null) {
             return null;
         }
         logActiveShardsIfChanged(snapshot, operators, nowUs);
         return ShardTable.of(
-                snapshot, self.operator(), operators, partnerEndpoints().keySet(), timing.periodUs(), offsetUs);
+                snapshot, self.operator(), operators, partnerEndpoints().keySet(), timing.probePeriodUs(), offsetUs);
     }
 
     private void logActiveShardsIfChanged(ShardLeases.Snapshot snapshot, List<String> operators, long nowUs) {
--- a/src/main/java/hopdrum/fleet/view/DurableStateWriter.java
+++ b/src/main/java/hopdrum/fleet/view/DurableStateWriter.java
@@ -6,7 +6,7 @@
 public interface DurableStateWriter {
     /**
      * Queues a write; does not block. Once the state is durable, the continuation is to be handed to
-     * {@link ViewConsensus#onDurable}; if the write fails it is never run.
+     * {@link ViewConsensus#onStateDurable}; if the write fails it is never run.
      *
      * @param state what to write; it replaces what was written before
      * @param continuation what waits for the write, for instance the vote that may be sent only then
--- a/src/main/java/hopdrum/fleet/view/FailureDetector.java
+++ b/src/main/java/hopdrum/fleet/view/FailureDetector.java
@@ -84,7 +84,7 @@
      *
      * @return a list of the caller's own
      */
-    public List<Member> present() {
+    public List<Member> presentMembers() {
         List<Member> present = peers.members(Peer::isPresent);
         if (!local.isLeaving()) {
             present.add(0, self);
@@ -93,7 +93,7 @@
     }
 
     /** The members that have left gracefully and are not forgotten yet. */
-    public List<Member> left() {
+    public List<Member> departedMembers() {
         return peers.members(peer -> peer.hasState(State.LEFT));
     }
 
@@ -108,7 +108,7 @@
     void tick(long nowUs) {
         long sinceLastTickUs = nowUs - lastTickUs;
         lastTickUs = nowUs;
-        if (sinceLastTickUs > PAUSE_PERIODS * timing.periodUs()) {
+        if (sinceLastTickUs > PAUSE_PERIODS * timing.probePeriodUs()) {
             resumeAfter(sinceLastTickUs, nowUs);
         }
         updates.tick(nowUs);
@@ -121,7 +121,7 @@
     /** Guards against suspecting peers because this process was paused: probes from before the pause are not evidence. */
     private void resumeAfter(long pausedUs, long nowUs) {
         log.event("woke", "away_us", pausedUs);
-        health.degrade(pausedUs / timing.periodUs());
+        health.degrade(pausedUs / timing.probePeriodUs());
         probes.restart(nowUs);
         suspectProbes.clear();
         updates.restartSuspicions(nowUs);
@@ -140,7 +140,7 @@
         updates.applyAll(ack.updates(), nowUs);
         suspectProbes.onAck(ack.seq());
         if (!relayedPings.onAck(ack.seq())) {
-            boolean paused = nowUs - lastTickUs >= timing.periodUs() / 2;
+            boolean paused = nowUs - lastTickUs >= timing.probePeriodUs() / 2;
             probes.onAck(from, ack.seq(), paused, nowUs);
         }
     }
--- a/src/main/java/hopdrum/fleet/view/FleetTiming.java
+++ b/src/main/java/hopdrum/fleet/view/FleetTiming.java
@@ -3,11 +3,11 @@
 /**
  * The fleet's intervals, in microseconds of a monotonic clock. All but the three components follow from the probe period.
  *
- * @param periodUs the probe period: time between two probes by one member
+ * @param probePeriodUs the probe period: time between two probes by one member
  * @param leaseUs how long a member may act on its view after a majority was seen to hold it
- * @param forgetUs how long entries of dead and departed members are retained
+ * @param retentionUs how long entries of dead and departed members are retained
  */
-public record FleetTiming(long periodUs, long leaseUs, long forgetUs) {
+public record FleetTiming(long probePeriodUs, long leaseUs, long retentionUs) {
     /** How much faster or slower than real time any member's clock may run, in percent. */
     public static final int MAX_CLOCK_DRIFT_PERCENT = 2;
 
@@ -16,7 +16,7 @@
 
     /** How long a direct ping may go unacknowledged before indirect probes are requested; most acks take far less. */
     public long ackTimeoutUs() {
-        return periodUs * 2 / 5;
+        return probePeriodUs * 2 / 5;
     }
 
     /**
@@ -24,19 +24,19 @@
      * its suspicion, is not dropped.
      */
     public long minSuspicionUs() {
-        return MIN_SUSPICION_PERIODS * periodUs;
+        return MIN_SUSPICION_PERIODS * probePeriodUs;
     }
 
     /** The longest time from suspicion to death, where no other member confirms. */
     public long maxSuspicionUs() {
-        return MAX_SUSPICION_PERIODS * periodUs;
+        return MAX_SUSPICION_PERIODS * probePeriodUs;
     }
 
     /**
      * How long claims under a view may outlive it elsewhere: the length of a lease, plus the relative drift of two
      * clocks.
      */
-    public long leaseLapseUs() {
+    public long leaseWithDriftUs() {
         return leaseUs + leaseUs * 2 * MAX_CLOCK_DRIFT_PERCENT / 100;
     }
 }
--- a/src/main/java/hopdrum/fleet/view/FullStateExchanges.java
+++ b/src/main/java/hopdrum/fleet/view/FullStateExchanges.java
@@ -53,14 +53,14 @@
             }
         }
         if (nowUs >= nextRejoinUs) {
-            nextRejoinUs = nowUs + randomAround(REJOIN_PERIODS * timing.periodUs());
+            nextRejoinUs = nowUs + randomAround(REJOIN_PERIODS * timing.probePeriodUs());
             tryRejoin();
         }
     }
 
     private long exchangeIntervalUs() {
         int slowdown = Math.max(1, peers.presentCount() / FULL_RATE_MEMBERS);
-        return randomAround(EXCHANGE_PERIODS * timing.periodUs() * slowdown);
+        return randomAround(EXCHANGE_PERIODS * timing.probePeriodUs() * slowdown);
     }
 
     /** From half to one and a half times the mean: members do not fall into step. */
--- a/src/main/java/hopdrum/fleet/view/LatencySharing.java
+++ b/src/main/java/hopdrum/fleet/view/LatencySharing.java
@@ -23,7 +23,7 @@
 
     /** Called in each tick, also while this member is inactive: a longer gap is a pause, which spoils measurements. */
     void noteTick(long nowUs) {
-        if (nowUs - lastTickUs > context.timing().periodUs()) {
+        if (nowUs - lastTickUs > context.timing().probePeriodUs()) {
             map.discardOutstandingProbes();
         }
         lastTickUs = nowUs;
@@ -34,8 +34,8 @@
         if (nowUs < nextExchangeUs) {
             return;
         }
-        nextExchangeUs = nowUs + context.timing().periodUs();
-        List<Member> candidates = failureDetector.present();
+        nextExchangeUs = nowUs + context.timing().probePeriodUs();
+        List<Member> candidates = failureDetector.presentMembers();
         candidates.removeIf(member -> member.isSameStart(context.self()));
         RandomOrder.shuffle(candidates, context.random());
         for (int i = 0; i < PEERS_PER_PERIOD && !candidates.isEmpty(); i++) {
@@ -64,7 +64,8 @@
                     .send(
                             from.address(),
                             new Message.LatencyExchange(exchange.seq(), true, map.readingsToShare(nowUs)));
-        } else if (nowUs - lastTickUs < context.timing().periodUs()) { // else a pause may be part of the round trip
+        } else if (nowUs - lastTickUs
+                < context.timing().probePeriodUs()) { // else a pause may be part of the round trip
             map.completeProbe(from, exchange.seq(), nowUs);
         }
     }
--- a/src/main/java/hopdrum/fleet/view/LeaseCoordinator.java
+++ b/src/main/java/hopdrum/fleet/view/LeaseCoordinator.java
@@ -22,7 +22,7 @@
     private final Member self;
     private final FleetTiming timing;
     private final MessageSender sender;
-    private final Leases ownLease;
+    private final ViewLease ownLease;
     private final Map<String, Long> lastClocks = new HashMap<>(); // by member, of its last answer; cleared by a view
     private final Set<String> answeredRound = new HashSet<>(); // cleared by the next round
     private Map<String, Long> clocksBeforeRound = Map.of();
@@ -31,7 +31,7 @@
     private boolean roundHasMajority;
     private long nextRoundUs;
 
-    LeaseCoordinator(MemberContext context, Leases ownLease) {
+    LeaseCoordinator(MemberContext context, ViewLease ownLease) {
         this.self = context.self();
         this.timing = context.timing();
         this.sender = context.sender();
@@ -101,7 +101,7 @@
             }
         }
         if (clocksBeforeRound.size() < view.majority()) { // a view's first round has no time to grant: the next is soon
-            nextRoundUs = Math.min(nextRoundUs, nowUs + timing.periodUs() / FIRST_ROUNDS_PER_PERIOD);
+            nextRoundUs = Math.min(nextRoundUs, nowUs + timing.probePeriodUs() / FIRST_ROUNDS_PER_PERIOD);
         }
     }
 
--- a/src/main/java/hopdrum/fleet/view/Membership.java
+++ b/src/main/java/hopdrum/fleet/view/Membership.java
@@ -54,7 +54,7 @@
             DecisionLog log,
             long nowUs) {
         this.context = new MemberContext(self, timing, random, sender, log);
-        this.latencyMap = new LatencyMap(self, timing.periodUs());
+        this.latencyMap = new LatencyMap(self, timing.probePeriodUs());
         this.failureDetector = new FailureDetector(context, seeds, latencyMap::addSample, nowUs);
         this.latencySharing = new LatencySharing(context, failureDetector, latencyMap);
         this.shards = shards == null ? ShardProtocol.NONE : shards;
@@ -69,7 +69,7 @@
     }
 
     /** The latencies between sites. */
-    public LatencyMap latency() {
+    public LatencyMap latencyMap() {
         return latencyMap;
     }
 
@@ -173,7 +173,7 @@
                 || viewConsensus.view().contains(self)) {
             return;
         }
-        long meanUs = NAME_TAKEN_PERIODS * context.timing().periodUs();
+        long meanUs = NAME_TAKEN_PERIODS * context.timing().probePeriodUs();
         inactiveUntilUs = nowUs + meanUs / 2 + context.random().nextLong(meanUs);
         context.log()
                 .event(
--- a/src/main/java/hopdrum/fleet/view/PeerUpdates.java
+++ b/src/main/java/hopdrum/fleet/view/PeerUpdates.java
@@ -107,7 +107,7 @@
     /** Guards against two processes of one name: while the first is alive, a later start elsewhere is not a restart. */
     private boolean holdsItsName(Peer holder, GossipUpdate later, long nowUs) {
         boolean elsewhere = !later.subject().address().equals(holder.address());
-        long roundUs = timing.periodUs() * Math.max(1, peers.presentCount());
+        long roundUs = timing.probePeriodUs() * Math.max(1, peers.presentCount());
         boolean hasContact =
                 holder.hasState(State.ALIVE) && nowUs - holder.lastContactUs() < NAME_HELD_ROUNDS * roundUs;
         return elsewhere && hasContact && later.state() != State.LEFT;
@@ -151,7 +151,7 @@
             if (peer.hasState(State.SUSPECT) && nowUs >= suspicionTimeout.deadlineUs(peer, peers.presentCount())) {
                 GossipUpdate death = new GossipUpdate(peer.member(), peer.incarnation(), State.DEAD, self.name());
                 changeState(peer, death, nowUs);
-            } else if (!peer.isPresent() && nowUs - peer.stateSinceUs() > timing.forgetUs()) {
+            } else if (!peer.isPresent() && nowUs - peer.stateSinceUs() > timing.retentionUs()) {
                 peers.remove(peer);
                 gossip.remove(peer.member().name());
             }
--- a/src/main/java/hopdrum/fleet/view/ProbeScheduler.java
+++ b/src/main/java/hopdrum/fleet/view/ProbeScheduler.java
@@ -48,7 +48,7 @@
         this.health = health;
         this.order = new ProbeOrder(peers, context.random());
         this.roundTripListener = roundTripListener;
-        this.nextProbeUs = nowUs + context.random().nextLong(timing.periodUs());
+        this.nextProbeUs = nowUs + context.random().nextLong(timing.probePeriodUs());
     }
 
     void tick(long nowUs) {
@@ -56,7 +56,7 @@
             probe.indirect = true;
             probe.missingNacks = messenger.requestIndirectPings(probe.target, probe.sequence);
         }
-        if (nowUs < nextProbeUs || (probe != null && !isOverdue(timing.periodUs(), nowUs))) {
+        if (nowUs < nextProbeUs || (probe != null && !isOverdue(timing.probePeriodUs(), nowUs))) {
             return;
         }
         if (probe != null) {
@@ -80,7 +80,7 @@
     }
 
     private void start(long nowUs) {
-        nextProbeUs = nowUs + timing.periodUs();
+        nextProbeUs = nowUs + timing.probePeriodUs();
         Peer target = order.next();
         if (target != null) {
             probe = new Probe(target, messenger.nextSequence(), nowUs);
--- a/src/main/java/hopdrum/fleet/view/Proposer.java
+++ b/src/main/java/hopdrum/fleet/view/Proposer.java
@@ -138,11 +138,11 @@
     }
 
     private long deadlineUs(long nowUs) {
-        return nowUs + timeoutPeriods * timing.periodUs();
+        return nowUs + timeoutPeriods * timing.probePeriodUs();
     }
 
     private void backOff(long nowUs) {
         proposal = null;
-        notBeforeUs = nowUs + timing.periodUs() / 2 + random.nextLong(BACKOFF_PERIODS * timing.periodUs());
+        notBeforeUs = nowUs + timing.probePeriodUs() / 2 + random.nextLong(BACKOFF_PERIODS * timing.probePeriodUs());
     }
 }
--- a/src/main/java/hopdrum/fleet/view/RelayedPings.java
+++ b/src/main/java/hopdrum/fleet/view/RelayedPings.java
@@ -45,6 +45,6 @@
     }
 
     void tick(long nowUs) {
-        pending.values().removeIf(relay -> nowUs - relay.sentUs > PENDING_PERIODS * timing.periodUs());
+        pending.values().removeIf(relay -> nowUs - relay.sentUs > PENDING_PERIODS * timing.probePeriodUs());
     }
 }
--- a/src/main/java/hopdrum/fleet/view/SuspectProbes.java
+++ b/src/main/java/hopdrum/fleet/view/SuspectProbes.java
@@ -52,7 +52,7 @@
     void tick(long nowUs) {
         for (Peer peer : peers.all()) {
             if (peer.hasState(State.SUSPECT) && nowUs >= peer.nextCheckUs()) {
-                peer.scheduleCheck(nowUs + timing.periodUs());
+                peer.scheduleCheck(nowUs + timing.probePeriodUs());
                 probeByChance(peer, nowUs);
             }
         }
@@ -74,7 +74,7 @@
         long waitedUs = nowUs - probe.sentUs;
         if (probe.isObsolete()) {
             probes.remove(sequence);
-        } else if (waitedUs >= timing.periodUs() * health.timeoutMultiplier()) {
+        } else if (waitedUs >= timing.probePeriodUs() * health.timeoutMultiplier()) {
             probes.remove(sequence);
             updates.suspect(probe.suspect, nowUs);
         } else if (!probe.indirect && waitedUs >= timing.ackTimeoutUs() * health.timeoutMultiplier()) {
--- a/src/main/java/hopdrum/fleet/view/ChangeDetector.java
+++ b/src/main/java/hopdrum/fleet/view/ViewChangePlanner.java
@@ -14,7 +14,7 @@
  * they have been stable for a period and no suspicion is open, and so come in batches (after Rapid, Suresh and others
  * 2018); they wait a bounded time.
  */
-final class ChangeDetector {
+final class ViewChangePlanner {
     private static final int STABLE_PERIODS = 1;
     private static final int MAX_BATCH_PERIODS = 6; // then a change is proposed though others are still under way
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -28,7 +28,7 @@
     private long targetSinceUs;
     private long changeSinceUs = NEVER;
 
-    ChangeDetector(
+    ViewChangePlanner(
             MemberContext context,
             Electorate electorate,
             FailureDetector failureDetector,
@@ -87,8 +87,8 @@
     }
 
     private boolean isDue(View view, long nowUs) {
-        boolean stable = nowUs - targetSinceUs >= STABLE_PERIODS * timing.periodUs() && !hasSuspect(view);
-        return stable || nowUs - changeSinceUs >= MAX_BATCH_PERIODS * timing.periodUs();
+        boolean stable = nowUs - targetSinceUs >= STABLE_PERIODS * timing.probePeriodUs() && !hasSuspect(view);
+        return stable || nowUs - changeSinceUs >= MAX_BATCH_PERIODS * timing.probePeriodUs();
     }
 
     private boolean hasSuspect(View view) {
@@ -123,7 +123,7 @@
                 next.add(member); // nothing newer is known of it, or its suspicion is not decided yet
             }
         }
-        for (Member member : failureDetector.present()) {
+        for (Member member : failureDetector.presentMembers()) {
             if (view.member(member.name()) == null && mayJoin(member, nowUs)) {
                 next.add(member);
             }
@@ -135,7 +135,7 @@
     private boolean mayJoin(Member member, long nowUs) {
         long aliveForUs = nowUs - failureDetector.stateSinceUs(member.name());
         return failureDetector.state(member.name()) == State.ALIVE
-                && (member.isSameStart(self) || aliveForUs >= STABLE_PERIODS * timing.periodUs());
+                && (member.isSameStart(self) || aliveForUs >= STABLE_PERIODS * timing.probePeriodUs());
     }
 
     private static boolean haveSameStarts(List<Member> some, List<Member> others) {
--- a/src/main/java/hopdrum/fleet/view/ViewConsensus.java
+++ b/src/main/java/hopdrum/fleet/view/ViewConsensus.java
@@ -11,8 +11,8 @@
 /**
  * Settled views: each is agreed on by a majority of the members of the one before, by single-decree Paxos for each view
  * number (Lamport, Paxos Made Simple, 2001), so that no number ever names two views. The first view of a fleet takes all
- * founders. {@link ChangeDetector} decides what to propose, {@link Proposer} and {@link Acceptor} are the two Paxos roles,
- * {@link ViewCatchUp} spreads what is settled.
+ * founders. {@link ViewChangePlanner} decides what to propose, {@link Proposer} and {@link Acceptor} are the two Paxos
+ * roles, {@link ViewCatchUp} distributes settled views.
  *
  * <p>Not thread-safe: called under the lock of {@link Membership}. Times are microseconds of one monotonic clock.
  */
@@ -23,11 +23,11 @@
     private final ConsensusSender sender;
     private final ConsensusLog log;
     private final Electorate electorate;
-    private final ChangeDetector changes;
+    private final ViewChangePlanner changePlanner;
     private final Proposer proposer;
     private final Acceptor acceptor;
     private final ViewCatchUp catchUp;
-    private final Leases leases;
+    private final ViewLease lease;
     private final LeaseCoordinator leaseCoordinator;
     private View view;
     private boolean superseded;
@@ -50,15 +50,15 @@
         this.sender = new ConsensusSender(self, context.sender());
         this.log = new ConsensusLog(context.log());
         this.electorate = new Electorate(self, founders, failureDetector);
-        this.changes = new ChangeDetector(context, electorate, failureDetector, shardAssigner);
+        this.changePlanner = new ViewChangePlanner(context, electorate, failureDetector, shardAssigner);
         this.acceptor = new Acceptor(self, restored, writer, sender, shardAssigner, log);
         this.proposer = new Proposer(context, electorate, sender, log, acceptor.promisedRound());
         this.catchUp = new ViewCatchUp(context.timing(), sender);
-        this.leases = new Leases(context, nowUs);
-        this.leaseCoordinator = new LeaseCoordinator(context, leases);
+        this.lease = new ViewLease(context, nowUs);
+        this.leaseCoordinator = new LeaseCoordinator(context, lease);
         this.view = restored == null ? View.NONE : restored.view();
         failureDetector.onViewSettled(view, nowUs);
-        notifyLeases(nowUs, false);
+        notifyLease(nowUs, false);
         if (!Electorate.isUnfounded(view)) {
             shardAssigner.onViewSettled(view, nowUs);
             log.settled(view, ConsensusLog.Source.STORE);
@@ -73,8 +73,8 @@
     }
 
     /** This member's lease on the settled view. */
-    public Leases leases() {
-        return leases;
+    public ViewLease lease() {
+        return lease;
     }
 
     /** Whether a later start of this name is in the settled view: this start must not act any more. */
@@ -88,10 +88,11 @@
     void tick(long nowUs) {
         proposer.tick(view, nowUs);
         if (!superseded && electorate.isVoter(view)) {
-            changes.nextView(view, proposer.mayPropose(nowUs), nowUs)
+            changePlanner
+                    .nextView(view, proposer.mayPropose(nowUs), nowUs)
                     .ifPresent(next -> proposer.propose(view, next, nowUs));
         }
-        leases.tick(nowUs);
+        lease.tick(nowUs);
         if (electorate.isVoter(view) && electorate.isCoordinator(view) && !acceptor.hasAccepted()) {
             leaseCoordinator.tick(electorate.voters(view), nowUs);
         }
@@ -105,7 +106,7 @@
      * @param continuation what was given to {@link DurableStateWriter#write} with the state
      * @param nowUs monotonic time, microseconds
      */
-    public void onDurable(Runnable continuation, long nowUs) {
+    public void onStateDurable(Runnable continuation, long nowUs) {
         continuation.run();
         handleOwnMessages(nowUs);
     }
@@ -169,7 +170,7 @@
                 leaseCoordinator.onRenewed(from, renewed, nowUs);
             }
         } else if (message instanceof Message.LeaseGranted granted) {
-            leases.onGranted(granted, nowUs);
+            lease.onGranted(granted, nowUs);
         }
     }
 
@@ -208,7 +209,7 @@
         Set<Member> recipients = new HashSet<>(electorate.voters(view));
         adopt(settled, ConsensusLog.Source.OWN_PROPOSAL, nowUs);
         addByAddress(recipients, settled.members());
-        addByAddress(recipients, failureDetector.present());
+        addByAddress(recipients, failureDetector.presentMembers());
         recipients.removeIf(member -> member.isSameStart(self));
         recipients.forEach(member -> sender.sendToPeer(member, new Message.ViewSettled(settled)));
     }
@@ -227,7 +228,7 @@
      */
     private void adopt(View settled, ConsensusLog.Source source, long nowUs) {
         boolean sameEra = settled.era() == view.era() && settled.number() > view.number();
-        boolean laterEra = settled.era() > view.era() && (Electorate.isUnfounded(view) || !leases.isHeld(nowUs));
+        boolean laterEra = settled.era() > view.era() && (Electorate.isUnfounded(view) || !lease.isHeld(nowUs));
         if ((!sameEra && !laterEra) || Electorate.isUnfounded(settled)) {
             return;
         }
@@ -236,14 +237,14 @@
         view = settled;
         acceptor.reset(settled);
         proposer.reset();
-        changes.reset();
+        changePlanner.reset();
         log.settled(view, source);
         if (laterEra && !Electorate.isUnfounded(before)) {
             log.eraChanged(before.era(), view.era());
         }
         checkSuperseded();
         failureDetector.onViewSettled(view, nowUs);
-        notifyLeases(nowUs, follows);
+        notifyLease(nowUs, follows);
         shardAssigner.onViewSettled(view, nowUs);
     }
 
@@ -255,8 +256,8 @@
         }
     }
 
-    private void notifyLeases(long nowUs, boolean follows) {
-        leases.onViewSettled(view, nowUs, follows);
+    private void notifyLease(long nowUs, boolean follows) {
+        lease.onViewSettled(view, nowUs, follows);
         leaseCoordinator.onViewSettled(view, nowUs);
     }
 }
--- a/src/main/java/hopdrum/fleet/view/Leases.java
+++ b/src/main/java/hopdrum/fleet/view/ViewLease.java
@@ -12,7 +12,7 @@
  *
  * <p>Not thread-safe: called under the lock of {@link Membership}. Times are microseconds of one monotonic clock.
  */
-public final class Leases {
+public final class ViewLease {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     /** A former view under which other members may still hold leases until the given time. */
@@ -24,11 +24,11 @@
     private final long startedUs;
     private final List<FormerView> formerViews = new ArrayList<>(); // removed as their leases lapse
     private View view = View.NONE;
-    private long heldSinceUs = NEVER; // the last grant for the present view, or for the one right before it
+    private long lastConfirmedUs = NEVER; // the last grant for the present view, or for the one right before it
     private long skippedUntilUs; // views were skipped: until then their unknown leases may be live
     private boolean cutOff;
 
-    Leases(MemberContext context, long nowUs) {
+    ViewLease(MemberContext context, long nowUs) {
         this.self = context.self();
         this.timing = context.timing();
         this.log = context.log();
@@ -39,13 +39,13 @@
     void onViewSettled(View settled, long nowUs, boolean follows) {
         boolean wasMember = view.contains(self);
         if (follows && wasMember) {
-            formerViews.add(new FormerView(view, nowUs + timing.leaseLapseUs()));
+            formerViews.add(new FormerView(view, nowUs + timing.leaseWithDriftUs()));
         } else {
-            skippedUntilUs = nowUs + timing.leaseLapseUs(); // others may have been granted more than is known here
+            skippedUntilUs = nowUs + timing.leaseWithDriftUs(); // others may have been granted more than is known here
             formerViews.clear();
         }
         if (!follows || !wasMember || !settled.contains(self)) {
-            heldSinceUs = NEVER;
+            lastConfirmedUs = NEVER;
         }
         view = settled;
         cutOff = false;
@@ -55,15 +55,15 @@
 
     /** When this member's lease ends, microseconds; long past where it has none. */
     public long expiresAtUs(long nowUs) {
-        return mayHold(nowUs) ? heldSinceUs + timing.leaseUs() : NEVER;
+        return mayHold(nowUs) ? lastConfirmedUs + timing.leaseUs() : NEVER;
     }
 
     /**
      * The last moment, microseconds, at which a majority is known to have held this member's view or the one before; long
      * past where this member may not act.
      */
-    public long heldSinceUs(long nowUs) {
-        return mayHold(nowUs) ? heldSinceUs : NEVER;
+    public long lastConfirmedUs(long nowUs) {
+        return mayHold(nowUs) ? lastConfirmedUs : NEVER;
     }
 
     private boolean mayHold(long nowUs) {
@@ -99,7 +99,7 @@
     void tick(long nowUs) {
         formerViews.removeIf(former -> nowUs >= former.untilUs);
         boolean lapsed = view.contains(self)
-                && nowUs > Math.max(heldSinceUs, startedUs) + timing.leaseUs()
+                && nowUs > Math.max(lastConfirmedUs, startedUs) + timing.leaseUs()
                 && nowUs > skippedUntilUs;
         if (lapsed != cutOff) {
             cutOff = lapsed;
@@ -119,6 +119,6 @@
 
     /** A majority is known to have held the view at the given time or later. */
     void extend(long sinceUs) {
-        heldSinceUs = Math.max(heldSinceUs, sinceUs);
+        lastConfirmedUs = Math.max(lastConfirmedUs, sinceUs);
     }
 }
--- a/src/rig/java/hopdrum/rig/simulation/FleetSimulation.java
+++ b/src/rig/java/hopdrum/rig/simulation/FleetSimulation.java
@@ -150,7 +150,7 @@
     }
 
     private long tickIntervalUs() {
-        return timing.periodUs() / TICKS_PER_PERIOD;
+        return timing.probePeriodUs() / TICKS_PER_PERIOD;
     }
 
     /** Gives the node's operator other terms there, from now on and after restarts. */
--- a/src/rig/java/hopdrum/rig/simulation/LatencyMapAccuracyReport.java
+++ b/src/rig/java/hopdrum/rig/simulation/LatencyMapAccuracyReport.java
@@ -226,7 +226,7 @@
         }
 
         private LatencyEstimate believed(SimulatedNode node, String from, String to) {
-            return node.membership().latency().estimate(from, to, fleet.nowUs());
+            return node.membership().latencyMap().estimate(from, to, fleet.nowUs());
         }
 
         /** Adds the errors of all members' ways, or only of those between the first two sites. */
--- a/src/rig/java/hopdrum/rig/simulation/SimulatedDisks.java
+++ b/src/rig/java/hopdrum/rig/simulation/SimulatedDisks.java
@@ -47,7 +47,7 @@
                 continue;
             }
             node.store(write.state);
-            write.process.viewConsensus().onDurable(write.whenWritten, nowUs);
+            write.process.viewConsensus().onStateDurable(write.whenWritten, nowUs);
         }
     }
 }
--- a/src/rig/java/hopdrum/rig/simulation/SimulatedNode.java
+++ b/src/rig/java/hopdrum/rig/simulation/SimulatedNode.java
@@ -177,13 +177,13 @@
     boolean isClaiming(long nowUs) {
         return isUp()
                 && !membership.isInactive(nowUs)
-                && nowUs < membership.viewConsensus().leases().expiresAtUs(nowUs);
+                && nowUs < membership.viewConsensus().lease().expiresAtUs(nowUs);
     }
 
     /** The most members that its operator has in any view that may still be in force, 1 at least. */
     int largestLiveTier(long nowUs) {
         int most = 1;
-        for (View view : membership.viewConsensus().leases().liveViews(nowUs)) {
+        for (View view : membership.viewConsensus().lease().liveViews(nowUs)) {
             long members = view.members().stream()
                     .filter(member -> member.operator().equals(operator))
                     .count();
@@ -197,7 +197,7 @@
         if (!isUp() || membership.isInactive(nowUs)) {
             shardTable = null;
         } else if (!isPaused(nowUs)) {
-            shardTable = shardCoordinator.table(membership.viewConsensus().leases(), List.of(), false, 0, nowUs);
+            shardTable = shardCoordinator.table(membership.viewConsensus().lease(), List.of(), false, 0, nowUs);
         }
     }
 
--- a/src/rig/java/hopdrum/rig/simulation/ViewConvergenceReport.java
+++ b/src/rig/java/hopdrum/rig/simulation/ViewConvergenceReport.java
@@ -148,7 +148,7 @@
     private static double periodsToSettle(FleetSimulation fleet) {
         long fromUs = fleet.nowUs();
         return fleet.until(SETTLE_LIMIT_US, fleet::isSettled)
-                ? (double) (fleet.nowUs() - fromUs) / TIMING.periodUs()
+                ? (double) (fleet.nowUs() - fromUs) / TIMING.probePeriodUs()
                 : NOT_SETTLED;
     }
 
--- a/src/test/java/hopdrum/fleet/SettledViewsTest.java
+++ b/src/test/java/hopdrum/fleet/SettledViewsTest.java
@@ -26,7 +26,7 @@
     }
 
     private static boolean holdsLease(FleetSimulation fleet, SimulatedNode node) {
-        return fleet.nowUs() < node.membership().viewConsensus().leases().expiresAtUs(fleet.nowUs());
+        return fleet.nowUs() < node.membership().viewConsensus().lease().expiresAtUs(fleet.nowUs());
     }
 
     @Test
@@ -40,11 +40,11 @@
         fleet.run(6 * SECOND_US);
         for (SimulatedNode cut : fleet.nodes().subList(0, 2)) {
             assertThat(cut.view().number()).isEqualTo(numberBefore);
-            assertThat(cut.membership().viewConsensus().leases().isCutOff()).isTrue();
+            assertThat(cut.membership().viewConsensus().lease().isCutOff()).isTrue();
             assertThat(holdsLease(fleet, cut)).isFalse();
         }
         assertThat(holdsLease(fleet, fleet.node(3))).isTrue();
-        assertThat(fleet.node(3).membership().viewConsensus().leases().liveViews(fleet.nowUs()))
+        assertThat(fleet.node(3).membership().viewConsensus().lease().liveViews(fleet.nowUs()))
                 .hasSize(1);
         fleet.heal();
         assertThat(fleet.until(20 * SECOND_US, fleet::isSettled)).isTrue();
