--- a/src/main/java/hopdrum/frontdoor/wire/Ascii.java
+++ b/src/main/java/hopdrum/frontdoor/wire/Ascii.java
@@ -2,32 +2,32 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Text of the protocols, which is ASCII, as bytes. */
+/** Converts and classifies the ASCII text of the protocols as bytes. */
 public final class Ascii {
-    /** What {@link #parseDecimal} returns for bytes that are no number. */
+    /** The result of {@link #parseDecimal} for bytes that are not a decimal number. */
     static final long NOT_A_NUMBER = -1;
 
     private static final int MAX_DIGITS = 15;
-    private static final boolean[] TOKEN = new boolean[128];
+    private static final boolean[] IS_TOKEN_CHARACTER = new boolean[128];
 
     static {
         for (char c = '!'; c < 127; c++) {
-            TOKEN[c] = "\"(),/:;<=>?@[\\]{}".indexOf(c) < 0;
+            IS_TOKEN_CHARACTER[c] = "\"(),/:;<=>?@[\\]{}".indexOf(c) < 0;
         }
     }
 
     private Ascii() {}
 
     /**
-     * The bytes of a text.
+     * Returns the ASCII bytes of a text.
      *
-     * @param text ASCII only
+     * @param text ASCII characters only
      */
     public static byte[] ascii(String text) {
         return text.getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** A whole decimal number without a sign, of 15 digits at most, or {@link #NOT_A_NUMBER}. */
+    /** Parses an unsigned decimal integer of at most 15 digits; {@link #NOT_A_NUMBER} if the range holds none. */
     static long parseDecimal(RingBuffer ring, int from, int to) {
         if (from == to || to - from > MAX_DIGITS) {
             return NOT_A_NUMBER;
@@ -43,18 +43,18 @@
         return value;
     }
 
-    /** Appends a number in decimal; the caller has reserved room. */
+    /** Appends a number in decimal notation; the caller has reserved the space. */
     static void putDecimal(RingBuffer ring, long value) {
         ring.put(ascii(Long.toString(value)));
     }
 
-    /** Whether a byte is HTTP's optional white space within a line. */
-    static boolean isBlank(byte b) {
+    /** Whether a byte is optional whitespace within a line of an HTTP head: a space or a tab. */
+    static boolean isWhitespace(byte b) {
         return b == ' ' || b == '\t';
     }
 
-    /** Whether a byte may stand in an HTTP token: a verb or a field's name. */
-    static boolean isToken(byte b) {
-        return b >= 0 && TOKEN[b];
+    /** Whether a byte is allowed in an HTTP token, such as an HTTP method or the name of a header field. */
+    static boolean isTokenCharacter(byte b) {
+        return b >= 0 && IS_TOKEN_CHARACTER[b];
     }
 }
--- a/src/main/java/hopdrum/frontdoor/wire/BackendResponse.java
+++ b/src/main/java/hopdrum/frontdoor/wire/BackendResponse.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the complete response of a backend, or of a front door of another tier, means for its attempt. */
+/** Interprets the complete response of a backend, or of a partner's front door, as the result of an attempt. */
 public final class BackendResponse {
     private static final byte[] NEVER_RAN = ascii("x-never-ran");
     private static final byte[] ONE = ascii("1");
     private static final byte[] LOAD_METRICS = ascii("endpoint-load-metrics");
     private static final float[] NO_REPORT = {};
-    // Reports name their metrics in one way, settings in another.
-    private static final Map<String, String> SETTINGS_NAMES = Map.of(
+    // The settings name the metrics of a load report differently from the report itself.
+    private static final Map<String, String> REPORT_TO_SETTINGS_NAMES = Map.of(
             "inflight",
             "concurrent",
             "queue",
@@ -30,7 +30,7 @@
 
     private BackendResponse() {}
 
-    /** How an attempt ended by the response of its backend. */
+    /** Returns the outcome of an attempt from the response of its backend. */
     public static Outcome outcome(RingBuffer ring, HttpReader response) {
         int status = response.status();
         if (status == 200) {
@@ -43,13 +43,14 @@
                 return Outcome.AT_CAPACITY;
             }
         }
-        // Rejected for what it is: nothing ran, and neither this backend is to blame nor would another take it.
+        // A 4xx status rejects the request itself: nothing ran, the backend is not at fault, and another backend would
+        // reject the request too.
         return isClientError(status) ? Outcome.INVALID_REQUEST : Outcome.ERROR;
     }
 
     /**
-     * How an attempt ended by the response of a front door of another tier, whose response is final: a rejection says
-     * that nothing ran, and is nobody's fault.
+     * Returns the outcome of an attempt from the response of a partner's front door. That response is final; a
+     * rejection (503 or 4xx) means that nothing ran, and does not count against the partner's front door.
      */
     public static Outcome partnerOutcome(HttpReader response) {
         int status = response.status();
@@ -64,29 +65,30 @@
     }
 
     /**
-     * The load report of a response.
+     * Returns the load report of a response.
      *
-     * @param wanted the settings' names of the metrics
-     * @return their values in the same order; empty if there is no report, or a value is missing or unusable
+     * @param metricNames the names of the metrics, as in the settings
+     * @return the values of these metrics in the same order; empty if the response has no report, or if a value is
+     *     missing, not a finite number or negative
      */
-    public static float[] loadReport(RingBuffer ring, HttpReader response, List<String> wanted) {
+    public static float[] loadReport(RingBuffer ring, HttpReader response, List<String> metricNames) {
         HeaderFields fields = response.fields();
         int field = fields.find(ring, LOAD_METRICS);
-        if (field < 0 || wanted.isEmpty()) {
+        if (field < 0 || metricNames.isEmpty()) {
             return NO_REPORT;
         }
         String text = ring.text(fields.valueFrom(field), fields.valueTo(field));
-        float[] report = new float[wanted.size()];
+        float[] report = new float[metricNames.size()];
         Arrays.fill(report, Float.NaN);
         for (String metric : text.substring(text.indexOf(' ') + 1).split(",", 0)) {
             int equals = metric.indexOf('=');
             String name = equals < 0 ? "" : metric.substring(0, equals).strip();
-            int index = wanted.indexOf(name);
+            int index = metricNames.indexOf(name);
             if (index < 0) {
-                index = wanted.indexOf(SETTINGS_NAMES.getOrDefault(name, ""));
+                index = metricNames.indexOf(REPORT_TO_SETTINGS_NAMES.getOrDefault(name, ""));
             }
             if (index >= 0) {
-                report[index] = value(metric.substring(equals + 1).strip());
+                report[index] = parseMetricValue(metric.substring(equals + 1).strip());
             }
         }
         for (float value : report) {
@@ -97,8 +99,8 @@
         return report;
     }
 
-    /** A metric's value, which is finite and not below 0; else not a number. */
-    private static float value(String text) {
+    /** Parses the value of a metric; NaN unless the value is finite and at least 0. */
+    private static float parseMetricValue(String text) {
         try {
             float value = Float.parseFloat(text);
             return value >= 0 && value < Float.POSITIVE_INFINITY ? value : Float.NaN;
--- a/src/main/java/hopdrum/frontdoor/wire/ChunkedDecoder.java
+++ b/src/main/java/hopdrum/frontdoor/wire/ChunkedDecoder.java
@@ -1,6 +1,6 @@
 package hopdrum.frontdoor.wire;
 
-/** The framing of a chunked body, fed one byte at a time. */
+/** Decodes the chunked transfer coding of a message body, one byte at a time. */
 final class ChunkedDecoder {
     private enum State {
         SIZE,
@@ -18,38 +18,43 @@
     private static final int MAX_SIZE_DIGITS = 8;
 
     private State state = State.SIZE;
-    private long remaining; // bytes of the chunk's data that are still to come
+    private long remainingBytes; // of the data of the current chunk
     private int sizeDigits;
-    private int lineLength;
+    private int lineBytes;
 
-    /** True once the last chunk and the trailer have been read. */
+    /** Whether the last chunk and the trailer section have been read. */
     boolean isEnded() {
         return state == State.END;
     }
 
-    /** Takes the next byte; true if it belongs to the body. */
+    /**
+     * Reads the next byte.
+     *
+     * @return true if the byte is chunk data, false if it is framing
+     * @throws MalformedMessageException if the framing is malformed or a line is too long
+     */
     boolean accept(byte next) throws MalformedMessageException {
         switch (state) {
-            case SIZE -> size(next);
+            case SIZE -> readSizeByte(next);
             case EXTENSION -> {
                 countLineByte();
                 state = next == '\r' ? State.SIZE_LF : State.EXTENSION;
             }
             case SIZE_LF -> {
                 requireLineFeed(next);
-                lineLength = 0;
+                lineBytes = 0;
                 sizeDigits = 0;
-                state = remaining == 0 ? State.TRAILER : State.DATA;
+                state = remainingBytes == 0 ? State.TRAILER : State.DATA;
             }
             case DATA -> {
-                if (--remaining == 0) {
+                if (--remainingBytes == 0) {
                     state = State.DATA_CR;
                 }
                 return true;
             }
             case DATA_CR -> {
                 if (next != '\r') {
-                    throw new MalformedMessageException(400, "a chunk is longer than its size");
+                    throw new MalformedMessageException(400, "the chunk data is longer than the chunk size");
                 }
                 state = State.DATA_LF;
             }
@@ -61,42 +66,43 @@
                 countLineByte();
                 state = next == '\r' ? State.TRAILER_LF : State.TRAILER;
             }
-            case TRAILER_LF -> trailerLineEnds(next);
-            case END -> throw new IllegalStateException("fed past the end");
+            case TRAILER_LF -> endTrailerLine(next);
+            case END -> throw new IllegalStateException("the chunked body has already ended");
         }
         return false;
     }
 
-    private void size(byte next) throws MalformedMessageException {
+    private void readSizeByte(byte next) throws MalformedMessageException {
         int digit = Character.digit(next, 16);
         if (digit >= 0 && sizeDigits < MAX_SIZE_DIGITS) {
-            remaining = remaining * 16 + digit;
+            remainingBytes = remainingBytes * 16 + digit;
             sizeDigits++;
         } else if (sizeDigits > 0 && next == '\r') {
             state = State.SIZE_LF;
         } else if (sizeDigits > 0 && (next == ';' || next == ' ' || next == '\t')) {
             state = State.EXTENSION;
         } else {
-            throw new MalformedMessageException(400, "a chunk's size is malformed");
+            throw new MalformedMessageException(400, "the chunk size is malformed");
         }
     }
 
-    /** An empty line, of which the carriage return alone has been counted, ends the body. */
-    private void trailerLineEnds(byte next) throws MalformedMessageException {
+    /** Ends the body at an empty trailer line, for which only the carriage return has been counted. */
+    private void endTrailerLine(byte next) throws MalformedMessageException {
         requireLineFeed(next);
-        state = lineLength == 1 ? State.END : State.TRAILER;
-        lineLength = 0;
+        state = lineBytes == 1 ? State.END : State.TRAILER;
+        lineBytes = 0;
     }
 
     private void countLineByte() throws MalformedMessageException {
-        if (++lineLength > MAX_LINE_BYTES) {
-            throw new MalformedMessageException(400, "a line among the chunks is too long");
+        if (++lineBytes > MAX_LINE_BYTES) {
+            throw new MalformedMessageException(
+                    400, "a chunk extension or trailer line is longer than " + MAX_LINE_BYTES + " bytes");
         }
     }
 
     private static void requireLineFeed(byte next) throws MalformedMessageException {
         if (next != '\n') {
-            throw new MalformedMessageException(400, "a carriage return stands alone");
+            throw new MalformedMessageException(400, "a carriage return without a line feed");
         }
     }
 }
--- a/src/main/java/hopdrum/frontdoor/wire/CounterReply.java
+++ b/src/main/java/hopdrum/frontdoor/wire/CounterReply.java
@@ -3,9 +3,9 @@
 import hopdrum.host.Outcome;
 
 /**
- * What the counter's response to one call says.
+ * The content of the counter's response to one request.
  *
- * @param outcome how the call ended
- * @param total the number's total after the call, in units; 0 unless the outcome is {@link Outcome#OK}
+ * @param outcome how the request ended
+ * @param total the total of the number after the request, in units; 0 unless the outcome is {@link Outcome#OK}
  */
 public record CounterReply(Outcome outcome, double total) {}
--- a/src/main/java/hopdrum/frontdoor/wire/EndpointListReader.java
+++ b/src/main/java/hopdrum/frontdoor/wire/EndpointListReader.java
@@ -7,85 +7,89 @@
 import java.util.function.Consumer;
 
 /**
- * Discovery's response, a watch or a whole list: bytes to messages of JSON, each on a line of its own or indented over
- * several lines.
+ * Splits the response of service discovery, a watch or one complete list, into JSON messages. A message takes one line,
+ * or several if it is indented.
  */
 public final class EndpointListReader {
     private static final int MAX_MESSAGE_BYTES = 8 << 20;
     private static final int INITIAL_BYTES = 1024;
     private static final int MAX_REQUEST_BYTES = 256;
 
-    private final HttpReader head = new HttpReader(HttpReader.Kind.RESPONSE);
+    private final HttpReader httpReader = new HttpReader(HttpReader.Kind.RESPONSE);
     private final Consumer<String> listener;
-    private ChunkedDecoder chunks; // null for a body without chunks
+    private ChunkedDecoder chunkedDecoder; // null if the body is not chunked
     private boolean inBody;
-    private long remaining; // of a body with a length; below 0 if the connection's end is the body's
+    private long remainingBodyBytes; // below 0 if the body has no stated length
     private byte[] message = new byte[INITIAL_BYTES];
-    private int length; // of the message so far
-    private int lineFrom; // where in it the present line begins
-    private int openBrackets; // braces and brackets that are open at this point
+    private int messageBytes; // of the current message that have been read
+    private int lineFrom; // where the current line begins in the current message
+    private int openBrackets; // braces and brackets of the current message that are not closed yet
     private boolean inString;
     private boolean escaped;
     private boolean ended;
 
     /**
-     * A reader for one response.
+     * Creates a reader for one response.
      *
-     * @param listener gets each message once it is complete; an empty one says that nothing has changed
+     * @param listener receives each message once it is complete; an empty message means that nothing has changed
      */
     public EndpointListReader(Consumer<String> listener) {
         this.listener = listener;
     }
 
     /**
-     * Writes the request to an empty ring.
+     * Writes the request for a watch or a complete list.
      *
-     * @param watch whether changes are asked for, in place of one complete list
-     * @param after the version from which a watch goes on; below 0 if none is known
+     * @param watch true to watch for changes, false to fetch one complete list
+     * @param afterVersion the list version after which a watch resumes; below 0 if no version is known
      * @param host the value of the Host field
+     * @param out an empty buffer
      */
-    public static void writeRequest(boolean watch, long after, String host, RingBuffer out) {
+    public static void writeRequest(boolean watch, long afterVersion, String host, RingBuffer out) {
         out.reserve(MAX_REQUEST_BYTES);
-        out.put(ascii("GET /registry/instances" + (watch ? "?watch=1" + (after >= 0 ? "&after=" + after : "") : "")
+        out.put(ascii("GET /registry/instances"
+                + (watch ? "?watch=1" + (afterVersion >= 0 ? "&after=" + afterVersion : "") : "")
                 + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n"));
     }
 
     /**
-     * Takes all bytes off the ring; true once the response is complete.
+     * Reads and removes all bytes in the buffer.
      *
-     * @throws MalformedMessageException if it is not a list, or a message is too long
+     * @return true once the response is complete
+     * @throws MalformedMessageException if the response is malformed or has a status other than 200, or if a message is
+     *     longer than 8 MiB
      */
     public boolean read(RingBuffer ring) throws MalformedMessageException {
         if (!inBody) {
-            if (!head.readHead(ring)) {
+            if (!httpReader.readHead(ring)) {
                 return false;
             }
-            if (head.status() != 200) {
-                throw new MalformedMessageException(400, "discovery responded with status " + head.status());
+            if (httpReader.status() != 200) {
+                throw new MalformedMessageException(400, "discovery responded with status " + httpReader.status());
             }
             inBody = true;
-            chunks = head.isChunked() ? new ChunkedDecoder() : null;
-            remaining = head.lengthOrNone();
-            ring.skip(head.bodyFrom());
+            chunkedDecoder = httpReader.isChunked() ? new ChunkedDecoder() : null;
+            remainingBodyBytes = httpReader.contentLength();
+            ring.skip(httpReader.bodyFrom());
         }
         while (!ring.isEmpty() && !ended) {
             byte next = ring.at(0);
             ring.skip(1);
-            if (chunks == null || chunks.accept(next)) {
-                accept(next);
-                remaining--;
+            if (chunkedDecoder == null || chunkedDecoder.accept(next)) {
+                acceptBodyByte(next);
+                remainingBodyBytes--;
             }
-            ended = chunks == null ? remaining == 0 : chunks.isEnded();
+            ended = chunkedDecoder == null ? remainingBodyBytes == 0 : chunkedDecoder.isEnded();
         }
-        if (ended && length > 0) {
-            messageEnds(length);
+        if (ended && messageBytes > 0) {
+            emitMessage(messageBytes);
         }
         return ended;
     }
 
-    private void accept(byte next) throws MalformedMessageException {
+    private void acceptBodyByte(byte next) throws MalformedMessageException {
         if (next == '\n') {
-            lineEnds();
+            endLine();
             return;
         }
         append(next);
@@ -103,44 +107,46 @@
     }
 
     private void append(byte next) throws MalformedMessageException {
-        if (length == MAX_MESSAGE_BYTES) {
-            throw new MalformedMessageException(413, "a line from discovery is too long");
+        if (messageBytes == MAX_MESSAGE_BYTES) {
+            throw new MalformedMessageException(
+                    413, "a message from discovery is longer than " + MAX_MESSAGE_BYTES + " bytes");
         }
-        if (length == message.length) {
-            message = Arrays.copyOf(message, 2 * length);
+        if (messageBytes == message.length) {
+            message = Arrays.copyOf(message, 2 * messageBytes);
         }
-        message[length++] = next;
+        message[messageBytes++] = next;
     }
 
     /**
-     * A message whose brackets are still open goes on with the next line. Guards against a truncated one taking along
-     * those that follow: an empty line, or one that begins a message of its own, ends it as it stands.
+     * Ends the current line. A message with open brackets continues on the next line. An empty line, or a line that
+     * begins another message, ends the message before it, so that a truncated message does not absorb the messages that
+     * follow it.
      */
-    private void lineEnds() throws MalformedMessageException {
-        String line = new String(message, lineFrom, length - lineFrom, StandardCharsets.UTF_8).strip();
+    private void endLine() throws MalformedMessageException {
+        String line = new String(message, lineFrom, messageBytes - lineFrom, StandardCharsets.UTF_8).strip();
         if (lineFrom > 0 && (line.isEmpty() || (line.startsWith("{") && line.contains("\"seq\"")))) {
-            messageEnds(lineFrom);
+            emitMessage(lineFrom);
             for (byte b : (line + "\n").getBytes(StandardCharsets.UTF_8)) {
-                accept(b);
+                acceptBodyByte(b);
             }
         } else if (openBrackets <= 0 || line.isEmpty()) {
-            messageEnds(length);
+            emitMessage(messageBytes);
         } else {
             append((byte) ' ');
-            lineFrom = length;
+            lineFrom = messageBytes;
         }
     }
 
-    /** Ends a message of several lines that nothing has been added to for too long: what there is of it is handed on. */
+    /** Passes an incomplete message of several lines to the listener, for use when its next line does not arrive. */
     public void flushIncompleteMessage() {
         if (lineFrom > 0) {
-            messageEnds(length);
+            emitMessage(messageBytes);
         }
     }
 
-    private void messageEnds(int to) {
+    private void emitMessage(int to) {
         String text = new String(message, 0, to, StandardCharsets.UTF_8).strip();
-        length = 0;
+        messageBytes = 0;
         lineFrom = 0;
         openBrackets = 0;
         inString = false;
--- a/src/main/java/hopdrum/frontdoor/wire/HeaderFields.java
+++ b/src/main/java/hopdrum/frontdoor/wire/HeaderFields.java
@@ -2,41 +2,47 @@
 
 import java.util.Arrays;
 
-/** Where the header fields of one message stand in its ring. Fields are numbered from 0 in the order of their lines. */
+/** The positions of one message's header fields in its buffer. Fields are numbered from 0 in line order. */
 final class HeaderFields {
     private static final int MAX_FIELDS = 64;
     private static final int INITIAL_FIELDS = 16;
-    // Four positions a field, in one array since a message's fields are read on the path of every request.
-    private static final int STRIDE = 4;
+    // Each field takes four positions in one flat array, because the fields of every request are parsed and searched.
+    private static final int POSITIONS_PER_FIELD = 4;
     private static final int NAME_FROM = 0;
     private static final int NAME_TO = 1;
     private static final int VALUE_FROM = 2;
     private static final int VALUE_TO = 3;
 
-    private int[] positions = new int[STRIDE * INITIAL_FIELDS];
+    private int[] positions = new int[POSITIONS_PER_FIELD * INITIAL_FIELDS];
     private int count;
 
-    /** Parses one line, without its line break, and adds its field. */
+    /**
+     * Parses one line and adds its field.
+     *
+     * @param from where the line begins
+     * @param to where the line ends, before its line break
+     * @throws MalformedMessageException if the line has no valid field name, or if there are too many fields
+     */
     void add(RingBuffer ring, int from, int to) throws MalformedMessageException {
         int colon = from;
-        while (colon < to && Ascii.isToken(ring.at(colon))) {
+        while (colon < to && Ascii.isTokenCharacter(ring.at(colon))) {
             colon++;
         }
         if (colon == from || colon == to || ring.at(colon) != ':') {
-            throw new MalformedMessageException(400, "a header field has no name");
+            throw new MalformedMessageException(400, "a header field has no valid name");
         }
         int valueFrom = colon + 1;
-        while (valueFrom < to && Ascii.isBlank(ring.at(valueFrom))) {
+        while (valueFrom < to && Ascii.isWhitespace(ring.at(valueFrom))) {
             valueFrom++;
         }
         int valueTo = to;
-        while (valueTo > valueFrom && Ascii.isBlank(ring.at(valueTo - 1))) {
+        while (valueTo > valueFrom && Ascii.isWhitespace(ring.at(valueTo - 1))) {
             valueTo--;
         }
         if (count == MAX_FIELDS) {
-            throw new MalformedMessageException(431, "more than " + MAX_FIELDS + " fields");
+            throw new MalformedMessageException(431, "more than " + MAX_FIELDS + " header fields");
         }
-        int start = STRIDE * count;
+        int start = POSITIONS_PER_FIELD * count;
         if (start == positions.length) {
             positions = Arrays.copyOf(positions, 2 * positions.length);
         }
@@ -47,11 +53,11 @@
         count++;
     }
 
-    /** Forgets all fields, and gives back the memory that an unusually long head took. */
+    /** Removes all fields and releases the memory that an unusually long head took. */
     void clear() {
         count = 0;
-        if (positions.length > STRIDE * INITIAL_FIELDS) {
-            positions = new int[STRIDE * INITIAL_FIELDS];
+        if (positions.length > POSITIONS_PER_FIELD * INITIAL_FIELDS) {
+            positions = new int[POSITIONS_PER_FIELD * INITIAL_FIELDS];
         }
     }
 
@@ -60,23 +66,23 @@
     }
 
     int nameFrom(int field) {
-        return positions[STRIDE * field + NAME_FROM];
+        return positions[POSITIONS_PER_FIELD * field + NAME_FROM];
     }
 
     int valueFrom(int field) {
-        return positions[STRIDE * field + VALUE_FROM];
+        return positions[POSITIONS_PER_FIELD * field + VALUE_FROM];
     }
 
     int valueTo(int field) {
-        return positions[STRIDE * field + VALUE_TO];
+        return positions[POSITIONS_PER_FIELD * field + VALUE_TO];
     }
 
     boolean isNamed(RingBuffer ring, int field, byte[] lowerCaseName) {
-        int start = STRIDE * field;
+        int start = POSITIONS_PER_FIELD * field;
         return ring.matchesIgnoringCase(positions[start + NAME_FROM], positions[start + NAME_TO], lowerCaseName);
     }
 
-    /** The first field of a name, or -1. */
+    /** Returns the number of the first field with a name, or -1 if there is none. */
     int find(RingBuffer ring, byte[] lowerCaseName) {
         for (int i = 0; i < count; i++) {
             if (isNamed(ring, i, lowerCaseName)) {
@@ -86,7 +92,7 @@
         return -1;
     }
 
-    /** Whether a field's value, a list with commas, holds an element; letters of either case are the same. */
+    /** Whether the value of a field, a comma-separated list, contains an element; the comparison ignores case. */
     boolean hasElement(RingBuffer ring, int field, byte[] lowerCaseElement) {
         int from = valueFrom(field);
         int to = valueTo(field);
@@ -95,14 +101,14 @@
             while (comma < to && ring.at(comma) != ',') {
                 comma++;
             }
-            int last = comma;
-            while (from < last && Ascii.isBlank(ring.at(from))) {
+            int elementTo = comma;
+            while (from < elementTo && Ascii.isWhitespace(ring.at(from))) {
                 from++;
             }
-            while (last > from && Ascii.isBlank(ring.at(last - 1))) {
-                last--;
+            while (elementTo > from && Ascii.isWhitespace(ring.at(elementTo - 1))) {
+                elementTo--;
             }
-            if (ring.matchesIgnoringCase(from, last, lowerCaseElement)) {
+            if (ring.matchesIgnoringCase(from, elementTo, lowerCaseElement)) {
                 return true;
             }
             from = comma + 1;
--- a/src/main/java/hopdrum/frontdoor/wire/HttpHeadParser.java
+++ b/src/main/java/hopdrum/frontdoor/wire/HttpHeadParser.java
@@ -2,7 +2,7 @@
 
 import static hopdrum.frontdoor.wire.Ascii.ascii;
 
-/** The start line and header fields of the message at the front of a ring; reads on from where it stopped. */
+/** Parses the start line and header fields of the message at the front of a buffer, as its bytes arrive. */
 final class HttpHeadParser {
     private static final byte[] HTTP_1 = ascii("HTTP/1.");
     private static final byte[] HTTP_11 = ascii("HTTP/1.1");
@@ -10,11 +10,11 @@
 
     private final HttpReader.Kind kind;
     private final HeaderFields fields = new HeaderFields();
-    private int scanned;
+    private int scannedBytes;
     private int lineFrom;
     private boolean hasStartLine;
     private boolean isHttp11;
-    private int verbTo;
+    private int httpMethodTo;
     private int targetTo;
     private int status;
     private int headTo;
@@ -23,29 +23,34 @@
         this.kind = kind;
     }
 
-    /** Reads on; true once the empty line that ends the head has been read. */
+    /**
+     * Parses the bytes that have been added since the last call.
+     *
+     * @return true once the empty line that ends the head has been read
+     * @throws MalformedMessageException if the head is malformed or too long
+     */
     boolean read(RingBuffer ring) throws MalformedMessageException {
-        while (scanned == 0 && !ring.isEmpty() && (ring.at(0) == '\r' || ring.at(0) == '\n')) {
-            ring.skip(1); // empty lines before a message are allowed
+        while (scannedBytes == 0 && !ring.isEmpty() && (ring.at(0) == '\r' || ring.at(0) == '\n')) {
+            ring.skip(1); // HTTP allows empty lines before the start line
         }
         int size = ring.size();
-        while (scanned < size) {
-            byte b = ring.at(scanned++);
-            if (kind == HttpReader.Kind.RESPONSE && scanned <= HTTP_1.length && b != HTTP_1[scanned - 1]) {
-                // Found at once, since bytes that are no HTTP may never hold a line break.
-                throw new MalformedMessageException(400, "not an HTTP/1 response");
+        while (scannedBytes < size) {
+            byte b = ring.at(scannedBytes++);
+            if (kind == HttpReader.Kind.RESPONSE && scannedBytes <= HTTP_1.length && b != HTTP_1[scannedBytes - 1]) {
+                // Checked on each byte, because input that is not HTTP may never contain a line break.
+                throw new MalformedMessageException(400, "the response is not HTTP/1");
             }
             if (b == '\n') {
-                if (lineEnds(ring)) {
-                    headTo = scanned;
+                if (parseLine(ring)) {
+                    headTo = scannedBytes;
                     return true;
                 }
             } else if ((b < ' ' && b != '\t' && b != '\r' && b >= 0) || b == 127) {
-                throw new MalformedMessageException(400, "a control character in the head");
-            } else if (scanned > 1 && ring.at(scanned - 2) == '\r') {
-                throw new MalformedMessageException(400, "a carriage return stands alone");
+                throw new MalformedMessageException(400, "the head contains a control character");
+            } else if (scannedBytes > 1 && ring.at(scannedBytes - 2) == '\r') {
+                throw new MalformedMessageException(400, "a carriage return without a line feed");
             }
-            if (scanned > HttpReader.MAX_HEAD_BYTES) {
+            if (scannedBytes > HttpReader.MAX_HEAD_BYTES) {
                 throw new MalformedMessageException(
                         431, "the head is longer than " + HttpReader.MAX_HEAD_BYTES + " bytes");
             }
@@ -53,11 +58,11 @@
         return false;
     }
 
-    /** Takes the line that ends with the line feed scanned last; true if it is the empty one at the head's end. */
-    private boolean lineEnds(RingBuffer ring) throws MalformedMessageException {
-        int to = scanned - 2;
+    /** Parses the line that ends with the line feed just read; true if it is the empty line that ends the head. */
+    private boolean parseLine(RingBuffer ring) throws MalformedMessageException {
+        int to = scannedBytes - 2;
         if (to < lineFrom || ring.at(to) != '\r') {
-            throw new MalformedMessageException(400, "a line does not end with CR LF");
+            throw new MalformedMessageException(400, "a line in the head does not end with CR LF");
         }
         if (to == lineFrom) {
             return true;
@@ -67,34 +72,34 @@
         } else {
             hasStartLine = true;
             if (kind == HttpReader.Kind.REQUEST) {
-                requestLine(ring, lineFrom, to);
+                parseRequestLine(ring, lineFrom, to);
             } else {
-                statusLine(ring, lineFrom, to);
+                parseStatusLine(ring, lineFrom, to);
             }
         }
-        lineFrom = scanned;
+        lineFrom = scannedBytes;
         return false;
     }
 
-    private void requestLine(RingBuffer ring, int from, int to) throws MalformedMessageException {
-        verbTo = from;
-        while (verbTo < to && Ascii.isToken(ring.at(verbTo))) {
-            verbTo++;
+    private void parseRequestLine(RingBuffer ring, int from, int to) throws MalformedMessageException {
+        httpMethodTo = from;
+        while (httpMethodTo < to && Ascii.isTokenCharacter(ring.at(httpMethodTo))) {
+            httpMethodTo++;
         }
-        targetTo = verbTo + 1;
+        targetTo = httpMethodTo + 1;
         while (targetTo < to && ring.at(targetTo) != ' ') {
             targetTo++;
         }
-        boolean wellFormed = verbTo > from
-                && verbTo < to
-                && ring.at(verbTo) == ' '
-                && targetTo > verbTo + 1
+        boolean wellFormed = httpMethodTo > from
+                && httpMethodTo < to
+                && ring.at(httpMethodTo) == ' '
+                && targetTo > httpMethodTo + 1
                 && targetTo < to
-                && ring.at(verbTo + 1) == '/';
-        version(ring, targetTo + 1, to, wellFormed);
+                && ring.at(httpMethodTo + 1) == '/';
+        parseVersion(ring, targetTo + 1, to, wellFormed);
     }
 
-    private void statusLine(RingBuffer ring, int from, int to) throws MalformedMessageException {
+    private void parseStatusLine(RingBuffer ring, int from, int to) throws MalformedMessageException {
         boolean wellFormed =
                 to - from >= 12 && ring.at(from + 8) == ' ' && (to - from == 12 || ring.at(from + 12) == ' ');
         status = 0;
@@ -103,22 +108,22 @@
             wellFormed = digit >= 0 && digit <= 9;
             status = status * 10 + digit;
         }
-        version(ring, from, from + 8, wellFormed && status >= 100);
+        parseVersion(ring, from, from + 8, wellFormed && status >= 100);
     }
 
-    private void version(RingBuffer ring, int from, int to, boolean wellFormed) throws MalformedMessageException {
+    private void parseVersion(RingBuffer ring, int from, int to, boolean wellFormed) throws MalformedMessageException {
         if (!wellFormed) {
-            throw new MalformedMessageException(400, "the first line is malformed");
+            throw new MalformedMessageException(400, "the start line is malformed");
         }
         isHttp11 = ring.matches(from, to, HTTP_11);
         if (!isHttp11 && !ring.matches(from, to, HTTP_10)) {
-            throw new MalformedMessageException(400, "neither HTTP/1.1 nor HTTP/1.0");
+            throw new MalformedMessageException(400, "the version is neither HTTP/1.1 nor HTTP/1.0");
         }
     }
 
-    /** Starts anew with a message at the front of the ring. */
+    /** Prepares for the next message, which begins at the front of the buffer. */
     void reset() {
-        scanned = 0;
+        scannedBytes = 0;
         lineFrom = 0;
         hasStartLine = false;
         fields.clear();
@@ -126,20 +131,20 @@
 
     /** Whether any byte of the message has been read. */
     boolean isStarted() {
-        return scanned > 0;
+        return scannedBytes > 0;
     }
 
     HeaderFields fields() {
         return fields;
     }
 
-    /** Whether the version is HTTP/1.1, whose connections are kept alive unless a field says otherwise. */
+    /** Whether the version is HTTP/1.1, in which connections persist unless a field says otherwise. */
     boolean isHttp11() {
         return isHttp11;
     }
 
-    int verbTo() {
-        return verbTo;
+    int httpMethodTo() {
+        return httpMethodTo;
     }
 
     int targetTo() {
@@ -150,7 +155,7 @@
         return status;
     }
 
-    /** Where the head ends and the body begins. */
+    /** The position where the head ends and the body begins. */
     int headTo() {
         return headTo;
     }
--- a/src/main/java/hopdrum/frontdoor/wire/HttpReader.java
+++ b/src/main/java/hopdrum/frontdoor/wire/HttpReader.java
@@ -1,34 +1,34 @@
 package hopdrum.frontdoor.wire;
 
 /**
- * One HTTP/1.1 message at the front of a ring. {@link #read} goes on from where it stopped and is true once the message
- * is complete; its parts are then positions in the ring, valid until {@link #removeMessage} takes the message off.
+ * Reads the HTTP/1.1 message at the front of a buffer as its bytes arrive. Once {@link #read} has returned true, the
+ * message is complete and its parts are given as positions in the buffer, which are valid until {@link #removeMessage}.
  */
 public final class HttpReader {
-    /** Which side's messages are read. */
+    /** The kind of message that is read. */
     public enum Kind {
-        /** A client's messages, with a request line. */
+        /** Requests, which begin with a request line. */
         REQUEST,
-        /** A server's messages, with a status line; interim responses are skipped. */
+        /** Responses, which begin with a status line; interim responses are skipped. */
         RESPONSE
     }
 
-    /** The longest head that is read, in bytes. */
+    /** The largest head that is accepted, in bytes. */
     public static final int MAX_HEAD_BYTES = 8 << 10;
-    /** The longest body of a request, in bytes. */
+    /** The largest request body that is accepted, in bytes. */
     public static final int MAX_REQUEST_BODY_BYTES = 64 << 10;
-    /** The longest body of a response, in bytes: some are longer than any RPC. */
+    /** The largest response body that is accepted, in bytes; responses may be larger than any request. */
     public static final int MAX_RESPONSE_BODY_BYTES = 1 << 20;
-    /** The size of a ring that holds any response with its head and framing, in bytes. */
+    /** The size of a buffer that holds any accepted response with its head and framing, in bytes. */
     public static final int RESPONSE_RING_BYTES = 2 * MAX_RESPONSE_BODY_BYTES;
 
     private static final int MAX_INTERIM_RESPONSES = 16;
 
     private enum State {
         HEAD,
-        LENGTH,
-        CHUNKS,
-        UNTIL_CLOSE,
+        FIXED_LENGTH,
+        CHUNKED,
+        CLOSE_DELIMITED,
         COMPLETE
     }
 
@@ -36,78 +36,83 @@
     private final HttpHeadParser head;
     private final MessageFraming framing = new MessageFraming();
     private State state = State.HEAD;
-    private ChunkedDecoder chunks;
-    private int chunkedTo;
+    private ChunkedDecoder chunkedDecoder;
+    private int chunksReadTo;
     private boolean keepAlive;
     private boolean expectsContinue;
-    private int interimResponses; // before this message
+    private int interimResponses; // that have been skipped before the current message
     private int bodyTo;
-    private int end;
+    private int messageTo;
 
-    /** A reader for the messages of one connection's direction. */
+    /** Creates a reader for the messages of one direction of a connection. */
     public HttpReader(Kind kind) {
         this.kind = kind;
         this.head = new HttpHeadParser(kind);
     }
 
     /**
-     * Reads on; true once the message is complete.
+     * Reads the bytes that have been added since the last call.
      *
-     * @throws MalformedMessageException if the bytes are no message that is accepted; the reader is of no use after it
+     * @return true once the message is complete
+     * @throws MalformedMessageException if the message is malformed or too long; the reader cannot be used afterwards
      */
     public boolean read(RingBuffer ring) throws MalformedMessageException {
         if (!readHead(ring)) {
             return false;
         }
         switch (state) {
-            case LENGTH -> readBodyOfLength(ring);
-            case CHUNKS -> readChunks(ring);
-            case UNTIL_CLOSE -> bodyTo = checkBodyEnd(ring.size());
+            case FIXED_LENGTH -> readFixedLengthBody(ring);
+            case CHUNKED -> readChunks(ring);
+            case CLOSE_DELIMITED -> bodyTo = checkBodyEnd(ring.size());
             default -> {}
         }
         return state == State.COMPLETE;
     }
 
-    /** True if the head is complete and states no end of the body: only the connection's end would be one. */
+    /** Whether the head is complete and gives no body length, so that the body ends when the connection is closed. */
     public boolean isCloseDelimited() {
-        return state == State.UNTIL_CLOSE;
+        return state == State.CLOSE_DELIMITED;
     }
 
-    /** Completes a message whose head is all that counts. */
+    /** Completes the message at the end of its head; the body is taken to be empty. */
     public void completeAtHead() {
         complete(head.headTo(), head.headTo());
     }
 
-    /** Completes a message at the orderly end of its connection: what has come is the body. A reset is no end. */
+    /**
+     * Completes a close-delimited message with the body received so far. To be called when the peer closes the
+     * connection in an orderly way, but not after a reset, which may have truncated the body.
+     */
     public void completeAtClose() {
         complete(bodyTo, bodyTo);
     }
 
-    /** Takes the message off the ring and starts anew. */
+    /** Removes the message from the buffer and prepares for the next one. */
     public void removeMessage(RingBuffer ring) {
-        ring.skip(end);
+        ring.skip(messageTo);
         state = State.HEAD;
         head.reset();
-        chunks = null;
-        end = 0;
+        chunkedDecoder = null;
+        messageTo = 0;
     }
 
     private void complete(int bodyEnd, int messageEnd) {
         bodyTo = bodyEnd;
-        end = messageEnd;
+        messageTo = messageEnd;
         interimResponses = 0;
         state = State.COMPLETE;
     }
 
-    /** Reads on within the head alone, for a response whose body goes on for as long as it likes; true once it is read. */
+    /** Reads the head only, for a response whose body has no length limit; true once the head is complete. */
     boolean readHead(RingBuffer ring) throws MalformedMessageException {
         while (state == State.HEAD && head.read(ring)) {
             if (kind == Kind.REQUEST || head.status() >= 200) {
                 startBody(ring);
             } else if (head.status() == 101 || ++interimResponses > MAX_INTERIM_RESPONSES) {
-                throw new MalformedMessageException(400, "a protocol switch, or too many interim responses");
+                throw new MalformedMessageException(
+                        400, "the response switches protocols or follows too many interim responses");
             } else {
-                end = head.headTo();
+                messageTo = head.headTo();
                 removeMessage(ring);
             }
         }
@@ -124,36 +129,36 @@
         if (kind == Kind.RESPONSE && (head.status() == 204 || head.status() == 304)) {
             complete(head.headTo(), head.headTo());
         } else if (framing.isChunked()) {
-            chunks = new ChunkedDecoder();
-            chunkedTo = head.headTo();
+            chunkedDecoder = new ChunkedDecoder();
+            chunksReadTo = head.headTo();
             bodyTo = head.headTo();
-            state = State.CHUNKS;
+            state = State.CHUNKED;
         } else if (framing.hasLength() || kind == Kind.REQUEST) {
-            state = State.LENGTH;
+            state = State.FIXED_LENGTH;
         } else {
             keepAlive = false;
             bodyTo = head.headTo();
-            state = State.UNTIL_CLOSE;
+            state = State.CLOSE_DELIMITED;
         }
     }
 
-    private void readBodyOfLength(RingBuffer ring) throws MalformedMessageException {
+    private void readFixedLengthBody(RingBuffer ring) throws MalformedMessageException {
         int to = checkBodyEnd((int) Math.min(Integer.MAX_VALUE, head.headTo() + framing.length()));
         if (ring.size() >= to) {
             complete(to, to);
         }
     }
 
-    /** Closes up the chunks' content in the ring, over their framing. */
+    /** Decodes the chunks in place: moves their data forward over the chunk framing. */
     private void readChunks(RingBuffer ring) throws MalformedMessageException {
-        while (chunkedTo < ring.size()) {
-            if (chunks.accept(ring.at(chunkedTo))) {
+        while (chunksReadTo < ring.size()) {
+            if (chunkedDecoder.accept(ring.at(chunksReadTo))) {
                 checkBodyEnd(bodyTo + 1);
-                ring.move(chunkedTo, bodyTo++);
+                ring.move(chunksReadTo, bodyTo++);
             }
-            chunkedTo++;
-            if (chunks.isEnded()) {
-                complete(bodyTo, chunkedTo);
+            chunksReadTo++;
+            if (chunkedDecoder.isEnded()) {
+                complete(bodyTo, chunksReadTo);
                 return;
             }
         }
@@ -167,17 +172,17 @@
         return bodyEnd;
     }
 
-    /** The body's length in bytes, or -1 where chunks or the end of the connection end it. */
-    long lengthOrNone() {
-        return state == State.LENGTH ? framing.length() : -1;
+    /** The length of the body in bytes, or -1 if the body is chunked or close-delimited. */
+    long contentLength() {
+        return state == State.FIXED_LENGTH ? framing.length() : -1;
     }
 
-    /** True while the body's chunks are read. */
+    /** Whether the reader is reading a chunked body. */
     boolean isChunked() {
-        return state == State.CHUNKS;
+        return state == State.CHUNKED;
     }
 
-    /** True once for a request whose head is read and whose sender waits for 100 Continue before it sends the body. */
+    /** Returns true once per request if its head is complete and its client waits for 100 Continue to send the body. */
     public boolean takeExpectContinue() {
         boolean expected = expectsContinue && state != State.HEAD && state != State.COMPLETE;
         expectsContinue = false;
@@ -189,7 +194,7 @@
         return head.isStarted();
     }
 
-    /** Whether the connection stays open after this message; known once the head is read. */
+    /** Whether the connection stays open after this message; valid once the head is complete. */
     public boolean keepAlive() {
         return keepAlive;
     }
@@ -199,33 +204,33 @@
         return head.status();
     }
 
-    /** Where the verb of a request ends; it begins at 0. */
-    int verbTo() {
-        return head.verbTo();
+    /** The position where the HTTP method of a request ends; it begins at 0. */
+    int httpMethodTo() {
+        return head.httpMethodTo();
     }
 
-    /** Where the target of a request ends; it begins one byte after the verb. */
+    /** The position where the target of a request ends; it begins one byte after the end of the HTTP method. */
     int targetTo() {
         return head.targetTo();
     }
 
-    /** Where the header fields stand. */
+    /** The positions of the header fields. */
     HeaderFields fields() {
         return head.fields();
     }
 
-    /** Where the head ends and the body begins. */
+    /** The position where the head ends and the body begins. */
     public int bodyFrom() {
         return head.headTo();
     }
 
-    /** Where the body ends, chunk framing closed up. */
+    /** The position where the body ends; the chunk framing is not part of the body. */
     public int bodyTo() {
         return bodyTo;
     }
 
-    /** How many bytes of the ring the message takes, framing and all. */
+    /** The position where the message ends, including its chunk framing. */
     public int messageTo() {
-        return end;
+        return messageTo;
     }
 }
--- a/src/main/java/hopdrum/frontdoor/wire/HttpWriter.java
+++ b/src/main/java/hopdrum/frontdoor/wire/HttpWriter.java
@@ -5,18 +5,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** Writes the responses that clients get. */
+/** Writes the responses to clients. */
 public final class HttpWriter {
-    private static final byte[] OK = ascii("HTTP/1.1 200 OK\r\n");
-    private static final byte[] LENGTH = ascii("Content-Length: ");
-    private static final byte[] CLOSE = ascii("Connection: close\r\n");
+    private static final byte[] STATUS_LINE_200 = ascii("HTTP/1.1 200 OK\r\n");
+    private static final byte[] CONTENT_LENGTH = ascii("Content-Length: ");
+    private static final byte[] CONNECTION_CLOSE = ascii("Connection: close\r\n");
     private static final byte[] CONTINUE = ascii("HTTP/1.1 100 Continue\r\n\r\n");
     private static final byte[] HEAD_END = ascii("\r\n\r\n");
     private static final byte[] RETRY_AFTER = ascii("Retry-After: ");
     private static final byte[] LINE_END = ascii("\r\n");
-    private static final int MAX_ADDED_BYTES = 128; // status line and fields beside those that are forwarded
+    private static final int MAX_ADDED_BYTES = 128; // for the status line and the fields that the front door adds
     private static final int MAX_EMPTY_RESPONSE_BYTES = 256;
-    // Hop-by-hop fields, those that this program writes itself, and those that a backend means for it alone.
+    // Hop-by-hop fields, fields that the front door writes itself, and fields that only the front door evaluates.
     private static final List<byte[]> NOT_FORWARDED = List.of(
             ascii("connection"),
             ascii("keep-alive"),
@@ -27,7 +27,7 @@
             ascii("content-length"),
             ascii("endpoint-load-metrics"),
             ascii("x-never-ran"));
-    private static final Map<Integer, String> REASONS = Map.of(
+    private static final Map<Integer, String> REASON_PHRASES = Map.of(
             200,
             "OK",
             400,
@@ -49,34 +49,35 @@
 
     private HttpWriter() {}
 
-    /** Whether a status is that of a final response to an RPC, as a front door gives it. */
+    /** Whether a front door gives this status in its final response to a valid request. */
     public static boolean isFinalStatus(int status) {
         return status == 200 || status == 429 || status == 503 || status == 500;
     }
 
     /**
-     * Writes the complete response of a backend, its body unchanged.
+     * Writes the complete response of a backend with an unchanged body.
      *
-     * @param from the ring with the response at its front
-     * @param response the reader that has read it
-     * @param close whether the connection ends with this response
-     * @return false, and nothing is written, without room
+     * @param from the buffer with the response at its front
+     * @param response the reader that has read the response
+     * @param close whether the connection is closed after this response
+     * @param out the buffer that the response is appended to
+     * @return false if the buffer has too little space; nothing is written then
      */
     public static boolean forwardResponse(RingBuffer from, HttpReader response, boolean close, RingBuffer out) {
         if (!out.reserve(response.bodyTo() + MAX_ADDED_BYTES)) {
             return false;
         }
         if (response.status() == 200) {
-            out.put(OK);
+            out.put(STATUS_LINE_200);
         } else {
-            statusLine(response.status(), out);
+            writeStatusLine(response.status(), out);
         }
         FieldForwarder.forward(from, response, NOT_FORWARDED, out);
         if (close) {
-            out.put(CLOSE);
+            out.put(CONNECTION_CLOSE);
         }
         int length = response.bodyTo() - response.bodyFrom();
-        out.put(LENGTH);
+        out.put(CONTENT_LENGTH);
         Ascii.putDecimal(out, length);
         out.put(HEAD_END);
         out.put(from, response.bodyFrom(), length);
@@ -86,36 +87,45 @@
     /**
      * Writes a response without a body.
      *
-     * @param retryAfterUs the time for Retry-After, in microseconds, rounded up to a millisecond; 0 for none
-     * @param close whether the connection ends with this response
-     * @return false, and nothing is written, without room
+     * @param status the status code
+     * @param retryAfterUs the time for Retry-After, in microseconds, rounded up to a whole millisecond; 0 to omit the
+     *     field
+     * @param close whether the connection is closed after this response
+     * @param out the buffer that the response is appended to
+     * @return false if the buffer has too little space; nothing is written then
      */
     public static boolean writeEmptyResponse(int status, long retryAfterUs, boolean close, RingBuffer out) {
         if (!out.reserve(MAX_EMPTY_RESPONSE_BYTES)) {
             return false;
         }
-        statusLine(status, out);
+        writeStatusLine(status, out);
         if (retryAfterUs > 0) {
             out.put(RETRY_AFTER);
-            long ms = (retryAfterUs + 999) / 1000;
-            Ascii.putDecimal(out, ms / 1000);
-            out.put(ascii("." + (char) ('0' + ms / 100 % 10) + (char) ('0' + ms / 10 % 10) + (char) ('0' + ms % 10)));
+            long retryAfterMs = (retryAfterUs + 999) / 1000;
+            Ascii.putDecimal(out, retryAfterMs / 1000);
+            out.put(ascii("." + (char) ('0' + retryAfterMs / 100 % 10) + (char) ('0' + retryAfterMs / 10 % 10)
+                    + (char) ('0' + retryAfterMs % 10)));
             out.put(LINE_END);
         }
         if (close) {
-            out.put(CLOSE);
+            out.put(CONNECTION_CLOSE);
         }
-        out.put(LENGTH);
+        out.put(CONTENT_LENGTH);
         Ascii.putDecimal(out, 0);
         out.put(HEAD_END);
         return true;
     }
 
-    private static void statusLine(int status, RingBuffer out) {
-        out.put(ascii("HTTP/1.1 " + status + " " + REASONS.getOrDefault(status, "Error") + "\r\n"));
+    private static void writeStatusLine(int status, RingBuffer out) {
+        out.put(ascii("HTTP/1.1 " + status + " " + REASON_PHRASES.getOrDefault(status, "Error") + "\r\n"));
     }
 
-    /** Writes the interim response upon which a client sends its body; false, and nothing is written, without room. */
+    /**
+     * Writes the interim response 100 Continue, after which a client sends the body of its request.
+     *
+     * @param out the buffer that the response is appended to
+     * @return false if the buffer has too little space; nothing is written then
+     */
     public static boolean writeContinueResponse(RingBuffer out) {
         if (!out.reserve(CONTINUE.length)) {
             return false;
--- a/src/main/java/hopdrum/frontdoor/wire/JsonReader.java
+++ b/src/main/java/hopdrum/frontdoor/wire/JsonReader.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads JSON text into maps, lists, strings, doubles, booleans and null. */
+/** Parses JSON text into maps, lists, strings, doubles, booleans and null. */
 public final class JsonReader {
     private static final int MAX_DEPTH = 64;
     private final String text;
@@ -16,88 +16,88 @@
     }
 
     /**
-     * The one value that a text holds.
+     * Parses a text that holds exactly one JSON value.
      *
-     * @throws MalformedJsonException if the text is no JSON, or is nested more than 64 deep
+     * @throws MalformedJsonException if the text is not valid JSON, or if values are nested more than 64 levels deep
      */
     public static Object parse(String text) {
-        JsonReader json = new JsonReader(text);
-        Object value = json.value(0);
-        json.skipBlanks();
-        if (json.position < text.length()) {
-            throw json.malformed("more after the end");
+        JsonReader reader = new JsonReader(text);
+        Object value = reader.readValue(0);
+        reader.skipWhitespace();
+        if (reader.position < text.length()) {
+            throw reader.malformed("unexpected text after the value");
         }
         return value;
     }
 
-    private Object value(int depth) {
+    private Object readValue(int depth) {
         if (depth > MAX_DEPTH) {
-            throw malformed("nested too deep");
+            throw malformed("values are nested more than " + MAX_DEPTH + " levels deep");
         }
-        skipBlanks();
+        skipWhitespace();
         return switch (peek()) {
-            case '{' -> object(depth);
-            case '[' -> array(depth);
-            case '"' -> string();
-            case 't' -> literal("true", true);
-            case 'f' -> literal("false", false);
-            case 'n' -> literal("null", null);
-            default -> number();
+            case '{' -> readObject(depth);
+            case '[' -> readArray(depth);
+            case '"' -> readString();
+            case 't' -> readLiteral("true", true);
+            case 'f' -> readLiteral("false", false);
+            case 'n' -> readLiteral("null", null);
+            default -> readNumber();
         };
     }
 
-    private Map<String, Object> object(int depth) {
+    private Map<String, Object> readObject(int depth) {
         Map<String, Object> object = new LinkedHashMap<>();
         position++;
-        if (takeIf('}')) {
+        if (skipIfNext('}')) {
             return object;
         }
         do {
-            skipBlanks();
-            String name = string();
-            if (!takeIf(':')) {
-                throw malformed("no colon");
+            skipWhitespace();
+            String name = readString();
+            if (!skipIfNext(':')) {
+                throw malformed("expected ':' after a name");
             }
-            object.put(name, value(depth + 1));
-        } while (takeIf(','));
-        if (!takeIf('}')) {
-            throw malformed("no end of an object");
+            object.put(name, readValue(depth + 1));
+        } while (skipIfNext(','));
+        if (!skipIfNext('}')) {
+            throw malformed("expected ',' or '}' in an object");
         }
         return object;
     }
 
-    private List<Object> array(int depth) {
+    private List<Object> readArray(int depth) {
         List<Object> list = new ArrayList<>();
         position++;
-        if (takeIf(']')) {
+        if (skipIfNext(']')) {
             return list;
         }
         do {
-            list.add(value(depth + 1));
-        } while (takeIf(','));
-        if (!takeIf(']')) {
-            throw malformed("no end of a list");
+            list.add(readValue(depth + 1));
+        } while (skipIfNext(','));
+        if (!skipIfNext(']')) {
+            throw malformed("expected ',' or ']' in an array");
         }
         return list;
     }
 
-    private String string() {
+    private String readString() {
         if (peek() != '"') {
-            throw malformed("no string");
+            throw malformed("expected a string");
         }
-        StringBuilder out = new StringBuilder();
+        StringBuilder string = new StringBuilder();
         for (position++; peek() != '"'; position++) {
             char c = peek();
             if (c < ' ') {
-                throw malformed("a control character in a string");
+                throw malformed("unescaped control character in a string");
             }
-            out.append(c == '\\' ? escaped() : c);
+            string.append(c == '\\' ? readEscape() : c);
         }
         position++;
-        return out.toString();
+        return string.toString();
     }
 
-    private char escaped() {
+    private char readEscape() {
         position++;
         char c = peek();
         if (c == 'u' && position + 4 < text.length()) {
@@ -105,21 +105,21 @@
             for (int i = 1; i <= 4; i++) {
                 int digit = Character.digit(text.charAt(position + i), 16);
                 if (digit < 0) {
-                    throw malformed("a malformed escape");
+                    throw malformed("malformed escape sequence");
                 }
                 code = code * 16 + digit;
             }
             position += 4;
             return (char) code;
         }
-        int known = "\"\\/bfnrt".indexOf(c);
-        if (known < 0) {
-            throw malformed("an unknown escape");
+        int index = "\"\\/bfnrt".indexOf(c);
+        if (index < 0) {
+            throw malformed("unknown escape sequence");
         }
-        return "\"\\/\b\f\n\r\t".charAt(known);
+        return "\"\\/\b\f\n\r\t".charAt(index);
     }
 
-    private Object number() {
+    private Object readNumber() {
         int from = position;
         while (position < text.length() && "+-.eE0123456789".indexOf(text.charAt(position)) >= 0) {
             position++;
@@ -128,20 +128,20 @@
             return Double.valueOf(text.substring(from, position));
         } catch (NumberFormatException e) {
             position = from;
-            throw malformed("no value");
+            throw malformed("expected a value");
         }
     }
 
-    private Object literal(String literal, Object value) {
+    private Object readLiteral(String literal, Object value) {
         if (!text.startsWith(literal, position)) {
-            throw malformed("no value");
+            throw malformed("expected a value");
         }
         position += literal.length();
         return value;
     }
 
-    private boolean takeIf(char c) {
-        skipBlanks();
+    private boolean skipIfNext(char c) {
+        skipWhitespace();
         if (position < text.length() && text.charAt(position) == c) {
             position++;
             return true;
@@ -149,7 +149,7 @@
         return false;
     }
 
-    private void skipBlanks() {
+    private void skipWhitespace() {
         while (position < text.length() && " \t\r\n".indexOf(text.charAt(position)) >= 0) {
             position++;
         }
@@ -162,7 +162,7 @@
         return text.charAt(position);
     }
 
-    private MalformedJsonException malformed(String what) {
-        return new MalformedJsonException(position, what);
+    private MalformedJsonException malformed(String message) {
+        return new MalformedJsonException(position, message);
     }
 }
--- a/src/main/java/hopdrum/frontdoor/wire/MalformedJsonException.java
+++ b/src/main/java/hopdrum/frontdoor/wire/MalformedJsonException.java
@@ -1,6 +1,6 @@
 package hopdrum.frontdoor.wire;
 
-/** Text that is no JSON; the message names the character at which that is found. */
+/** Thrown for text that is not valid JSON. The message gives the index of the character where parsing failed. */
 public final class MalformedJsonException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/hopdrum/frontdoor/wire/MalformedMessageException.java
+++ b/src/main/java/hopdrum/frontdoor/wire/MalformedMessageException.java
@@ -1,16 +1,16 @@
 package hopdrum.frontdoor.wire;
 
-/** Bytes that the protocol does not allow. */
+/** Thrown for a message that violates its protocol or the limits of the front door. */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
-    /** The HTTP status of the response that a client gets for them. */
+    /** The HTTP status of the response to a client that sent such a message. */
     public final int status;
 
     /**
-     * An exception without a stack trace: it answers input, and bad input must stay cheap.
+     * Creates an exception without a stack trace, because rejecting malformed input must stay cheap.
      *
-     * @param status the HTTP status of the response that a client gets
-     * @param message what is wrong, without any content of the message
+     * @param status the HTTP status of the response to a client that sent such a message
+     * @param message what is wrong; must not contain any content of the rejected message
      */
     public MalformedMessageException(int status, String message) {
         super(message, null, false, false);
--- a/src/main/java/hopdrum/frontdoor/wire/MessageFraming.java
+++ b/src/main/java/hopdrum/frontdoor/wire/MessageFraming.java
@@ -2,7 +2,7 @@
 
 import static hopdrum.frontdoor.wire.Ascii.ascii;
 
-/** What the header fields of a message say of its body's framing and of its connection. */
+/** The framing of a message's body and the persistence of its connection, as its header fields state them. */
 final class MessageFraming {
     private static final byte[] CONTENT_LENGTH = ascii("content-length");
     private static final byte[] TRANSFER_ENCODING = ascii("transfer-encoding");
@@ -19,7 +19,11 @@
     private boolean keepAlive;
     private boolean expectsContinue;
 
-    /** Reads the fields of one message; what an earlier message said is forgotten. */
+    /**
+     * Reads the header fields of one message, replacing the state of the previous message.
+     *
+     * @throws MalformedMessageException if the fields leave the length of the body unknown or ambiguous
+     */
     void read(RingBuffer ring, HttpHeadParser head) throws MalformedMessageException {
         HeaderFields fields = head.fields();
         hasLength = false;
@@ -29,11 +33,12 @@
         expectsContinue = false;
         for (int i = 0; i < fields.count(); i++) {
             if (fields.isNamed(ring, i, CONTENT_LENGTH)) {
-                contentLength(Ascii.parseDecimal(ring, fields.valueFrom(i), fields.valueTo(i)));
+                setContentLength(Ascii.parseDecimal(ring, fields.valueFrom(i), fields.valueTo(i)));
             } else if (fields.isNamed(ring, i, TRANSFER_ENCODING)) {
-                // A second coding, or one that is not known, leaves open where the body ends.
+                // With a second or unknown transfer coding, the end of the body is unknown.
                 if (chunked || !ring.matchesIgnoringCase(fields.valueFrom(i), fields.valueTo(i), CHUNKED)) {
-                    throw new MalformedMessageException(400, "a transfer encoding other than chunked");
+                    throw new MalformedMessageException(
+                            400, "the transfer encoding is not chunked, or is stated twice");
                 }
                 chunked = true;
             } else if (fields.isNamed(ring, i, CONNECTION)) {
@@ -43,13 +48,13 @@
             }
         }
         if (chunked && hasLength) {
-            throw new MalformedMessageException(400, "both a length and chunks");
+            throw new MalformedMessageException(400, "the message has both Content-Length and Transfer-Encoding");
         }
     }
 
-    private void contentLength(long value) throws MalformedMessageException {
+    private void setContentLength(long value) throws MalformedMessageException {
         if (value == Ascii.NOT_A_NUMBER || (hasLength && value != length)) {
-            throw new MalformedMessageException(400, "the content length is malformed");
+            throw new MalformedMessageException(400, "Content-Length is malformed or contradictory");
         }
         hasLength = true;
         length = value;
@@ -59,7 +64,7 @@
         return hasLength;
     }
 
-    /** The body's length in bytes; 0 if none is given. */
+    /** The length of the body in bytes; 0 if the message does not state a length. */
     long length() {
         return length;
     }
--- a/src/main/java/hopdrum/frontdoor/wire/RingBuffer.java
+++ b/src/main/java/hopdrum/frontdoor/wire/RingBuffer.java
@@ -4,82 +4,90 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The bytes of one connection in one direction. Starts small, doubles up to its limit, and goes back to small when
- * empty. Positions are counted from the front, so they stay as they are while bytes come in behind.
+ * A ring buffer for one direction of a connection. It starts small, grows by doubling up to its limit, and can shrink
+ * again when it is empty. Positions are counted from the front, so appending bytes does not change them.
  */
 public final class RingBuffer {
     private static final int INITIAL_CAPACITY = 1 << 10;
-    private final int limit;
-    private final MemoryListener account;
-    private byte[] bytes; // its length is a power of two, so that a mask wraps positions
+    private final int maxBytes;
+    private final MemoryListener memoryListener;
+    private byte[] bytes; // the length is a power of two, so that positions wrap with a bit mask
     private int front;
     private int size;
 
-    /** Notified of every change in the memory that rings hold, so that all of them together can be bounded. */
+    /** Is notified of every change in the memory that ring buffers hold, so that their total can be limited. */
     public interface MemoryListener {
-        /** A ring holds this many bytes more than before, or fewer if below 0. */
+        /**
+         * Called when a ring buffer has allocated or released memory.
+         *
+         * @param deltaBytes the change in bytes; negative if memory has been released
+         */
         void memoryChanged(int deltaBytes);
     }
 
     /**
-     * An empty ring.
+     * Creates an empty buffer.
      *
-     * @param limit the most bytes that it may hold
-     * @param account notified of this ring's memory, from now on
+     * @param maxBytes the most bytes that the buffer may hold
+     * @param memoryListener is notified of the memory of this buffer, starting with its initial memory
      */
-    public RingBuffer(int limit, MemoryListener account) {
-        this.limit = limit;
-        this.account = account;
+    public RingBuffer(int maxBytes, MemoryListener memoryListener) {
+        this.maxBytes = maxBytes;
+        this.memoryListener = memoryListener;
         this.bytes = new byte[INITIAL_CAPACITY];
-        account.memoryChanged(INITIAL_CAPACITY);
+        memoryListener.memoryChanged(INITIAL_CAPACITY);
     }
 
-    /** How many bytes are in the ring. */
+    /** The number of bytes in the buffer. */
     public int size() {
         return size;
     }
 
-    /** Whether there are no bytes in the ring. */
+    /** Whether the buffer holds no bytes. */
     public boolean isEmpty() {
         return size == 0;
     }
 
-    /** Whether the ring holds as much as it ever may. */
+    /** Whether the buffer holds as many bytes as its limit allows. */
     public boolean isFull() {
-        return size == limit;
+        return size == maxBytes;
     }
 
-    /** The byte at a position, which is below the size. */
+    /** Returns the byte at a position, which must be below the size. */
     public byte at(int position) {
-        return bytes[(front + position) & (bytes.length - 1)]; // as wrapped(): read for each byte of each message
+        return bytes[(front + position) & (bytes.length - 1)]; // arrayIndex() inlined, as this runs for every byte
     }
 
-    private int wrapped(int position) {
+    private int arrayIndex(int position) {
         return (front + position) & (bytes.length - 1);
     }
 
-    /** Makes room for more bytes; false, and nothing changes, if the ring would pass its limit. */
-    public boolean reserve(int more) {
-        if (size + more <= bytes.length) {
+    /**
+     * Makes space for appending more bytes.
+     *
+     * @return false if the buffer would exceed its limit; nothing changes then
+     */
+    public boolean reserve(int additionalBytes) {
+        if (size + additionalBytes <= bytes.length) {
             return true;
         }
-        if (size + more > limit) {
+        if (size + additionalBytes > maxBytes) {
             return false;
         }
-        resize(Integer.highestOneBit(size + more - 1) << 1);
+        resize(Integer.highestOneBit(size + additionalBytes - 1) << 1);
         return true;
     }
 
-    /** Gives memory back once the ring is empty; the owner calls it when the connection goes idle. */
+    /** Releases memory if the buffer is empty; its owner calls this method when the connection becomes idle. */
     public void shrink() {
         if (size == 0 && bytes.length > INITIAL_CAPACITY) {
             resize(INITIAL_CAPACITY);
         }
     }
 
-    /** Gives all memory back as the owner's connection closes; the ring is not used again. */
+    /** Releases all memory when the owner's connection closes; the buffer must not be used afterwards. */
     public void free() {
-        account.memoryChanged(-bytes.length);
+        memoryListener.memoryChanged(-bytes.length);
         bytes = new byte[1];
         size = 0;
         front = 0;
@@ -88,54 +96,54 @@
     private void resize(int capacity) {
         byte[] resized = new byte[capacity];
         copyOut(0, size, resized, 0);
-        account.memoryChanged(capacity - bytes.length);
+        memoryListener.memoryChanged(capacity - bytes.length);
         bytes = resized;
         front = 0;
     }
 
-    /** The free part that can be read into in one piece; {@link #advanceEnd} says how much of it was. */
+    /** The contiguous free space after the last byte. Bytes read into it are appended by {@link #advanceEnd}. */
     public ByteBuffer contiguousSpace() {
         if (size == 0) {
             front = 0;
         }
-        int end = wrapped(size);
+        int end = arrayIndex(size);
         int length = size == bytes.length ? 0 : end < front ? front - end : bytes.length - end;
         return ByteBuffer.wrap(bytes, end, length);
     }
 
-    /** Adds the first bytes that were read into {@link #contiguousSpace}. */
+    /** Appends the first {@code count} bytes of {@link #contiguousSpace}, which the caller has filled. */
     public void advanceEnd(int count) {
         size += count;
     }
 
-    /** The bytes from the front that lie in one piece; {@link #skip} takes them off. */
+    /** The contiguous bytes at the front. The caller removes those that it has processed with {@link #skip}. */
     public ByteBuffer contiguousContent() {
         return ByteBuffer.wrap(bytes, front, Math.min(size, bytes.length - front));
     }
 
-    /** Takes bytes off the front. */
+    /** Removes bytes from the front. */
     public void skip(int count) {
         size -= count;
-        front = size == 0 ? 0 : wrapped(count);
+        front = size == 0 ? 0 : arrayIndex(count);
     }
 
-    /** Appends bytes; the caller has reserved room. */
+    /** Appends an array of bytes; the caller has reserved the space. */
     public void put(byte[] from) {
         put(from, 0, from.length);
     }
 
-    /** Appends a part of an array; the caller has reserved room. */
+    /** Appends a part of an array; the caller has reserved the space. */
     public void put(byte[] from, int offset, int count) {
-        int end = wrapped(size);
+        int end = arrayIndex(size);
         int untilWrap = Math.min(count, bytes.length - end);
         System.arraycopy(from, offset, bytes, end, untilWrap);
         System.arraycopy(from, offset + untilWrap, bytes, 0, count - untilWrap);
         size += count;
     }
 
-    /** Appends a part of another ring; the caller has reserved room. */
+    /** Appends a part of another buffer; the caller has reserved the space. */
     public void put(RingBuffer from, int position, int count) {
-        int start = from.wrapped(position);
+        int start = from.arrayIndex(position);
         int untilWrap = Math.min(count, from.bytes.length - start);
         put(from.bytes, start, untilWrap);
         if (count > untilWrap) {
@@ -144,25 +152,25 @@
     }
 
     private void copyOut(int position, int count, byte[] to, int offset) {
-        int start = wrapped(position);
+        int start = arrayIndex(position);
         int untilWrap = Math.min(count, bytes.length - start);
         System.arraycopy(bytes, start, to, offset, untilWrap);
         System.arraycopy(bytes, 0, to, offset + untilWrap, count - untilWrap);
     }
 
-    /** Copies one byte to a position nearer to the front: the framing of chunks is closed up this way. */
+    /** Copies one byte to a position nearer to the front, over the framing between two chunks of a body. */
     void move(int from, int to) {
-        bytes[wrapped(to)] = at(from);
+        bytes[arrayIndex(to)] = at(from);
     }
 
-    /** The text of a range, one character a byte. */
+    /** Returns a range as text with one ISO 8859-1 character per byte. */
     public String text(int from, int to) {
         byte[] copy = new byte[to - from];
         copyOut(from, copy.length, copy, 0);
         return new String(copy, StandardCharsets.ISO_8859_1);
     }
 
-    /** Whether a range holds exactly the given bytes. */
+    /** Whether a range holds exactly the expected bytes. */
     public boolean matches(int from, int to, byte[] expected) {
         if (to - from != expected.length) {
             return false;
@@ -175,14 +183,14 @@
         return true;
     }
 
-    /** As {@link #matches}, but ASCII letters of either case are the same. */
-    public boolean matchesIgnoringCase(int from, int to, byte[] expectedInLowerCase) {
-        if (to - from != expectedInLowerCase.length) {
+    /** Like {@link #matches}, but ignores the case of ASCII letters. */
+    public boolean matchesIgnoringCase(int from, int to, byte[] lowerCaseExpected) {
+        if (to - from != lowerCaseExpected.length) {
             return false;
         }
-        for (int i = 0; i < expectedInLowerCase.length; i++) {
+        for (int i = 0; i < lowerCaseExpected.length; i++) {
             byte b = at(from + i);
-            if ((b >= 'A' && b <= 'Z' ? b + 32 : b) != expectedInLowerCase[i]) {
+            if ((b >= 'A' && b <= 'Z' ? b + 32 : b) != lowerCaseExpected[i]) {
                 return false;
             }
         }
--- a/src/test/java/hopdrum/frontdoor/wire/HttpReaderTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/HttpReaderTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** HTTP messages: fed byte by byte and cut anywhere, without a socket. */
+/** Tests the parsing of HTTP messages: pipelining, chunked bodies, incomplete, malformed and oversized messages. */
 class HttpReaderTest {
     private final RingBuffer ring = WireFixture.ring();
 
@@ -16,7 +16,7 @@
         HttpReader reader = WireFixture.readMessage(
                 ring,
                 HttpReader.Kind.REQUEST,
-                WireFixture.RPC + "\r\nGET /api HTTP/1.1\r\nConnection: x, close\r\n\r\n");
+                WireFixture.REQUEST + "\r\nGET /api HTTP/1.1\r\nConnection: x, close\r\n\r\n");
         assertThat(reader.keepAlive()).isTrue();
         reader.removeMessage(ring);
         assertThat(reader.read(ring)).isTrue();
@@ -27,13 +27,13 @@
     }
 
     @Test
-    void chunkedResponseFedByteByByteIsJoined() throws MalformedMessageException {
+    void chunkedResponseArrivingByteByByteIsDecoded() throws MalformedMessageException {
         HttpReader reader = new HttpReader(HttpReader.Kind.RESPONSE);
-        String answer = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        String response = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 + "3;x=y\r\nabc\r\n0A\r\n0123456789\r\n0\r\nTrailer: t\r\n\r\n";
-        for (int i = 0; i < answer.length(); i++) {
-            WireFixture.put(ring, answer.substring(i, i + 1));
-            assertThat(reader.read(ring)).isEqualTo(i == answer.length() - 1);
+        for (int i = 0; i < response.length(); i++) {
+            WireFixture.put(ring, response.substring(i, i + 1));
+            assertThat(reader.read(ring)).isEqualTo(i == response.length() - 1);
         }
         assertThat(ring.text(reader.bodyFrom(), reader.bodyTo())).isEqualTo("abc0123456789");
         reader.removeMessage(ring);
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void responseWithoutLengthIsNeverComplete() throws MalformedMessageException {
+    void closeDelimitedResponseIsIncompleteUntilEndedByTheCaller() throws MalformedMessageException {
         HttpReader reader = new HttpReader(HttpReader.Kind.RESPONSE);
         WireFixture.put(ring, "HTTP/1.1 200 OK\r\n\r\nall of it, or not");
         assertThat(reader.read(ring)).isFalse();
@@ -92,7 +92,7 @@
                 "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
                 "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab"
             })
-    void malformedRequestIsABadRequest(String text) {
+    void malformedRequestIsRejectedWithStatus400(String text) {
         WireFixture.put(ring, text);
         assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(ring))
                 .isInstanceOf(MalformedMessageException.class)
@@ -100,13 +100,13 @@
     }
 
     @Test
-    void tooLongHeadOrBodyHasItsOwnStatus() {
+    void oversizedHeadOrBodyIsRejectedWithItsOwnStatus() {
         WireFixture.put(ring, "GET /api HTTP/1.1\r\nLong: " + "x".repeat(HttpReader.MAX_HEAD_BYTES));
         assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(ring))
                 .hasFieldOrPropertyWithValue("status", 431);
-        RingBuffer other = WireFixture.ring();
-        WireFixture.put(other, "POST /api HTTP/1.1\r\nContent-Length: 65537\r\n\r\n");
-        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(other))
+        RingBuffer bodyRing = WireFixture.ring();
+        WireFixture.put(bodyRing, "POST /api HTTP/1.1\r\nContent-Length: 65537\r\n\r\n");
+        assertThatThrownBy(() -> new HttpReader(HttpReader.Kind.REQUEST).read(bodyRing))
                 .hasFieldOrPropertyWithValue("status", 413);
     }
 }
--- a/src/test/java/hopdrum/frontdoor/wire/JsonReaderTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/JsonReaderTest.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** JSON text. */
+/** Tests the parsing of JSON text. */
 class JsonReaderTest {
     @Test
-    void jsonIsReadOrTheFaultyCharacterNamed() {
+    void validTextIsParsedAndMalformedTextIsRejectedWithThePosition() {
         assertThat(JsonReader.parse(" {\"a\":[1,-2.5e1,true,null,\"x\\u0041\\n\"],\"b\":{}} "))
                 .isEqualTo(Map.of("a", java.util.Arrays.asList(1.0, -25.0, true, null, "xA\n"), "b", Map.of()));
-        for (String bad :
+        for (String malformed :
                 new String[] {"", "{", "[1,]", "{\"a\" 1}", "\"\\x\"", "tru", "1 2", "[".repeat(100), "\"\u0001\""}) {
-            assertThatThrownBy(() -> JsonReader.parse(bad))
+            assertThatThrownBy(() -> JsonReader.parse(malformed))
                     .isInstanceOf(IllegalArgumentException.class)
                     .hasMessageContaining("character");
         }
--- a/src/test/java/hopdrum/frontdoor/wire/RequestHeadTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/RequestHeadTest.java
@@ -8,21 +8,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The head of an RPC, read from clients and written for backends. */
+/** Tests the reading of request heads from clients and their forwarding to backends. */
 class RequestHeadTest {
     private final RingBuffer ring = WireFixture.ring();
 
     @Test
-    void rpcCutAnywhereReadsTheSame() throws MalformedMessageException {
-        for (int cut = 0; cut < WireFixture.RPC.length(); cut++) {
-            RingBuffer cutRing = WireFixture.ring();
+    void requestSplitAtAnyByteReadsTheSame() throws MalformedMessageException {
+        for (int splitAt = 0; splitAt < WireFixture.REQUEST.length(); splitAt++) {
+            RingBuffer splitRing = WireFixture.ring();
             HttpReader reader = new HttpReader(HttpReader.Kind.REQUEST);
-            WireFixture.put(cutRing, WireFixture.RPC.substring(0, cut));
-            assertThat(reader.read(cutRing)).isFalse();
-            WireFixture.put(cutRing, WireFixture.RPC.substring(cut));
-            assertThat(reader.read(cutRing)).isTrue();
+            WireFixture.put(splitRing, WireFixture.REQUEST.substring(0, splitAt));
+            assertThat(reader.read(splitRing)).isFalse();
+            WireFixture.put(splitRing, WireFixture.REQUEST.substring(splitAt));
+            assertThat(reader.read(splitRing)).isTrue();
             RequestHead head = WireFixture.requestHead();
-            head.read(cutRing, reader);
+            head.read(splitRing, reader);
             assertThat(List.of(
                             head.method,
                             head.plan,
@@ -32,7 +32,7 @@
                             head.firstGateway,
                             head.timeLeftMs))
                     .isEqualTo(List.of(0, 1, 0xb4d65521L, 2.0, 3, 1, 480L));
-            assertThat(cutRing.text(reader.bodyFrom(), reader.bodyTo())).isEqualTo("hello");
+            assertThat(splitRing.text(reader.bodyFrom(), reader.bodyTo())).isEqualTo("hello");
         }
     }
 
@@ -68,17 +68,18 @@
         "checkout, browse, 405",
         "POST_checkout, GET_browse, 400"
     })
-    void headThatNamesNoRpcIsRejected(String what, String by, int status) throws MalformedMessageException {
-        // A space, a line break and a comma can't stand in the table.
-        String text = WireFixture.RPC;
-        if (what.contains("_")) {
-            String[] parts = what.split("_", -1);
-            String[] replacements = by.split("_", -1);
+    void invalidHeadIsRejected(String original, String replacement, int status) throws MalformedMessageException {
+        // The table cannot hold commas and line breaks. In a replacement, a vertical bar stands for a line break and an
+        // underscore for a comma. If the original has an underscore, the underscores separate two replacements instead.
+        String text = WireFixture.REQUEST;
+        if (original.contains("_")) {
+            String[] originals = original.split("_", -1);
+            String[] replacements = replacement.split("_", -1);
             for (int i = 0; i < 2; i++) {
-                text = text.replace(parts[i], replacements[i]);
+                text = text.replace(originals[i], replacements[i]);
             }
         } else {
-            text = text.replace(what, by.replace("|", "\r\n").replace('_', ','));
+            text = text.replace(original, replacement.replace("|", "\r\n").replace('_', ','));
         }
         HttpReader reader = WireFixture.readMessage(ring, HttpReader.Kind.REQUEST, text);
         assertThatThrownBy(() -> WireFixture.requestHead().read(ring, reader))
@@ -87,9 +88,9 @@
     }
 
     @Test
-    void rpcIsForwardedWithoutHopByHopFields() throws MalformedMessageException {
+    void requestIsForwardedWithoutHopByHopFields() throws MalformedMessageException {
         HttpReader reader = WireFixture.readMessage(
-                ring, HttpReader.Kind.REQUEST, WireFixture.RPC.replace("Host:", "Connection: keep-alive\r\nHost:"));
+                ring, HttpReader.Kind.REQUEST, WireFixture.REQUEST.replace("Host:", "Connection: keep-alive\r\nHost:"));
         RingBuffer out = WireFixture.ring();
         assertThat(RequestForwarder.forward(ring, reader, 321, false, out)).isTrue();
         assertThat(WireFixture.allText(out))
--- a/src/test/java/hopdrum/frontdoor/wire/ResponseTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/ResponseTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Responses of backends, and what clients get. */
+/** Tests the interpretation of backend responses and the responses that clients receive. */
 class ResponseTest {
     private final RingBuffer ring = WireFixture.ring();
 
@@ -23,11 +23,11 @@
                 "unheard=1",
                 "\u00ff"
             })
-    void unreadableLoadMetricsAreNoReport(String figures) throws MalformedMessageException {
+    void loadReportWithUnusableMetricsIsIgnored(String metrics) throws MalformedMessageException {
         HttpReader reader = WireFixture.readMessage(
                 ring,
                 HttpReader.Kind.RESPONSE,
-                "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT " + figures + "\r\nContent-Length: 0\r\n\r\n");
+                "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT " + metrics + "\r\nContent-Length: 0\r\n\r\n");
         assertThat(BackendResponse.outcome(ring, reader)).isEqualTo(Outcome.OK);
         assertThat(BackendResponse.loadReport(ring, reader, List.of("depth", "load_share")))
                 .isEmpty();
@@ -43,7 +43,8 @@
         "404 None, X-Never-Ran: 1, INVALID_REQUEST",
         "400 Unfit, X-A: 1, INVALID_REQUEST"
     })
-    void backendStatusMapsToItsOutcome(String status, String field, Outcome outcome) throws MalformedMessageException {
+    void backendStatusDeterminesTheOutcome(String status, String field, Outcome outcome)
+            throws MalformedMessageException {
         HttpReader reader = WireFixture.readMessage(
                 ring,
                 HttpReader.Kind.RESPONSE,
@@ -56,7 +57,7 @@
     }
 
     @Test
-    void forwardedResponseKeepsItsBodyAndARejectionHasRetryAfter() throws MalformedMessageException {
+    void forwardedResponseKeepsBodyAndRejectionHasRetryAfter() throws MalformedMessageException {
         HttpReader reader = WireFixture.readMessage(
                 ring,
                 HttpReader.Kind.RESPONSE,
--- a/src/test/java/hopdrum/frontdoor/wire/RingBufferTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/RingBufferTest.java
@@ -4,32 +4,32 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The ring of bytes. */
+/** Tests the ring buffer's content and its memory accounting. */
 class RingBufferTest {
     @Test
-    void ringWrapsGrowsAndShrinksWithoutLosingAByte() {
-        long[] held = {0};
-        RingBuffer small = new RingBuffer(4096, by -> held[0] += by);
-        StringBuilder in = new StringBuilder();
-        StringBuilder out = new StringBuilder();
+    void bufferWrapsGrowsAndShrinksWithoutLosingAByte() {
+        long[] heldBytes = {0};
+        RingBuffer ring = new RingBuffer(4096, deltaBytes -> heldBytes[0] += deltaBytes);
+        StringBuilder written = new StringBuilder();
+        StringBuilder read = new StringBuilder();
         for (int i = 0; i < 200; i++) {
             String piece = Integer.toString(i * 7919).repeat(i % 20);
-            WireFixture.put(small, piece);
-            in.append(piece);
-            int taken = Math.min(small.size(), i % 90);
-            out.append(small.text(0, taken));
-            small.skip(taken);
-            if (small.size() > 3800) {
-                out.append(WireFixture.allText(small));
-                small.skip(small.size());
-                small.shrink();
-                assertThat(held[0]).isEqualTo(1024);
+            WireFixture.put(ring, piece);
+            written.append(piece);
+            int count = Math.min(ring.size(), i % 90);
+            read.append(ring.text(0, count));
+            ring.skip(count);
+            if (ring.size() > 3800) {
+                read.append(WireFixture.allText(ring));
+                ring.skip(ring.size());
+                ring.shrink();
+                assertThat(heldBytes[0]).isEqualTo(1024);
             }
         }
-        out.append(WireFixture.allText(small));
-        assertThat(out.toString()).isEqualTo(in.toString());
-        assertThat(small.reserve(4097 - small.size())).isFalse();
-        small.free();
-        assertThat(held[0]).isZero();
+        read.append(WireFixture.allText(ring));
+        assertThat(read.toString()).isEqualTo(written.toString());
+        assertThat(ring.reserve(4097 - ring.size())).isFalse();
+        ring.free();
+        assertThat(heldBytes[0]).isZero();
     }
 }
--- a/src/test/java/hopdrum/frontdoor/wire/WireFixture.java
+++ b/src/test/java/hopdrum/frontdoor/wire/WireFixture.java
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Rings and messages for the tests of parsers and writers. */
+/** Buffers and messages for the tests of parsers and writers. */
 final class WireFixture {
-    static final String RPC =
+    static final String REQUEST =
             "POST /api?area=7 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: 9b1f\r\nX-Qos: checkout\r\n"
                     + "Plan: team\r\nCookie: a=b; key=00000000b4d65521\r\nX-Expires-In-Ms: 480\r\nIdempotency-Key: 5c0f\r\n"
                     + "Content-Length: 5\r\nQuota-Info: units=2,spread=3,first=1\r\n\r\nhello";
@@ -17,7 +17,7 @@
     private WireFixture() {}
 
     static RingBuffer ring() {
-        return new RingBuffer(128 << 10, byBytes -> {});
+        return new RingBuffer(128 << 10, deltaBytes -> {});
     }
 
     static void put(RingBuffer ring, String text) {
@@ -30,7 +30,7 @@
         return ring.text(0, ring.size());
     }
 
-    /** Puts a complete message at the front of an empty ring and reads it. */
+    /** Puts a complete message into an empty buffer and reads it. */
     static HttpReader readMessage(RingBuffer ring, HttpReader.Kind kind, String text) throws MalformedMessageException {
         HttpReader reader = new HttpReader(kind);
         put(ring, text);
@@ -38,7 +38,7 @@
         return reader;
     }
 
-    /** A head for three methods, of each retry safety, and two plans. */
+    /** Returns a head for three methods, one for each retry safety, and two plans. */
     static RequestHead requestHead() {
         List<Method> methods = new ArrayList<>();
         for (Method.RetrySafety safety : List.of(
