--- a/src/main/java/hopdrum/frontdoor/RequestHandler.java
+++ b/src/main/java/hopdrum/frontdoor/RequestHandler.java
@@ -68,7 +68,7 @@
                 head.plan,
                 head.units,
                 hasPartners ? 0 : head.firstGateway,
-                hasPartners ? gateways : head.gateways,
+                hasPartners ? gateways : head.gatewayCount,
                 remainingUs));
         requests.removeIfDone(request);
     }
--- a/src/main/java/hopdrum/frontdoor/server/Warmup.java
+++ b/src/main/java/hopdrum/frontdoor/server/Warmup.java
@@ -99,7 +99,7 @@
                 head.plan,
                 head.units,
                 head.firstGateway,
-                head.gateways,
+                head.gatewayCount,
                 head.timeLeftMs * 1000);
         openRpcs.put(id, rpc);
         for (int i = 0; i < STEPS_PER_RPC; i++) {
--- a/src/main/java/hopdrum/frontdoor/wire/RequestHead.java
+++ b/src/main/java/hopdrum/frontdoor/wire/RequestHead.java
@@ -46,7 +46,7 @@
     /** What the request uses of the customer's quota, in units; above 0. */
     public double units;
     /** The number of gateways that may receive the customer's requests; at least 1. */
-    public int gateways;
+    public int gatewayCount;
     /** The index of the first of these gateways. */
     public int firstGateway;
     /** How long the client waits for the response, in milliseconds; 0 or more. */
@@ -58,13 +58,13 @@
      * @param methodNames the names of methods that X-Qos may hold, in the order of the settings
      * @param planNames the names of plans that Plan may hold, in the order of the settings
      * @param methods the methods, in the same order as their names
-     * @param gateways the number of all gateways
+     * @param maxGateways the number of all gateways, which bounds the spread of a customer
      * @param maxUnits the most units that a request may use; 0 for the default of 1e6
      */
     public RequestHead(
-            List<String> methodNames, List<String> planNames, List<Method> methods, int gateways, double maxUnits) {
+            List<String> methodNames, List<String> planNames, List<Method> methods, int maxGateways, double maxUnits) {
         this.methods = methods;
-        this.maxGateways = gateways;
+        this.maxGateways = maxGateways;
         this.maxUnits = maxUnits > 0 ? maxUnits : DEFAULT_MAX_UNITS;
         this.methodNames = methodNames.stream().map(Ascii::ascii).toArray(byte[][]::new);
         this.planNames = planNames.stream().map(Ascii::ascii).toArray(byte[][]::new);
@@ -212,7 +212,7 @@
     private void readQuotaInfo(RingBuffer ring, HeaderFields fields) throws MalformedMessageException {
         int field = requireSingleField(ring, fields, QUOTA_INFO, "Quota-Info");
         units = -1;
-        gateways = -1;
+        gatewayCount = -1;
         firstGateway = -1;
         for (String element :
                 ring.text(fields.valueFrom(field), fields.valueTo(field)).split(",", -1)) {
@@ -221,8 +221,8 @@
             String value = element.substring(equals + 1).strip();
             if (name.equals("units") && units < 0) {
                 units = parseDecimal(value);
-            } else if (name.equals("spread") && gateways < 0) {
-                gateways = (int) parseWholeNumber(value);
+            } else if (name.equals("spread") && gatewayCount < 0) {
+                gatewayCount = (int) parseWholeNumber(value);
             } else if (name.equals("first") && firstGateway < 0) {
                 firstGateway = (int) parseWholeNumber(value);
             } else if (QUOTA_ELEMENT_NAMES.contains(name)) {
@@ -230,8 +230,8 @@
             }
         }
         if (!(units > 0 && units <= maxUnits)
-                || gateways < 1
-                || gateways > maxGateways
+                || gatewayCount < 1
+                || gatewayCount > maxGateways
                 || firstGateway < 0
                 || firstGateway >= maxGateways) {
             throw new MalformedMessageException(400, "Quota-Info is malformed or out of range");
--- a/src/test/java/hopdrum/frontdoor/wire/RequestHeadTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/RequestHeadTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tests the reading of request heads from clients and their forwarding to backends. */
+/**
+ * Tests the reading of request heads and their forwarding to backends. Guards against requests that are read
+ * differently when they arrive in pieces, and against invalid or ambiguous fields that are accepted.
+ */
 class RequestHeadTest {
     private final RingBuffer ring = WireFixture.ring();
 
@@ -28,7 +31,7 @@
                             head.plan,
                             head.customer,
                             head.units,
-                            head.gateways,
+                            head.gatewayCount,
                             head.firstGateway,
                             head.timeLeftMs))
                     .isEqualTo(List.of(0, 1, 0xb4d65521L, 2.0, 3, 1, 480L));
