--- a/src/test/java/hopdrum/frontdoor/wire/CounterProtocolTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/CounterProtocolTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests the format of requests to the counter and the reading of its responses. */
+/** Tests requests to the counter, whose amounts must not have an exponent, and the reading of the counter's totals. */
 class CounterProtocolTest {
     private final RingBuffer ring = WireFixture.ring();
 
--- a/src/test/java/hopdrum/frontdoor/wire/HttpReaderTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/HttpReaderTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Tests the parsing of HTTP messages: pipelining, chunked bodies, incomplete, malformed and oversized messages. */
+/**
+ * Tests the parsing of HTTP messages. Guards against a wrong end of a message when messages are pipelined, chunked or
+ * arrive byte by byte, and against malformed or oversized input that is not rejected.
+ */
 class HttpReaderTest {
     private final RingBuffer ring = WireFixture.ring();
 
--- a/src/test/java/hopdrum/frontdoor/wire/JsonReaderTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/JsonReaderTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Tests the parsing of JSON text. */
+/** Tests the parsing of JSON text. Guards against malformed text that is accepted. */
 class JsonReaderTest {
     @Test
     void validTextIsParsedAndMalformedTextIsRejectedWithThePosition() {
--- a/src/test/java/hopdrum/frontdoor/wire/ResponseTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/ResponseTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Tests the interpretation of backend responses and the responses that clients receive. */
+/**
+ * Tests the interpretation of backend responses and the responses that clients receive. Guards against unusable load
+ * metrics that are taken as a report, and against a wrong outcome of an attempt.
+ */
 class ResponseTest {
     private final RingBuffer ring = WireFixture.ring();
 
--- a/src/test/java/hopdrum/frontdoor/wire/RingBufferTest.java
+++ b/src/test/java/hopdrum/frontdoor/wire/RingBufferTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests the ring buffer's content and its memory accounting. */
+/** Guards against bytes that are lost when a ring buffer wraps, grows or shrinks, and against wrong memory totals. */
 class RingBufferTest {
     @Test
     void bufferWrapsGrowsAndShrinksWithoutLosingAByte() {
