--- a/src/main/java/hopdrum/frontdoor/lifecycle/Config.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Config.java
@@ -13,26 +13,26 @@
 import java.util.Map;
 
 /**
- * What a front door is configured with at its start.
+ * The configuration of a front door.
  *
- * @param name the front door's name
- * @param listen where clients connect
- * @param discovery where the endpoint list is watched
- * @param counter the shared counter's address; null without one
- * @param peerListen where gossip comes in; null without peers
- * @param peers the gossip addresses of all front doors, in the order of their ordinals
- * @param seed the seed of the policy's random numbers
- * @param memoryMb the memory that the process may take, in MiB
- * @param maxDescriptors how many descriptors the process may open
- * @param cachedEndpointList the endpoint list as it was last known, in the form of discovery's; null without one
- * @param settings what the policy decides by
- * @param methods the methods' names, in the order of the settings
- * @param plans the plans' names, in the order of the settings
- * @param zones the zones' names, in the order of the settings
+ * @param name the name of the front door
+ * @param listen the address on which clients are accepted
+ * @param discovery the address of discovery, where the endpoint list is watched
+ * @param counter the address of the shared counter; null without a counter
+ * @param peerListen the address on which gossip is received; null without peers
+ * @param peers the gossip addresses of all front doors, in the order of their ordinals; empty without peers
+ * @param seed the seed of the policy's random number generator
+ * @param memoryMb the memory that the process may use, in MiB
+ * @param maxDescriptors the number of file descriptors that the process may have open
+ * @param cachedEndpointList the last known endpoint list, in the format that discovery uses; null without one
+ * @param settings the settings of the policy
+ * @param methods the names of the methods, in the order of the settings
+ * @param plans the names of the plans, in the order of the settings
+ * @param zones the names of the zones, in the order of the settings
  * @param kinds the names of the kinds of backends, in the order of the settings
- * @param connectTimeoutUs how long a connection to a backend may take to come up, in microseconds
- * @param idleTimeoutUs after how long backends close idle connections, in microseconds; 0 for never
- * @param maxUnits the most units that an RPC may draw; 0 if the settings name no bound
+ * @param connectTimeoutUs how long connecting to a backend may take, in microseconds
+ * @param idleTimeoutUs the time after which backends close idle connections, in microseconds; 0 for never
+ * @param maxUnits the most units that one request may draw; 0 if the settings give no limit
  */
 public record Config(
         String name,
@@ -61,8 +61,9 @@
     /**
      * Reads the configuration file.
      *
-     * @throws IllegalArgumentException with one plain sentence if the file cannot be used; an {@link
-     *     InvalidConfigException} unless it is no JSON or the settings are at fault
+     * @param file a JSON file
+     * @throws IllegalArgumentException if the file cannot be used; the message is one line. An {@link
+     *     InvalidConfigException} unless the text is not valid JSON or the settings are invalid.
      */
     public static Config read(Path file) {
         String text;
@@ -75,13 +76,14 @@
     }
 
     /**
-     * Reads a configuration from its text.
+     * Parses a configuration.
      *
+     * @param text the content of a configuration file
      * @throws IllegalArgumentException as {@link #read}
      */
     public static Config parse(String text) {
         if (!(JsonReader.parse(text) instanceof Map<?, ?> root)) {
-            throw new InvalidConfigException("the configuration is no object");
+            throw new InvalidConfigException("the configuration is not a JSON object");
         }
         Map<String, String> flat = new LinkedHashMap<>();
         flatten("", root.get("settings"), flat);
@@ -100,13 +102,13 @@
                 optionalAddress(root, "counter"),
                 optionalAddress(root, "peer_listen"),
                 peers,
-                seed(root.get("seed")),
+                parseSeed(root.get("seed")),
                 intOrDefault(limits.get("memory_mb"), DEFAULT_MEMORY_MB),
                 intOrDefault(limits.get("sockets"), DEFAULT_SOCKETS),
                 root.get("known") instanceof Map<?, ?> list ? list : null,
                 settings,
-                names(flat, "Lanes."),
-                names(flat, "Packages."),
+                entryNames(flat, "Lanes."),
+                entryNames(flat, "Packages."),
                 commaSeparated(flat, "Azs"),
                 commaSeparated(flat, "Flavors"),
                 Math.max(MIN_CONNECT_TIMEOUT_US, longOrZero(flat, "Bounds.DialTimeoutUs")),
@@ -114,11 +116,15 @@
                 Double.parseDouble(flat.getOrDefault("FamilyInfo.Largest", "0")));
     }
 
-    /** Nested JSON to the paths of the bench's protocol: a list of objects has its length under .count. */
+    /**
+     * Flattens nested JSON into the dotted keys of the bench's protocol, which {@link SettingsReader} reads. The length
+     * of a list of objects is stored under the list's key with {@code .count} appended; a list of plain values becomes
+     * one comma-separated value.
+     */
     private static void flatten(String path, Object value, Map<String, String> flat) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((k, v) -> flatten(path.isEmpty() ? k.toString() : path + "." + k, v, flat));
-        } else if (value instanceof List<?> list && list.stream().anyMatch(v -> v instanceof Map)) {
+            map.forEach((key, nested) -> flatten(path.isEmpty() ? key.toString() : path + "." + key, nested, flat));
+        } else if (value instanceof List<?> list && list.stream().anyMatch(entry -> entry instanceof Map)) {
             flat.put(path + ".count", Integer.toString(list.size()));
             for (int i = 0; i < list.size(); i++) {
                 flatten(path + "." + i, list.get(i), flat);
@@ -130,8 +136,8 @@
         }
     }
 
-    /** The names of a list's entries. */
-    private static List<String> names(Map<String, String> flat, String listPrefix) {
+    /** The value of {@code Name} in each entry of a flattened list, in the order of the list. */
+    private static List<String> entryNames(Map<String, String> flat, String listPrefix) {
         List<String> names = new ArrayList<>();
         for (int i = 0; flat.containsKey(listPrefix + i + ".Name"); i++) {
             names.add(flat.get(listPrefix + i + ".Name"));
@@ -148,17 +154,17 @@
         return (long) Double.parseDouble(flat.getOrDefault(key, "0"));
     }
 
-    private static int intOrDefault(Object value, int absent) {
-        return value instanceof Double number ? (int) Math.min(Integer.MAX_VALUE, number) : absent;
+    private static int intOrDefault(Object value, int defaultValue) {
+        return value instanceof Double number ? (int) Math.min(Integer.MAX_VALUE, number) : defaultValue;
     }
 
-    private static long seed(Object value) {
+    private static long parseSeed(Object value) {
         try {
             return value instanceof Double number
                     ? number.longValue()
                     : Long.parseUnsignedLong(String.valueOf(value), 16);
         } catch (NumberFormatException e) {
-            throw new InvalidConfigException("the configuration's seed is no hexadecimal number", e);
+            throw new InvalidConfigException("the configuration's seed is not a hexadecimal number", e);
         }
     }
 
@@ -174,10 +180,11 @@
     }
 
     /**
-     * A numeric address and a port, as in 127.0.0.1:80 or [::1]:80; there is no DNS.
+     * Parses a numeric address and a port, as in 127.0.0.1:80 or [::1]:80. Host names are not resolved.
      *
-     * @param key what the address is of, for the message
-     * @throws InvalidConfigException if the value is no such text
+     * @param key the key that the value belongs to, for the error message
+     * @param value the text to parse
+     * @throws InvalidConfigException if the value is not a numeric address with a port
      */
     public static InetSocketAddress parseAddress(String key, Object value) {
         String text = String.valueOf(value);
@@ -185,7 +192,7 @@
         try {
             String host = text.substring(0, Math.max(0, colon));
             if (host.isEmpty() || !host.matches("[0-9.]+|\\[[0-9a-fA-F:.]+\\]")) {
-                throw new IllegalArgumentException("no numeric address");
+                throw new IllegalArgumentException("not a numeric address");
             }
             return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
         } catch (IllegalArgumentException e) {
--- a/src/main/java/hopdrum/frontdoor/lifecycle/EventLoop.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/EventLoop.java
@@ -10,124 +10,146 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * Waits for sockets and timers on one thread and calls their owners. Owns the selector and the clock. All methods but
- * {@link #execute} are called on the loop's thread, or before {@link #run}.
+ * A single-threaded event loop: waits for sockets and timers and calls their handlers. Owns the selector and the clock.
+ * All methods except {@link #execute} must be called on the loop's thread, or before {@link #run}.
  */
 public final class EventLoop {
-    /** The owner of a channel, attached to its key. */
+    /** Handles the events of a channel; attached to the channel's selection key. */
     public interface ChannelHandler {
         /**
-         * The channel is ready for an operation of interest.
+         * Called when the channel is ready for one of the operations that its key is interested in.
          *
-         * @throws IOException if the channel has failed; {@link #channelFailed} is called with it
+         * @param key the channel's selection key
+         * @throws IOException if the channel has failed; the loop passes the exception to {@link #channelFailed}
          */
         void channelReady(SelectionKey key) throws IOException;
 
-        /** Handling an event has thrown: the channel is to be given up. */
+        /** Called when {@link #channelReady} has thrown an exception; the channel is not to be used any longer. */
         void channelFailed(Exception e);
     }
 
-    /** A time at which a task runs; a cancelled one stays in its queue until it is the next. */
+    /** A task that runs at a set time. A cancelled timer stays in the queue until it would be the next to run. */
     public static final class Timer implements Comparable<Timer> {
-        private final long atUs;
-        private final long order; // of timers for the same time
-        private Runnable task; // null once cancelled
+        private final long dueUs;
+        private final long sequenceNumber; // orders timers that are due at the same time
+        private Runnable task; // null once the timer is cancelled
 
-        private Timer(long atUs, long order, Runnable task) {
-            this.atUs = atUs;
-            this.order = order;
+        private Timer(long dueUs, long sequenceNumber, Runnable task) {
+            this.dueUs = dueUs;
+            this.sequenceNumber = sequenceNumber;
             this.task = task;
         }
 
-        /** The task does not run, unless it already has. */
+        /** Cancels the timer; no effect if its task has already run. */
         public void cancel() {
             task = null;
         }
 
         @Override
         public int compareTo(Timer other) {
-            return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(order, other.order);
+            return dueUs != other.dueUs
+                    ? Long.compare(dueUs, other.dueUs)
+                    : Long.compare(sequenceNumber, other.sequenceNumber);
         }
     }
 
     private static final Log LOG = new Log("loop");
-    private static final long IMMEDIATE_US = 50; // a selection that takes less has not waited
-    private static final long MAX_WAIT_US = 1_000_000;
+    private static final long MAX_IMMEDIATE_SELECT_US = 50; // a selection that takes no longer has not waited
+    private static final long MAX_SELECT_WAIT_US = 1_000_000;
 
     private final Selector selector;
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>(); // emptied as they come due
-    private final Deque<Runnable> afterEvent = new ArrayDeque<>(); // emptied after each event
-    private final Queue<Runnable> submitted = new ConcurrentLinkedQueue<>(); // emptied after each selection
-    // Names of counters and the endpoint list's times are shared between machines: so time starts at the wall clock's,
-    // and from there one monotonic clock alone moves it.
+    private final PriorityQueue<Timer> timers = new PriorityQueue<>(); // a timer leaves the queue when it is due
+    private final Deque<Runnable> afterEventTasks = new ArrayDeque<>(); // emptied after each event
+    private final Queue<Runnable> submittedTasks = new ConcurrentLinkedQueue<>(); // emptied after each selection
+    // The loop's clock starts at the wall clock's time, since counter names and the times in the endpoint list are
+    // shared between machines. From then on only the monotonic clock advances the loop's clock.
     private final long wallClockAtStartUs = System.currentTimeMillis() * 1000;
     private final long nanosAtStart = System.nanoTime();
     private long nowUs = wallClockAtStartUs;
-    private long selectedUs = nowUs; // when the selector was entered, then when it last returned
-    private boolean hasReturned; // the selector, since it was last entered
+    private long lastSelectUs = nowUs; // when the selection began; once selectorReturned is set, when it returned
+    private boolean selectorReturned; // false from the start of a selection until the selector returns
     private long earliestArrivalUs = nowUs;
-    private long nextOrder;
+    private long nextSequenceNumber;
     private boolean stopped;
 
     /**
-     * A loop that does not run yet.
+     * Creates a loop that does not run yet.
      *
-     * @throws IOException if the system gives no selector
+     * @throws IOException if no selector can be opened
      */
     public EventLoop() throws IOException {
         selector = Selector.open();
     }
 
-    /** Where channels are registered, each with its {@link ChannelHandler} attached. */
+    /** The selector with which channels are registered, each with its {@link ChannelHandler} attached. */
     public Selector selector() {
         return selector;
     }
 
-    /** The time of the event being handled, in microseconds since 1970. */
+    /** The time of the event that is being handled, in microseconds since the Unix epoch. */
     public long nowUs() {
         return nowUs;
     }
 
-    /** How far this clock is ahead of the machine's monotonic one, in microseconds. */
+    /** How far the loop's clock is ahead of the machine's monotonic clock, in microseconds. */
     public long monotonicOffsetUs() {
         return wallClockAtStartUs - nanosAtStart / 1000;
     }
 
-    /** Bytes that are found now have arrived no earlier than this, by the loop's clock. */
+    /** The earliest time at which bytes that are read now can have arrived, in microseconds of the loop's clock. */
     public long earliestArrivalUs() {
         return earliestArrivalUs;
     }
 
-    /** Runs a task at a time of the loop's clock, in microseconds; at once if it has passed. */
-    public Timer scheduleAt(long atUs, Runnable task) {
-        Timer timer = new Timer(atUs, nextOrder++, task);
+    /**
+     * Schedules a task for a time.
+     *
+     * @param dueUs the time, in microseconds of the loop's clock; if it has passed, the task runs in the next round of
+     *     events
+     * @param task the task to run
+     * @return the timer, by which the task can be cancelled
+     */
+    public Timer scheduleAt(long dueUs, Runnable task) {
+        Timer timer = new Timer(dueUs, nextSequenceNumber++, task);
         timers.add(timer);
         return timer;
     }
 
-    /** Runs a task after a delay in microseconds from the present event's time. */
+    /**
+     * Schedules a task for a delay after the time of the current event.
+     *
+     * @param delayUs the delay, in microseconds
+     * @param task the task to run
+     * @return the timer, by which the task can be cancelled
+     */
     public Timer scheduleAfter(long delayUs, Runnable task) {
         return scheduleAt(nowUs + delayUs, task);
     }
 
-    /** Runs a task once the present event is handled: for what may not happen inside Policy's calls on its Host. */
+    /**
+     * Runs a task once the current event has been handled. For work that must not happen while Policy is calling a
+     * method of its Host.
+     */
     public void runAfterCurrentEvent(Runnable task) {
-        afterEvent.add(task);
+        afterEventTasks.add(task);
     }
 
-    /** Runs a task in the loop. May be called from any thread, before the loop runs too; tasks run in order. */
+    /**
+     * Runs a task on the loop's thread, in the order of submission. May be called from any thread, also before {@link
+     * #run}.
+     */
     public void execute(Runnable task) {
-        submitted.add(task);
+        submittedTasks.add(task);
         selector.wakeup();
     }
 
-    /** Ends {@link #run} once the present round of events is handled. */
+    /** Makes {@link #run} return once the current round of events has been handled. */
     public void stop() {
         stopped = true;
     }
 
     /**
-     * Handles events until {@link #stop}.
+     * Handles events until {@link #stop} is called.
      *
      * @throws IOException if the selector fails
      */
@@ -135,19 +157,19 @@
         while (!stopped) {
             removeCancelledTimers();
             select();
-            for (Runnable task = submitted.poll(); task != null; task = submitted.poll()) {
-                runGuarded(task);
+            for (Runnable task = submittedTasks.poll(); task != null; task = submittedTasks.poll()) {
+                runWithAfterEventTasks(task);
             }
-            while (!timers.isEmpty() && timers.peek().atUs <= nowUs) {
+            while (!timers.isEmpty() && timers.peek().dueUs <= nowUs) {
                 Runnable task = timers.poll().task;
                 if (task != null) {
-                    runGuarded(task);
+                    runWithAfterEventTasks(task);
                 }
             }
         }
     }
 
-    /** Guards against waking for what was cancelled. */
+    /** Removes cancelled timers at the head of the queue, so that the loop does not wake up for them. */
     private void removeCancelledTimers() {
         while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
@@ -155,79 +177,81 @@
     }
 
     private void select() throws IOException {
-        long waitUs = MAX_WAIT_US;
+        long waitUs = MAX_SELECT_WAIT_US;
         if (!timers.isEmpty()) {
-            tick();
-            waitUs = timers.peek().atUs - nowUs;
+            updateClock();
+            waitUs = timers.peek().dueUs - nowUs;
         }
-        earliestArrivalUs = selectedUs;
-        selectedUs = nowUs;
-        hasReturned = false;
-        if (!afterEvent.isEmpty() || waitUs <= 0) {
-            selector.selectNow(this::ready);
+        earliestArrivalUs = lastSelectUs;
+        lastSelectUs = nowUs;
+        selectorReturned = false;
+        if (!afterEventTasks.isEmpty() || waitUs <= 0) {
+            selector.selectNow(this::handleReadyChannel);
         } else {
-            selector.select(this::ready, (waitUs + 999) / 1000);
+            selector.select(this::handleReadyChannel, (waitUs + 999) / 1000);
         }
-        tick();
-        selectionReturned();
+        updateClock();
+        updateEarliestArrival();
     }
 
     /**
-     * Gives the selector back.
+     * Closes the selector.
      *
-     * @throws IOException if that fails
+     * @throws IOException if the selector cannot be closed
      */
     public void close() throws IOException {
         selector.close();
     }
 
-    private void tick() {
+    private void updateClock() {
         nowUs = wallClockAtStartUs + (System.nanoTime() - nanosAtStart) / 1000;
     }
 
-    private void ready(SelectionKey key) {
-        tick();
-        selectionReturned();
+    private void handleReadyChannel(SelectionKey key) {
+        updateClock();
+        updateEarliestArrival();
         ChannelHandler handler = (ChannelHandler) key.attachment();
         try {
             handler.channelReady(key);
         } catch (IOException | RuntimeException e) {
-            runGuarded(() -> handler.channelFailed(e));
+            runWithAfterEventTasks(() -> handler.channelFailed(e));
         }
-        runAfterEvent();
+        runAfterEventTasks();
     }
 
     /**
-     * Guards time limits that others count against work that kept this thread away: what was ready at once arrived at any
-     * time since the selector returned before; what had to be waited for arrived now.
+     * Updates the earliest arrival time of the bytes that the current selection reports. If the selector had to wait,
+     * they have just arrived; if it returned at once, they may have arrived at any time since it last returned. Time
+     * limits that others count, such as a client's deadline, are taken from this time, so that work that kept this
+     * thread busy does not extend them.
      */
-    private void selectionReturned() {
-        if (!hasReturned) {
-            hasReturned = true;
-            if (nowUs - selectedUs > IMMEDIATE_US) {
+    private void updateEarliestArrival() {
+        if (!selectorReturned) {
+            selectorReturned = true;
+            if (nowUs - lastSelectUs > MAX_IMMEDIATE_SELECT_US) {
                 earliestArrivalUs = nowUs;
             }
-            selectedUs = nowUs;
+            lastSelectUs = nowUs;
         }
     }
 
-    private void runGuarded(Runnable task) {
-        runLoggingFaults(task);
-        runAfterEvent();
+    private void runWithAfterEventTasks(Runnable task) {
+        runLoggingExceptions(task);
+        runAfterEventTasks();
     }
 
-    private void runAfterEvent() {
-        while (!afterEvent.isEmpty()) {
-            runLoggingFaults(afterEvent.poll());
+    private void runAfterEventTasks() {
+        while (!afterEventTasks.isEmpty()) {
+            runLoggingExceptions(afterEventTasks.poll());
         }
     }
 
-    /** A fault in one event must not end all others. */
-    private static void runLoggingFaults(Runnable task) {
+    /** Logs an exception instead of throwing it, so that one failed task does not end the loop. */
+    private static void runLoggingExceptions(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.error("an event's handling failed", e);
+            LOG.error("handling an event failed", e);
         }
     }
 }
--- a/src/main/java/hopdrum/frontdoor/lifecycle/InvalidConfigException.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/InvalidConfigException.java
@@ -1,15 +1,15 @@
 package hopdrum.frontdoor.lifecycle;
 
-/** A configuration that cannot be used; the message names the fault in one line, with the key where there is one. */
+/** Thrown if a configuration cannot be used; the message says why in one line and names the key, if one is at fault. */
 public final class InvalidConfigException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
-    /** A fault without a cause of its own. */
+    /** Creates an exception without a cause. */
     public InvalidConfigException(String message) {
         super(message);
     }
 
-    /** A fault that was found by another exception. */
+    /** Creates an exception that was caused by another one. */
     public InvalidConfigException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/src/main/java/hopdrum/frontdoor/lifecycle/Log.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/Log.java
@@ -4,63 +4,64 @@
 import java.util.Map;
 
 /**
- * A logger that writes each kind of line once a second at most, and with the next one how many were left out. Not
- * thread-safe: each belongs to the event loop's thread.
+ * A rate-limited logger: writes each message at most once a second, and reports with the next one how many were
+ * suppressed. Not thread-safe; to be used on the event loop's thread.
  */
 public final class Log {
     private static final long INTERVAL_NANOS = 1_000_000_000L;
 
-    /** When a kind of line was last written, and how many were left out since. */
-    private static final class Kind {
-        private long writtenNanos = System.nanoTime() - INTERVAL_NANOS;
+    /** When a message was last written, and how many times it was suppressed since. */
+    private static final class MessageState {
+        private long lastWrittenNanos = System.nanoTime() - INTERVAL_NANOS;
         private long suppressed;
     }
 
     private final System.Logger logger;
-    private final Map<String, Kind> kinds = new HashMap<>(); // as many as there are kinds of lines in the program
+    // Bounded, since the messages come from a fixed set; variable text goes into the detail.
+    private final Map<String, MessageState> states = new HashMap<>();
 
-    /** A log of one part of the front door, whose name its lines bear. */
-    public Log(String part) {
-        logger = System.getLogger("hopdrum." + part);
+    /** Creates the log of a component, which logs as {@code hopdrum.} and the component's name. */
+    public Log(String component) {
+        logger = System.getLogger("hopdrum." + component);
     }
 
     /**
-     * Writes an ordinary event.
+     * Logs an event of normal operation.
      *
-     * @param kind the kind of line, which begins it
-     * @param detail what follows after a colon; null for nothing
+     * @param message the message, from a fixed set; the rate is limited for each message
+     * @param detail appended to the message after a colon; null for nothing
      */
-    public void info(String kind, Object detail) {
-        log(System.Logger.Level.INFO, kind, detail, null);
+    public void info(String message, Object detail) {
+        log(System.Logger.Level.INFO, message, detail, null);
     }
 
     /**
-     * Writes a fault of another program or of the machine.
+     * Logs a failure of another program or of the machine.
      *
-     * @param kind the kind of line, which begins it
-     * @param detail what follows after a colon; null for nothing
+     * @param message the message, from a fixed set; the rate is limited for each message
+     * @param detail appended to the message after a colon; null for nothing
      */
-    public void warning(String kind, Object detail) {
-        log(System.Logger.Level.WARNING, kind, detail, null);
+    public void warning(String message, Object detail) {
+        log(System.Logger.Level.WARNING, message, detail, null);
     }
 
-    /** Writes a fault of this program, with its stack. */
-    public void error(String kind, Throwable thrown) {
-        log(System.Logger.Level.ERROR, kind, thrown, thrown);
+    /** Logs a defect of this program, with the stack trace. */
+    public void error(String message, Throwable thrown) {
+        log(System.Logger.Level.ERROR, message, thrown, thrown);
     }
 
-    private void log(System.Logger.Level level, String text, Object detail, Throwable thrown) {
-        Kind kind = kinds.computeIfAbsent(text, t -> new Kind());
+    private void log(System.Logger.Level level, String message, Object detail, Throwable thrown) {
+        MessageState state = states.computeIfAbsent(message, m -> new MessageState());
         long now = System.nanoTime();
-        if (now - kind.writtenNanos < INTERVAL_NANOS) {
-            kind.suppressed++;
+        if (now - state.lastWrittenNanos < INTERVAL_NANOS) {
+            state.suppressed++;
             return;
         }
-        String line = text
+        String line = message
                 + (detail == null ? "" : ": " + detail)
-                + (kind.suppressed > 0 ? " (and " + kind.suppressed + " more)" : "");
-        kind.writtenNanos = now;
-        kind.suppressed = 0;
+                + (state.suppressed > 0 ? " (and " + state.suppressed + " more)" : "");
+        state.lastWrittenNanos = now;
+        state.suppressed = 0;
         if (thrown == null) {
             logger.log(level, line);
         } else {
--- a/src/main/java/hopdrum/frontdoor/lifecycle/StderrLoggerFinder.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/StderrLoggerFinder.java
@@ -6,8 +6,8 @@
 import java.util.ResourceBundle;
 
 /**
- * Lets {@link System.Logger} write one line an entry to standard error: java.util.logging takes long to start, and would
- * stop writing at the JVM's shutdown. Named in META-INF/services.
+ * Makes {@link System.Logger} write each entry as one line to standard error. It replaces java.util.logging, which
+ * takes long to start and stops writing when the JVM shuts down. Registered in META-INF/services.
  */
 public final class StderrLoggerFinder extends System.LoggerFinder {
     private static final int MAX_STACK_FRAMES = 12;
--- a/src/main/java/hopdrum/frontdoor/lifecycle/StreamConnection.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/StreamConnection.java
@@ -9,61 +9,66 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * One TCP connection: moves bytes between its socket and its two rings, while a subclass knows what they mean. {@link
- * #close} is the one place where the socket, its key and the rings' memory are given back. All methods are called on the
- * event loop's thread.
+ * A non-blocking TCP connection: moves bytes between its socket and two ring buffers. Subclasses interpret the bytes.
+ * {@link #close} alone releases the socket, its selection key and the buffers' memory. All methods must be called on
+ * the event loop's thread.
  */
 public abstract class StreamConnection implements EventLoop.ChannelHandler {
-    /** How the other side ended a connection. */
+    /** How a connection came to be disconnected, if not by {@link #close}. */
     public enum CloseCause {
-        /** By the end of its stream. */
+        /** The other side has ended its stream. */
         END_OF_STREAM,
-        /** By a reset, a refusal or a failure. */
+        /** The connection was refused or reset, or has failed. */
         FAILURE
     }
 
-    private static final int MAX_READ_BYTES = 16 << 10; // per event: guards all others against one at full speed
+    private static final int MAX_READ_BYTES = 16 << 10; // per event, so that one fast sender does not starve the others
 
-    /** The loop that this connection belongs to. */
+    /** The event loop on which the connection is handled. */
     protected final EventLoop loop;
-    /** What has come in and is not handled yet. */
+    /** The receive buffer: bytes that were received and are not handled yet. */
     protected final RingBuffer in;
-    /** What is to be written. */
+    /** The send buffer: bytes that are to be written to the socket. */
     protected final RingBuffer out;
 
     private final SocketChannel channel;
     private final SelectionKey key;
     private boolean connected;
     private boolean closed;
-    private boolean failureScheduled; // a write failed where the subclass may not be notified at once
+    private boolean failureScheduled; // a write has failed, and disconnected() is called after the current event
     private boolean inputEnded;
 
     /**
-     * An accepted connection.
+     * Takes over an accepted connection.
      *
-     * @param maxIn the most bytes of input that are held
-     * @param maxOut the most bytes of output that are held
-     * @param account notified of the rings' memory
-     * @throws IOException if the channel cannot be set up; it is closed then
+     * @param loop the event loop on which the connection is handled
+     * @param channel the connected channel
+     * @param maxIn the capacity of the receive buffer, in bytes
+     * @param maxOut the capacity of the send buffer, in bytes
+     * @param memoryListener is notified of the memory that the buffers take
+     * @throws IOException if the channel cannot be set up; the channel is closed then
      */
     protected StreamConnection(
-            EventLoop loop, SocketChannel channel, int maxIn, int maxOut, RingBuffer.MemoryListener account)
+            EventLoop loop, SocketChannel channel, int maxIn, int maxOut, RingBuffer.MemoryListener memoryListener)
             throws IOException {
-        this(loop, channel, maxIn, maxOut, account, true);
+        this(loop, channel, maxIn, maxOut, memoryListener, true);
     }
 
     /**
-     * A connection to be opened; {@link #connected} is called once it is up, unless it is at once.
+     * Starts to connect. {@link #connected} is called once the connection is established, unless it is established at
+     * once.
      *
-     * @param maxIn the most bytes of input that are held
-     * @param maxOut the most bytes of output that are held
-     * @param account notified of the rings' memory
-     * @throws IOException if the system refuses a socket or the connection at once
+     * @param loop the event loop on which the connection is handled
+     * @param to the address to connect to
+     * @param maxIn the capacity of the receive buffer, in bytes
+     * @param maxOut the capacity of the send buffer, in bytes
+     * @param memoryListener is notified of the memory that the buffers take
+     * @throws IOException if no socket can be opened, or if connecting fails at once
      */
     protected StreamConnection(
-            EventLoop loop, SocketAddress to, int maxIn, int maxOut, RingBuffer.MemoryListener account)
+            EventLoop loop, SocketAddress to, int maxIn, int maxOut, RingBuffer.MemoryListener memoryListener)
             throws IOException {
-        this(loop, open(to), maxIn, maxOut, account, false);
+        this(loop, open(to), maxIn, maxOut, memoryListener, false);
     }
 
     private StreamConnection(
@@ -71,7 +76,7 @@
             SocketChannel channel,
             int maxIn,
             int maxOut,
-            RingBuffer.MemoryListener account,
+            RingBuffer.MemoryListener memoryListener,
             boolean accepted)
             throws IOException {
         this.loop = loop;
@@ -85,8 +90,8 @@
             channel.close();
             throw e;
         }
-        in = new RingBuffer(maxIn, account);
-        out = new RingBuffer(maxOut, account);
+        in = new RingBuffer(maxIn, memoryListener);
+        out = new RingBuffer(maxOut, memoryListener);
     }
 
     private static SocketChannel open(SocketAddress to) throws IOException {
@@ -101,25 +106,27 @@
         }
     }
 
-    /** Bytes have come in. */
+    /** Called when bytes have been added to the receive buffer. */
     protected abstract void bytesReceived();
 
-    /** The other side has ended the connection, or it broke; called once, and not after {@link #close}. */
+    /**
+     * Called when the other side has ended the connection or it has failed; at most once, and not after {@link #close}.
+     */
     protected abstract void disconnected(CloseCause cause);
 
-    /** The connection has come up. */
+    /** Called when a connection that was being opened is established. */
     protected void connected() {}
 
-    /** A number of bytes has been written to the socket. */
+    /** Called when a number of bytes has been written to the socket. */
     protected void bytesWritten(int count) {}
 
-    /** All that was to be written is written. */
+    /** Called when the send buffer has been written completely. */
     protected void outputDrained() {}
 
-    /** Called by {@link #close}: what counts connections learns that this one is gone. */
+    /** Called by {@link #close}, once, so that whatever counts connections can count this one out. */
     protected abstract void connectionClosed();
 
-    /** Whether the connection has come up and is not closed on this side. */
+    /** Whether the connection is established and not closed on this side. */
     public final boolean isConnected() {
         return connected && !closed;
     }
@@ -130,11 +137,11 @@
     }
 
     @Override
-    public final void channelReady(SelectionKey ready) throws IOException {
+    public final void channelReady(SelectionKey readyKey) throws IOException {
         if (closed) {
             return;
         }
-        if (ready.isConnectable()) {
+        if (readyKey.isConnectable()) {
             channel.finishConnect();
             connected = true;
             connected();
@@ -142,10 +149,10 @@
                 write();
             }
         }
-        if (!closed && ready.isWritable()) {
+        if (!closed && readyKey.isWritable()) {
             write();
         }
-        if (!closed && ready.isReadable()) {
+        if (!closed && readyKey.isReadable()) {
             read();
         }
     }
@@ -153,12 +160,14 @@
     @Override
     public final void channelFailed(Exception e) {
         if (!(e instanceof IOException)) {
-            new Log("link").error("a connection's handling failed", e);
+            new Log("link").error("handling a connection failed", e);
         }
         handleDisconnect(CloseCause.FAILURE);
     }
 
-    /** Reads bytes that have come in before the selector says so; what they cause happens at once. */
+    /**
+     * Reads the bytes that have already arrived, without waiting for the selector, and handles them before it returns.
+     */
     public final void readNow() {
         if (!closed && connected) {
             try {
@@ -170,8 +179,8 @@
     }
 
     private void read() throws IOException {
-        boolean any = false;
-        boolean end = false;
+        boolean received = false;
+        boolean endOfStream = false;
         int sizeBefore = in.size();
         while (!in.isFull() && in.size() - sizeBefore < MAX_READ_BYTES) {
             if (in.size() > 0 && in.contiguousSpace().remaining() == 0 && !in.reserve(1)) {
@@ -182,17 +191,17 @@
             int count = channel.read(space);
             if (count > 0) {
                 in.advanceEnd(count);
-                any = true;
+                received = true;
             }
-            end = count < 0;
+            endOfStream = count < 0;
             if (count < capacity) {
                 break;
             }
         }
-        if (any) {
+        if (received) {
             bytesReceived();
         }
-        if (end && !closed) {
+        if (endOfStream && !closed) {
             inputEnded = true;
             handleDisconnect(CloseCause.END_OF_STREAM);
         } else if (!closed) {
@@ -200,7 +209,10 @@
         }
     }
 
-    /** Writes as much as the socket takes. Safe inside Policy's calls: the subclass is notified of a failure later. */
+    /**
+     * Writes as much as the socket takes. May be called while Policy is calling a method of its Host: if the write
+     * fails, the subclass is notified after the current event.
+     */
     protected final void flush() {
         if (closed || !connected) {
             return;
@@ -216,7 +228,7 @@
     }
 
     private void write() throws IOException {
-        boolean any = !out.isEmpty();
+        boolean hadOutput = !out.isEmpty();
         while (!out.isEmpty()) {
             ByteBuffer content = out.contiguousContent();
             int count = channel.write(content);
@@ -227,13 +239,16 @@
             }
         }
         updateInterest();
-        if (any && out.isEmpty()) {
+        if (hadOutput && out.isEmpty()) {
             out.shrink();
             outputDrained();
         }
     }
 
-    /** A ring that is full stops reading; bytes that the socket does not take wait for it to be writable. */
+    /**
+     * Reads only while the receive buffer has room, and waits for the socket to be writable while bytes are to be
+     * written.
+     */
     protected final void updateInterest() {
         if (!closed && connected && key.isValid()) {
             int ops = (in.isFull() || inputEnded ? 0 : SelectionKey.OP_READ)
@@ -251,7 +266,9 @@
         }
     }
 
-    /** Ends sending; what still comes in is taken and dropped by the subclass until the other side ends too. */
+    /**
+     * Ends the outgoing stream. The subclass discards what is still received until the other side ends its stream too.
+     */
     protected final void endSending() {
         try {
             channel.shutdownOutput();
@@ -260,7 +277,7 @@
         }
     }
 
-    /** Closes the connection and gives its resources back; without effect once it is closed. */
+    /** Closes the connection and releases its resources; no effect if it is already closed. */
     public final void close() {
         if (closed) {
             return;
