--- a/src/main/java/hopdrum/frontdoor/connection/Attempt.java
+++ b/src/main/java/hopdrum/frontdoor/connection/Attempt.java
@@ -2,14 +2,17 @@
 
 import hopdrum.frontdoor.lifecycle.EventLoop;
 
-/** One attempt of a request: sent to one backend over one connection. Created by {@link InFlightRequest#addAttempt}. */
+/**
+ * One attempt of a request: the request is forwarded once, to one backend over one connection. Created by {@link
+ * InFlightRequest#addAttempt}.
+ */
 public final class Attempt {
     private final InFlightRequest request;
     private final int number;
     private final long startedAtUs;
-    private final long deadlineUs; // Policy stops waiting for its response
-    private final long writeByUs; // later its request may not be written any more
-    private BackendConnection connection; // null before it is assigned to one, and once it has left it
+    private final long deadlineUs; // when Policy stops waiting for the response
+    private final long writeByUs; // the request may not be written later than this
+    private BackendConnection connection; // null while the attempt is not assigned to one
     private EventLoop.Timer timeout;
     private boolean ended;
     private boolean responseForwarded;
@@ -22,17 +25,17 @@
         this.writeByUs = nowUs + writeWithinUs;
     }
 
-    /** The request that this is an attempt of. */
+    /** The request that the attempt forwards. */
     public InFlightRequest request() {
         return request;
     }
 
-    /** Its number among its request's attempts, from 0 on, in the order sent. */
+    /** The attempt's index among the attempts of its request, from 0 on, in the order of their start. */
     public int number() {
         return number;
     }
 
-    /** When it was started. */
+    /** When the attempt was started. */
     public long startedAtUs() {
         return startedAtUs;
     }
@@ -50,12 +53,12 @@
         return ended;
     }
 
-    /** Runs {@code onTimeout} at the attempt's deadline unless it has ended by then. */
+    /** Schedules {@code onTimeout} for the attempt's deadline; {@link #end()} cancels it. */
     public void armTimeout(EventLoop loop, Runnable onTimeout) {
         timeout = loop.scheduleAt(deadlineUs, onTimeout);
     }
 
-    /** Marks the attempt as ended and cancels its timeout; false if it had ended before. */
+    /** Marks the attempt as ended and cancels its timeout. Returns false if it had already ended. */
     public boolean end() {
         if (ended) {
             return false;
@@ -65,7 +68,7 @@
         return true;
     }
 
-    /** Closes the connection that it is on, if any, without waiting for a response. */
+    /** Closes the connection that the attempt is assigned to, if any, without waiting for the response. */
     public void abandon() {
         if (connection != null) {
             connection.abandonAttempt();
@@ -73,18 +76,18 @@
         }
     }
 
-    /** Records that its response, whatever its status, was forwarded to the client. */
+    /** Records that the response to the attempt, whatever its status, was forwarded to the client. */
     public void markResponseForwarded() {
         responseForwarded = true;
     }
 
-    /** Whether its response was forwarded to the client. */
+    /** Whether the response to the attempt was forwarded to the client. */
     public boolean isResponseForwarded() {
         return responseForwarded;
     }
 
-    void assignTo(BackendConnection assigned) {
-        connection = assigned;
+    void assignTo(BackendConnection backendConnection) {
+        connection = backendConnection;
     }
 
     void unassign() {
--- a/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
@@ -13,49 +13,61 @@
 import java.io.IOException;
 import java.util.List;
 
-/** A pooled connection to a backend: one attempt at a time, used again for the next one if the backend keeps it open. */
+/**
+ * A pooled connection to a backend. It carries one attempt at a time and is reused for further attempts if the backend
+ * keeps it open.
+ */
 public final class BackendConnection extends StreamConnection {
-    /** Is notified of responses, of the ends of attempts, and of the connection's own end. */
+    /** Is notified of responses, of ended attempts, and of the connection's closing. */
     public interface Listener {
         /**
-         * A complete response has arrived that the client is to get. Comes before {@link #attemptEnded}.
+         * Called when a complete response has arrived that is to be forwarded to the client; before {@link
+         * #attemptEnded}.
          *
-         * @param bytes the connection's receive buffer, which holds the response until this returns
-         * @param response where its parts are in {@code bytes}
+         * @param attempt the attempt that the response belongs to
+         * @param bytes the connection's receive buffer, which holds the response until this method returns
+         * @param response the positions of the response's parts in {@code bytes}
          */
         void forwardResponse(Attempt attempt, RingBuffer bytes, HttpReader response);
 
         /**
-         * An attempt has ended, by a response or without one.
+         * Called when an attempt has ended, with or without a response.
          *
-         * @param report the load report of the response, in the order of the settings' fields; empty without one
+         * @param attempt the attempt that has ended
+         * @param outcome how the attempt ended
+         * @param report the load report of the response, in the order of the settings' fields; empty without a report
          */
         void attemptEnded(Attempt attempt, Outcome outcome, float[] report);
 
-        /** The connection is closed. */
+        /** Called when the connection has been closed. */
         void connectionClosed(BackendConnection connection);
     }
 
     private static final Log LOG = new Log("backends");
     private static final int MAX_REQUEST_BYTES = 128 << 10;
-    private static final long STALLED_RESPONSE_US = 250_000; // without a byte in the middle of a response
+    private static final long STALL_TIMEOUT_US = 250_000; // without a byte in the middle of a response
     private static final float[] NO_REPORT = {};
     private final Listener listener;
     private final ConnectionPool pool;
     private final List<String> reportFields;
     private final HttpReader reader = new HttpReader(HttpReader.Kind.RESPONSE);
     private Attempt attempt;
-    private boolean requestWritten; // up to its last byte
+    private boolean requestWritten; // whether the request was written completely
     private EventLoop.Timer connectTimeout;
     private long idleSinceUs;
-    private long partialResponseUs; // when the last bytes of an incomplete response arrived; 0 before the first
+    private long lastPartialReadUs; // when bytes of an incomplete response last arrived; 0 before the first
 
     /**
-     * Starts to open a connection to the pool's address.
+     * Starts to connect to the pool's address.
      *
-     * @param connectTimeoutUs after which a connection that has not come up counts as failed
-     * @param reportFields the fields of the load report that are read, in the order in which they are handed on
-     * @throws IOException if the system refuses the socket
+     * @param loop the event loop on which the connection is handled
+     * @param pool the pool of the backend, to which the connection returns after each attempt
+     * @param connectTimeoutUs the time after which a connection that is not established counts as failed, in
+     *     microseconds
+     * @param reportFields the fields of the load report to read, in the order in which the listener gets them
+     * @param budget is notified of the memory that the connection's buffers take
+     * @param listener is notified of the connection's events
+     * @throws IOException if no socket can be opened, or if connecting fails at once
      */
     public BackendConnection(
             EventLoop loop,
@@ -74,32 +86,33 @@
         }
     }
 
-    /** Since when it has been free for another attempt. */
+    /** Since when the connection has been free for another attempt. */
     public long idleSinceUs() {
         return idleSinceUs;
     }
 
     /**
-     * Takes on an attempt. Its request is written once the connection is up, so that it states the time that is left
-     * then. Returns false, and the connection is closed, if the request does not fit.
+     * Assigns an attempt to the connection. The request is written once the connection is established, since it states
+     * the time that remains when it is written. Returns false, and closes the connection, if the request does not fit
+     * into the send buffer.
      */
-    public boolean send(Attempt next) {
-        attempt = next;
-        partialResponseUs = 0;
-        next.assignTo(this);
+    public boolean send(Attempt assigned) {
+        attempt = assigned;
+        lastPartialReadUs = 0;
+        assigned.assignTo(this);
         requestWritten = false;
         if (isConnected() && !writeRequest()) {
-            detach();
+            detachAttempt();
             close();
             return false;
         }
         return true;
     }
 
-    /** Writes the request that stands at the front of its client's receive buffer. */
+    /** Writes the request, which is at the front of its client's receive buffer. Returns false if it does not fit. */
     private boolean writeRequest() {
         ClientConnection client = attempt.request().client();
-        // A partner's front door derives its soft deadline from the time that the client waits, not from the attempt's.
+        // A partner's front door derives its soft deadline from the client's deadline, not from the attempt's.
         long deadlineUs = pool.isPartner() ? attempt.request().expiresAtUs() : attempt.deadlineUs();
         long remainingMs = Math.max(1, (deadlineUs - loop.nowUs()) / 1000);
         if (!RequestForwarder.forward(client.receiveBuffer(), client.message(), remainingMs, pool.isPartner(), out)) {
@@ -119,19 +132,19 @@
             return;
         }
         if (attempt.request().client() == null) {
-            endUnsent(Outcome.INVALID_REQUEST); // its client has disconnected, or has its response
+            endUnsentAttempt(Outcome.INVALID_REQUEST); // the client has disconnected or already has a response
         } else if (loop.nowUs() >= attempt.writeByUs() || !pool.acceptsAttempts()) {
-            endUnsent(Outcome.CONNECT_FAILED);
+            endUnsentAttempt(Outcome.CONNECT_FAILED);
         } else if (!writeRequest()) {
-            Attempt ended = detach();
+            Attempt ended = detachAttempt();
             close();
             listener.attemptEnded(ended, Outcome.CONNECT_FAILED, NO_REPORT);
         }
     }
 
-    /** The connection came up too late for its attempt, and is kept for another one. */
-    private void endUnsent(Outcome outcome) {
-        Attempt ended = detach();
+    /** Ends an attempt for which the connection was established too late, and keeps the connection for another one. */
+    private void endUnsentAttempt(Outcome outcome) {
+        Attempt ended = detachAttempt();
         idleSinceUs = loop.nowUs();
         pool.release(this);
         listener.attemptEnded(ended, outcome, NO_REPORT);
@@ -152,7 +165,7 @@
     @Override
     protected void bytesReceived() {
         if (attempt == null) {
-            close(); // bytes that belong to no response
+            close(); // bytes without a pending request belong to no response
             return;
         }
         try {
@@ -161,40 +174,43 @@
             } else if (reader.isCloseDelimited() && reader.status() != 200) {
                 reader.completeAtHead();
                 completeResponse(false);
-            } else if (partialResponseUs == 0 && !in.isEmpty()) {
-                partialResponseUs = loop.nowUs();
-                watchForStall(STALLED_RESPONSE_US, attempt);
+            } else if (lastPartialReadUs == 0 && !in.isEmpty()) {
+                lastPartialReadUs = loop.nowUs();
+                watchForStall(STALL_TIMEOUT_US, attempt);
             } else {
-                partialResponseUs = loop.nowUs();
+                lastPartialReadUs = loop.nowUs();
             }
         } catch (MalformedMessageException e) {
-            responseUnreadable(e.getMessage());
+            failUnreadableResponse(e.getMessage());
         }
     }
 
-    /** The attempt has run; that its response is malformed says nothing about the backend's health. */
-    private void responseUnreadable(String reason) {
-        LOG.warning("a backend's response cannot be read", reason);
-        Attempt ended = detach();
+    /** The backend has executed the request, and a malformed response says nothing about the backend's health. */
+    private void failUnreadableResponse(String reason) {
+        LOG.warning("a response of a backend cannot be read", reason);
+        Attempt ended = detachAttempt();
         close();
         listener.attemptEnded(ended, Outcome.UNREADABLE, NO_REPORT);
     }
 
-    /** Ends an attempt whose response begins and does not go on: its client would wait for nothing. */
+    /** Ends an attempt whose response has begun and then stalls, since its client would wait in vain. */
     private void watchForStall(long delayUs, Attempt watched) {
         loop.scheduleAfter(delayUs, () -> {
-            long remainingUs = partialResponseUs + STALLED_RESPONSE_US - loop.nowUs();
+            long remainingUs = lastPartialReadUs + STALL_TIMEOUT_US - loop.nowUs();
             if (attempt == watched && !isClosed() && remainingUs > 0) {
                 watchForStall(remainingUs, watched);
             } else if (attempt == watched && !isClosed()) {
-                responseUnreadable("it stalls before its end");
+                failUnreadableResponse("the response stalled before its end");
             }
         });
     }
 
-    /** The client comes first, then the connection's release, then the attempt's end, which may use it at once. */
+    /**
+     * Forwards the response to the client first, then releases the connection, and reports the attempt's end last,
+     * since the listener may use the connection again at once.
+     */
     private void completeResponse(boolean reusable) {
-        Attempt ended = detach();
+        Attempt ended = detachAttempt();
         Outcome outcome =
                 pool.isPartner() ? BackendResponse.partnerOutcome(reader) : BackendResponse.outcome(in, reader);
         float[] report = BackendResponse.loadReport(in, reader, reportFields);
@@ -209,7 +225,7 @@
         listener.attemptEnded(ended, outcome, report);
     }
 
-    private Attempt detach() {
+    private Attempt detachAttempt() {
         Attempt ended = attempt;
         attempt = null;
         ended.unassign();
@@ -219,7 +235,7 @@
     private void becomeIdle() {
         reader.removeMessage(in);
         if (!in.isEmpty()) {
-            close(); // bytes behind the response
+            close(); // bytes behind the response belong to no request
             return;
         }
         in.shrink();
@@ -237,10 +253,10 @@
             completeResponse(false);
             return;
         }
-        listener.attemptEnded(detach(), requestWritten ? Outcome.RESET : Outcome.CONNECT_FAILED, NO_REPORT);
+        listener.attemptEnded(detachAttempt(), requestWritten ? Outcome.RESET : Outcome.CONNECT_FAILED, NO_REPORT);
     }
 
-    /** Nobody waits for the attempt any more: the connection closes, by which the backend learns it. */
+    /** Drops the attempt, for which nobody waits any longer, and closes the connection, which tells the backend. */
     void abandonAttempt() {
         attempt = null;
         close();
--- a/src/main/java/hopdrum/frontdoor/connection/BackendDirectory.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendDirectory.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 
 /**
- * The backends by name and by the id that Policy knows them by, each with its connection pool. An entry is removed once
- * the backend is withdrawn and its last connection is closed.
+ * The connection pools of all backends, by the backend's name and by the id that Policy uses for it. An entry is
+ * removed once the backend has been withdrawn and its last connection is closed.
  */
 public final class BackendDirectory {
     private static final long MICROS_PER_MILLI = 1000;
@@ -23,17 +23,17 @@
     private long nextId = 1;
 
     /**
-     * An empty directory.
+     * Creates an empty directory.
      *
-     * @param zones the names of the zones, in the settings' order
-     * @param kinds the names of the kinds of machines, in the settings' order
+     * @param zones the names of the zones, in the order of the settings
+     * @param kinds the names of the kinds of backends, in the order of the settings
      */
     public BackendDirectory(List<String> zones, List<String> kinds) {
         this.zones = zones;
         this.kinds = kinds;
     }
 
-    /** The pool of the backend of that id; null if it is not known any more. */
+    /** The pool of the backend with this id; null if the backend has been removed. */
     public ConnectionPool get(long backendId) {
         return byId.get(backendId);
     }
@@ -43,7 +43,7 @@
         return byId.values();
     }
 
-    /** Makes room for a connection that is needed by closing the one that has been idle longest. */
+    /** Closes the connection that has been idle longest, if any, to make room for another one. */
     public void closeLongestIdle() {
         BackendConnection longest = null;
         for (ConnectionPool pool : byId.values()) {
@@ -58,14 +58,16 @@
     }
 
     /**
-     * Applies an endpoint list of discovery's.
+     * Applies an endpoint list from discovery.
      *
-     * @param complete whether the list names all backends, so that others are withdrawn; else it names changes
-     * @return the same backends for Policy
+     * @param backends the backends that the list names
+     * @param complete whether the list names all backends, so that all others are withdrawn; otherwise the list names
+     *     only those that have changed
+     * @return the listed backends as Policy takes them
      */
     public List<Endpoint> applyEndpointList(List<DiscoveredBackend> backends, boolean complete) {
         if (complete) {
-            // Only what is not named any more: withdrawing closes a backend's idle connections.
+            // Backends that are still named must not be withdrawn in between, since that closes their idle connections.
             Set<String> named = new HashSet<>();
             backends.forEach(backend -> named.add(backend.name()));
             byName.forEach(
@@ -92,22 +94,24 @@
                 backend.cell(),
                 backend.state(),
                 backend.weight(),
-                backend.startedAtMs() * MICROS_PER_MILLI); // the loop's clock has the wall clock's epoch
+                backend.startedAtMs() * MICROS_PER_MILLI); // the loop's clock counts from the wall clock's epoch
     }
 
     /**
-     * Applies the complete list of the front doors of another tier, which are backends of a tier of their own.
+     * Applies the complete list of the front doors of a partner's tier, which are treated as backends of that tier.
      *
-     * @return the same front doors for Policy
+     * @param tier the number of the tier
+     * @param partners the tier's front doors
+     * @return the listed front doors as Policy takes them
      */
     public List<Endpoint> applyPartners(int tier, List<ShardOwnership.PartnerEndpoint> partners) {
-        String prefix = "tier " + tier + ": "; // no name that discovery gives
+        String prefix = "tier " + tier + ": "; // discovery gives no name with this prefix
         Set<String> named = new HashSet<>();
         List<Endpoint> endpoints = new ArrayList<>();
         for (ShardOwnership.PartnerEndpoint partner : partners) {
             String name = prefix + partner.name();
             ConnectionPool pool = byName.computeIfAbsent(
-                    name, k -> new ConnectionPool(nextId++, Config.parseAddress("serves", partner.address()), true));
+                    name, key -> new ConnectionPool(nextId++, Config.parseAddress("serves", partner.address()), true));
             byId.put(pool.backendId(), pool);
             pool.updateState(Endpoint.State.READY);
             named.add(name);
@@ -120,7 +124,7 @@
         return endpoints;
     }
 
-    /** Removes backends that are withdrawn and have no connection left. */
+    /** Removes the backends that have been withdrawn and have no open connection. */
     public void removeWithdrawn() {
         byName.values().removeIf(pool -> {
             boolean unused = !pool.isListed() && pool.isEmpty();
--- a/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
@@ -10,61 +10,68 @@
 import java.io.IOException;
 import java.nio.channels.SocketChannel;
 
-/** A client's connection. Messages are handled one at a time: the next one once the one before has its response. */
+/** A connection from a client. Messages are handled one at a time, each after the response to the one before. */
 public final class ClientConnection extends StreamConnection {
-    /** Is notified of the connection's messages, of its states, and of its end. */
+    /** Is notified of the connection's messages, of changes of its state, and of its closing. */
     public interface Listener {
         /**
-         * A complete message stands at the front of the receive buffer.
+         * Called when a complete message is at the front of the receive buffer.
          *
-         * @throws MalformedMessageException if it is rejected; the exception's status is the response
+         * @param client the connection
+         * @throws MalformedMessageException if the message is rejected; the exception's status is sent as the response
          */
         void messageReceived(ClientConnection client) throws MalformedMessageException;
 
-        /** No message has arrived, and no request is in flight on the connection. */
+        /** Called when all received messages are handled and no request is in flight on the connection. */
         void connectionIdle(ClientConnection client);
 
-        /** The connection is idle no longer. */
+        /** Called when the connection is no longer idle. */
         void connectionBusy(ClientConnection client);
 
-        /** The last response is written, and the client's end of the connection is awaited. */
+        /** Called when the outgoing stream has ended and the connection waits for the client to close it. */
         void connectionLingering(ClientConnection client);
 
-        /** The connection has closed while a request was in flight on it. Comes before {@link #connectionClosed}. */
+        /**
+         * Called when the connection has been closed with a request in flight on it; before {@link #connectionClosed}.
+         */
         void clientDisconnected(ClientConnection client);
 
-        /** The connection is closed. */
+        /** Called when the connection has been closed. */
         void connectionClosed(ClientConnection client);
 
         /**
-         * Whether the next response is to be the connection's last.
+         * Whether the connection is to be closed after the next response.
          *
-         * @param moreReceived whether bytes of a further message have arrived behind the one that is responded to
+         * @param moreReceived whether bytes of a further message have arrived behind the one that gets the response
          */
         boolean closesAfterResponse(boolean moreReceived);
     }
 
     private static final Log LOG = new Log("clients");
     private static final int MAX_MESSAGE_BYTES = 128 << 10;
-    private static final long READ_RESPONSE_TIMEOUT_US = 10_000_000; // a response may be long
-    private static final long LINGER_US = 1_000_000; // after a last response, which may be long on its way
-    private static final long IDLE_LINGER_US = 200_000; // a message that crosses the close arrives within that
+    private static final long READ_RESPONSE_TIMEOUT_US = 10_000_000; // enough for a client to read a long response
+    private static final long LINGER_US = 1_000_000; // after the last response, which may reach the client late
+    private static final long IDLE_LINGER_US = 200_000; // enough for a message that was sent before the close
     private static final long FIRST_MESSAGE_TIMEOUT_US = 2_000_000;
     private final Listener listener;
     private final long messageTimeoutUs;
     private final HttpReader reader = new HttpReader(HttpReader.Kind.REQUEST);
-    private InFlightRequest request; // null while none is in flight on this connection
-    private long messageSinceUs; // before the first byte of the message at the front; 0 without one
-    private long nextMessageSinceUs; // before the first byte of what arrived behind it; 0 without any
-    private EventLoop.Timer timeout; // of the transfer that is awaited, null without one
+    private InFlightRequest request; // null while no request is in flight on this connection
+    private long messageArrivalUs; // earliest arrival of the front message's first byte; 0 without a message
+    private long nextMessageArrivalUs; // the same for the bytes that arrived behind the front message
+    private EventLoop.Timer timeout; // of the transfer that the connection waits for; null if there is none
     private long idleSinceUs;
-    private int discardedBytes; // that arrived after the last response
-    private boolean closing; // the last response is written or being written
+    private int discardedBytes; // bytes that arrived after the last response
+    private boolean closing; // whether the last response is buffered or written, or the connection lingers
 
     /**
      * Takes over an accepted connection.
      *
-     * @throws IOException if the connection has ended already
+     * @param loop the event loop on which the connection is handled
+     * @param channel the connected channel
+     * @param budget limits the transfer time, and is notified of the memory that the connection's buffers take
+     * @param listener is notified of the connection's events
+     * @throws IOException if the connection has already ended
      */
     public ClientConnection(EventLoop loop, SocketChannel channel, ResourceBudget budget, Listener listener)
             throws IOException {
@@ -75,29 +82,34 @@
         idleSinceUs = loop.nowUs();
     }
 
-    /** The receive buffer; the message that is handled stays at its front until it has its response. */
+    /**
+     * The receive buffer. The current message stays at the front of the buffer until its response has been buffered.
+     */
     public RingBuffer receiveBuffer() {
         return in;
     }
 
-    /** Where the parts of the message at the front are in the receive buffer. */
+    /** The positions in the receive buffer of the parts of the message at its front. */
     public HttpReader message() {
         return reader;
     }
 
-    /** The request in flight on this connection; null without one. */
+    /** The request in flight on this connection; null if there is none. */
     public InFlightRequest request() {
         return request;
     }
 
-    /** How long ago the client may have sent the first byte of the message at the front. */
+    /**
+     * The longest time, in microseconds, for which the first byte of the message at the front may have been waiting
+     * here.
+     */
     public long messageAgeUs() {
-        return loop.nowUs() - messageSinceUs;
+        return loop.nowUs() - messageArrivalUs;
     }
 
-    /** The message at the front is this request's; further messages wait for its response. */
-    public void attachRequest(InFlightRequest started) {
-        request = started;
+    /** Attaches the request that the message at the front contains; further messages wait for its response. */
+    public void attachRequest(InFlightRequest inFlight) {
+        request = inFlight;
     }
 
     @Override
@@ -107,23 +119,23 @@
             in.skip(in.size());
             in.shrink();
             if (discardedBytes > MAX_MESSAGE_BYTES) {
-                close(); // the client goes on sending at full speed
+                close(); // the client keeps sending at full speed although the connection is closing
             }
             return;
         }
         if (request != null) {
-            nextMessageSinceUs = nextMessageSinceUs == 0 ? loop.earliestArrivalUs() : nextMessageSinceUs;
+            nextMessageArrivalUs = nextMessageArrivalUs == 0 ? loop.earliestArrivalUs() : nextMessageArrivalUs;
             return;
         }
-        if (messageSinceUs == 0) {
+        if (messageArrivalUs == 0) {
             cancelTimeout();
-            messageSinceUs = loop.earliestArrivalUs();
+            messageArrivalUs = loop.earliestArrivalUs();
             listener.connectionBusy(this);
         }
         handleMessages();
     }
 
-    /** Handles messages until one waits for its response or is incomplete. */
+    /** Handles messages until one is waiting for its response or is incomplete. */
     private void handleMessages() {
         try {
             while (request == null && !closing && !isClosed()) {
@@ -143,28 +155,28 @@
 
     private void awaitRestOfMessage() throws MalformedMessageException {
         if (!reader.isStarted() && in.isEmpty()) {
-            messageSinceUs = 0;
+            messageArrivalUs = 0;
             becomeIdle();
         } else {
             if (reader.takeExpectContinue() && HttpWriter.writeContinueResponse(out)) {
                 flush();
             }
             if (in.isFull()) {
-                throw new MalformedMessageException(413, "the message is longer than its buffer");
+                throw new MalformedMessageException(413, "the message exceeds the receive buffer");
             }
             if (timeout == null) {
-                // A sender must not hold a connection by sending slowly.
+                // A client must not occupy a connection by sending slowly.
                 timeout = loop.scheduleAfter(messageTimeoutUs, this::transferTimedOut);
             }
         }
     }
 
-    /** A client that means to send a request would have done so long ago. */
+    /** Closes a connection on which nothing has arrived: a client that has a request to send does so much sooner. */
     private void firstMessageTimedOut() {
         timeout = null;
         readNow();
         if (!isClosed() && isIdle()) {
-            closeGracefully(); // a request may be on its way
+            closeGracefully(); // a request may still be on its way
         }
     }
 
@@ -174,13 +186,13 @@
         listener.connectionIdle(this);
     }
 
-    /** Since when the connection has been idle, or lingering. */
+    /** Since when the connection has been idle or lingering. */
     public long idleSinceUs() {
         return idleSinceUs;
     }
 
     private void transferTimedOut() {
-        LOG.info("a client that sends or reads too slowly is disconnected", null);
+        LOG.info("disconnecting a client that sends or reads too slowly", null);
         if (closing || !out.isEmpty() || request != null) {
             close();
         } else {
@@ -197,11 +209,11 @@
     }
 
     /**
-     * Forwards a backend's complete response.
+     * Forwards a backend's complete response to the client.
      *
-     * @param from the backend's receive buffer, which holds the response
-     * @param response where its parts are in {@code from}
-     * @return false if the send buffer has no room for it
+     * @param from the receive buffer of the backend's connection, which holds the response
+     * @param response the positions of the response's parts in {@code from}
+     * @return false if the send buffer has no room for the response
      */
     public boolean forwardResponse(RingBuffer from, HttpReader response) {
         boolean last = !reader.keepAlive() || listener.closesAfterResponse(in.size() > reader.messageTo());
@@ -213,10 +225,11 @@
     }
 
     /**
-     * Sends a response of the front door's own.
+     * Sends an empty response that the front door itself gives.
      *
-     * @param retryAfterUs the Retry-After of the response, microseconds; 0 for none
-     * @param close whether the connection closes after the response in any case
+     * @param status the HTTP status of the response
+     * @param retryAfterUs the Retry-After time of the response, in microseconds; 0 for none
+     * @param close whether the connection is closed after the response in any case
      */
     public void respond(int status, long retryAfterUs, boolean close) {
         boolean last = close || !reader.keepAlive() || listener.closesAfterResponse(in.size() > reader.messageTo());
@@ -234,15 +247,15 @@
             in.skip(in.size());
         } else {
             reader.removeMessage(in);
-            messageSinceUs = in.isEmpty() ? 0 : nextMessageSinceUs == 0 ? messageSinceUs : nextMessageSinceUs;
-            nextMessageSinceUs = 0;
+            messageArrivalUs = in.isEmpty() ? 0 : nextMessageArrivalUs == 0 ? messageArrivalUs : nextMessageArrivalUs;
+            nextMessageArrivalUs = 0;
         }
         if (out.size() > 0) {
             flush();
         }
         if (!out.isEmpty() && timeout == null) {
             timeout = loop.scheduleAfter(
-                    READ_RESPONSE_TIMEOUT_US, this::transferTimedOut); // the client may never read it
+                    READ_RESPONSE_TIMEOUT_US, this::transferTimedOut); // the client may never read the response
         }
         if (!last) {
             loop.runAfterCurrentEvent(this::resumeAfterResponse);
@@ -251,7 +264,7 @@
 
     private void resumeAfterResponse() {
         if (!isClosed() && request == null && !closing) {
-            if (messageSinceUs != 0 && !in.isEmpty()) {
+            if (messageArrivalUs != 0 && !in.isEmpty()) {
                 handleMessages();
             } else if (in.isEmpty()) {
                 becomeIdle();
@@ -268,7 +281,7 @@
         }
     }
 
-    /** Closes an idle connection so that a message that crosses the close meets no reset. */
+    /** Closes an idle connection in such a way that a message that the client is just sending does not meet a reset. */
     public void closeGracefully() {
         cancelTimeout();
         closing = true;
@@ -276,7 +289,10 @@
         linger(IDLE_LINGER_US);
     }
 
-    /** Closing at once could reset the connection under its last response: the client has a while to close first. */
+    /**
+     * Ends the outgoing stream and gives the client some time to close the connection first. Closing at once could
+     * reset the connection before the client has read the last response.
+     */
     private void linger(long maxUs) {
         endSending();
         if (!isClosed()) {
@@ -286,14 +302,16 @@
         }
     }
 
-    /** Whether no request is in flight, and no bytes of a message or of a response are left. */
+    /**
+     * Whether no request is in flight, no bytes are buffered in either direction, and the connection is not closing.
+     */
     public boolean isIdle() {
         return request == null && in.isEmpty() && out.isEmpty() && !closing;
     }
 
     @Override
     protected void disconnected(CloseCause cause) {
-        // connectionClosed() notifies the listener, however the connection ends
+        // Nothing to do here: connectionClosed() notifies the listener, however the connection ends.
     }
 
     @Override
--- a/src/main/java/hopdrum/frontdoor/connection/ConnectionPool.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ConnectionPool.java
@@ -8,14 +8,14 @@
 import java.util.Iterator;
 import java.util.Set;
 
-/** The connections to one backend. Idle ones are used again, last used first. */
+/** The connections to one backend. Idle connections are reused, the most recently used one first. */
 public final class ConnectionPool {
-    private static final long MIN_REST_US = 2_000;
+    private static final long MIN_IDLE_US = 2_000; // before a connection is reused; see acquireIdle
     private final long backendId;
     private final boolean partner;
     private InetSocketAddress address;
     private final Set<BackendConnection> open = new HashSet<>(); // a connection removes itself when it closes
-    private final Deque<BackendConnection> idle = new ArrayDeque<>(); // of those open, longest idle first
+    private final Deque<BackendConnection> idle = new ArrayDeque<>(); // those open that are idle, longest idle first
     private boolean listed = true;
     private boolean accepting = true;
 
@@ -25,45 +25,47 @@
         this.address = address;
     }
 
-    /** The number by which Policy knows the backend. */
+    /** The id that Policy uses for the backend. */
     public long backendId() {
         return backendId;
     }
 
-    /** Whether the backend is a partner's front door: its response, whatever its status, is the client's. */
+    /**
+     * Whether the backend is a partner's front door, whose responses with any final status are forwarded to the client.
+     */
     boolean isPartner() {
         return partner;
     }
 
-    /** Where new connections go. */
+    /** The address that new connections are opened to. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** The backend moved or restarted: idle connections lead to its old address and are closed. */
-    void updateAddress(InetSocketAddress current) {
-        if (!current.equals(address)) {
-            address = current;
+    /** Sets the backend's address. If it has changed, closes the idle connections, which lead to the old address. */
+    void updateAddress(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
             closeIdle();
         }
     }
 
-    /** Takes over the state that the endpoint list gives for the backend. */
+    /** Applies the state that the endpoint list gives for the backend. */
     void updateState(Endpoint.State state) {
         accepting = state == Endpoint.State.READY;
         setListed(state != Endpoint.State.GONE);
     }
 
-    /** Whether the endpoint list names the backend; the idle connections of a withdrawn one are closed. */
-    void setListed(boolean isListed) {
-        listed = isListed;
+    /** Sets whether the endpoint list names the backend. If not, closes the idle connections. */
+    void setListed(boolean nowListed) {
+        listed = nowListed;
         accepting &= listed;
         if (!listed) {
             closeIdle();
         }
     }
 
-    /** False once the backend is draining or withdrawn: no attempt may be written to it any more. */
+    /** Whether attempts may be written to the backend: not once the backend is draining or withdrawn. */
     boolean acceptsAttempts() {
         return accepting;
     }
@@ -77,28 +79,31 @@
     }
 
     /**
-     * Takes the last used idle connection that has rested, or null. Bytes that arrive just behind a response (a second
-     * copy of it) must not be there, or on their way, when the next attempt is written.
+     * Takes the most recently used connection that has been idle long enough, or returns null. Bytes that arrive just
+     * behind a response, such as a second copy of it, must neither have been received nor be on their way when the next
+     * attempt is written.
+     *
+     * @param nowUs the time of the event loop's clock, in microseconds
      */
     public BackendConnection acquireIdle(long nowUs) {
-        Iterator<BackendConnection> lastUsedFirst = idle.descendingIterator();
-        while (lastUsedFirst.hasNext()) {
-            BackendConnection connection = lastUsedFirst.next();
-            if (nowUs - connection.idleSinceUs() >= MIN_REST_US) {
-                lastUsedFirst.remove();
-                connection.readNow(); // closes it if there is anything
+        Iterator<BackendConnection> mostRecentFirst = idle.descendingIterator();
+        while (mostRecentFirst.hasNext()) {
+            BackendConnection connection = mostRecentFirst.next();
+            if (nowUs - connection.idleSinceUs() >= MIN_IDLE_US) {
+                mostRecentFirst.remove();
+                connection.readNow(); // closes the connection if any bytes have arrived
                 return connection.isClosed() ? acquireIdle(nowUs) : connection;
             }
         }
         return null;
     }
 
-    /** Adds a connection that was opened to the backend. */
+    /** Adds a new connection to the backend; it becomes idle only by {@link #release}. */
     public void add(BackendConnection connection) {
         open.add(connection);
     }
 
-    /** Takes back a connection that is free for another attempt; closes it if the backend was withdrawn. */
+    /** Takes back a connection that is free for another attempt, or closes it if the backend has been withdrawn. */
     void release(BackendConnection connection) {
         if (listed) {
             idle.addLast(connection);
@@ -107,7 +112,7 @@
         }
     }
 
-    /** Forgets a connection that was closed. */
+    /** Removes a connection that has been closed. */
     void remove(BackendConnection connection) {
         open.remove(connection);
         idle.remove(connection);
@@ -130,7 +135,10 @@
         }
     }
 
-    /** Closes connections before the backend's own idle limit does: an attempt that crosses that close is reset. */
+    /**
+     * Closes connections that became idle before a time. To be used before the backend's own idle timeout closes them,
+     * since an attempt that is sent just as the backend closes the connection is reset.
+     */
     public void closeIdleSince(long beforeUs) {
         while (!idle.isEmpty() && idle.peekFirst().idleSinceUs() < beforeUs) {
             idle.peekFirst().close();
--- a/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
@@ -12,33 +12,36 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** A connection to the counter: pipelined calls, whose responses arrive in the order of the calls. */
+/** A connection to the counter. Calls are pipelined; their responses arrive in the order of the calls. */
 public final class CounterConnection extends StreamConnection {
-    /** Is notified of the ends of calls and of the connection's own end. */
+    /** Is notified of ended calls and of the connection's closing. */
     public interface Listener {
         /**
-         * A call has ended, by a response or without one.
+         * Called when a call has ended, with or without a response.
          *
-         * @param total what the counter holds for the name now; 0 unless the outcome is OK
-         * @param tookUs how long the call took
+         * @param name the name whose total the call added to
+         * @param outcome how the call ended
+         * @param total the total that the counter holds for the name after the call; 0 unless the outcome is OK
+         * @param durationUs how long the call took, in microseconds
          */
-        void callEnded(long name, Outcome outcome, double total, long tookUs);
+        void callEnded(long name, Outcome outcome, double total, long durationUs);
 
-        /** Whether the counter has responded on any connection since that time. */
-        boolean hasRespondedSince(long us);
+        /** Whether the counter has responded on any connection since a time of the event loop's clock. */
+        boolean hasRespondedSince(long sinceUs);
 
-        /** The connection is closed. */
+        /** Called when the connection has been closed. */
         void connectionClosed(CounterConnection connection);
     }
 
     private static final int MAX_BUFFER_BYTES = 64 << 10;
-    private static final long STALLED_RESPONSE_US = 5_000; // without a byte amid a response of a hundred bytes
+    // Without a byte in the middle of a response, which has about a hundred bytes.
+    private static final long STALL_TIMEOUT_US = 5_000;
 
     private static final class Call {
         final long name;
         final long sentUs;
-        final long endOffset; // of its last byte in the bytes sent on the connection
-        boolean reported;
+        final long endOffset; // the number of bytes buffered on the connection up to the end of this call
+        boolean reported; // whether the listener was notified of the call's end
 
         Call(long name, long sentUs, long endOffset) {
             this.name = name;
@@ -50,20 +53,24 @@
     private final Listener listener;
     private final long timeoutUs;
     private final HttpReader reader = new HttpReader(HttpReader.Kind.RESPONSE);
-    private final Deque<Call> pending = new ArrayDeque<>(); // emptied by responses and by the connection's end
-    private final Deque<Call> awaited = new ArrayDeque<>(); // those of them that have not timed out
-    private long bufferedBytes; // since the connection was opened
-    private long writtenBytes; // of the bytes buffered
+    private final Deque<Call> pending = new ArrayDeque<>(); // calls without a response, in the order sent
+    private final Deque<Call> awaited = new ArrayDeque<>(); // the pending calls that have not timed out
+    private long bufferedBytes; // total of bytes put into the send buffer since the connection was opened
+    private long writtenBytes; // how many of bufferedBytes were written to the socket
     private long lastReceivedUs;
-    private long partialResponseUs; // when bytes last arrived that left a response incomplete
+    private long lastPartialReadUs; // when bytes last arrived that left a response incomplete
     private boolean timeoutArmed;
     private boolean draining;
 
     /**
-     * Starts to open a connection to the counter.
+     * Starts to connect to the counter.
      *
-     * @param timeoutUs after which a call counts as timed out
-     * @throws IOException if the system refuses the socket
+     * @param loop the event loop on which the connection is handled
+     * @param address the counter's address
+     * @param timeoutUs the time after which a call counts as timed out, in microseconds
+     * @param budget is notified of the memory that the connection's buffers take
+     * @param listener is notified of the connection's events
+     * @throws IOException if no socket can be opened, or if connecting fails at once
      */
     public CounterConnection(
             EventLoop loop, SocketAddress address, long timeoutUs, ResourceBudget budget, Listener listener)
@@ -75,20 +82,22 @@
     }
 
     /**
-     * Sends a call that adds an amount to a name.
+     * Sends a call that adds an amount to the total of a name.
      *
-     * @param timeToLiveMs how long the counter keeps the name
-     * @return false if the send buffer has no room for it; the call does not take place then
+     * @param name the name
+     * @param amount the amount to add
+     * @param timeToLiveMs how long the counter keeps the name, in milliseconds
+     * @return false if the send buffer has no room for the call, which is not made then
      */
     public boolean sendCall(long name, double amount, long timeToLiveMs) {
-        int before = out.size();
+        int sizeBefore = out.size();
         if (!CounterProtocol.writeRequest(name, amount, timeToLiveMs, out)) {
             return false;
         }
         if (pending.isEmpty()) {
             lastReceivedUs = loop.nowUs();
         }
-        bufferedBytes += out.size() - before;
+        bufferedBytes += out.size() - sizeBefore;
         Call call = new Call(name, loop.nowUs(), bufferedBytes);
         pending.add(call);
         awaited.add(call);
@@ -100,7 +109,7 @@
         return true;
     }
 
-    /** No more calls are made: the connection closes once no call is pending. */
+    /** Closes the connection once no call is pending. No more calls may be sent on the connection. */
     public void drain() {
         draining = true;
         if (pending.isEmpty()) {
@@ -108,9 +117,9 @@
         }
     }
 
-    /** Whether nothing has arrived for longer than that while a call is pending. */
-    public boolean isStalled(long stallUs) {
-        return !pending.isEmpty() && loop.nowUs() - lastReceivedUs > stallUs;
+    /** Whether a call is pending and nothing has arrived for longer than a time in microseconds. */
+    public boolean isStalled(long thresholdUs) {
+        return !pending.isEmpty() && loop.nowUs() - lastReceivedUs > thresholdUs;
     }
 
     private void handleTimeout() {
@@ -119,16 +128,16 @@
             return;
         }
         if (!isConnected() && !awaited.isEmpty() && loop.nowUs() - awaited.peek().sentUs >= timeoutUs) {
-            endCalls(); // never came up: nothing was written, and nothing may be later
+            endPendingCalls(); // never connected: no call was written, and none may be written later
             close();
             return;
         }
         if (isStalled(timeoutUs) && listener.hasRespondedSince(pending.peek().sentUs)) {
-            abandon(); // this connection alone fell silent: the counter responds on others
+            abandon(); // only this connection is silent: the counter responds on others
             return;
         }
         while (!awaited.isEmpty() && loop.nowUs() - awaited.peek().sentUs >= timeoutUs) {
-            report(awaited.poll(), Outcome.TIMED_OUT, 0);
+            reportEnd(awaited.poll(), Outcome.TIMED_OUT, 0);
         }
         if (!awaited.isEmpty()) {
             timeoutArmed = true;
@@ -136,7 +145,7 @@
         }
     }
 
-    private void report(Call call, Outcome outcome, double total) {
+    private void reportEnd(Call call, Outcome outcome, double total) {
         if (!call.reported) {
             call.reported = true;
             listener.callEnded(call.name, outcome, total, loop.nowUs() - call.sentUs);
@@ -162,47 +171,53 @@
                 awaited.remove(call);
                 boolean keepAlive = reader.keepAlive();
                 reader.removeMessage(in);
-                report(call, reply.outcome(), reply.total());
+                reportEnd(call, reply.outcome(), reply.total());
                 if ((!keepAlive || (draining && pending.isEmpty())) && !isClosed()) {
-                    endCalls();
+                    endPendingCalls();
                     close();
                 }
             }
             if (!isClosed() && !in.isEmpty()) {
-                partialResponseUs = lastReceivedUs;
-                loop.scheduleAfter(STALLED_RESPONSE_US, this::checkForStall);
+                lastPartialReadUs = lastReceivedUs;
+                loop.scheduleAfter(STALL_TIMEOUT_US, this::checkForStall);
             }
         } catch (MalformedMessageException e) {
-            responseUnreadable();
+            failUnreadableResponse();
         }
     }
 
-    /** The first pending call was added. No later response on this connection can be matched to its call any more. */
-    private void responseUnreadable() {
+    /**
+     * Ends the first pending call as unreadable, since the counter has executed the call, and abandons the connection,
+     * since later responses cannot be matched to their calls any more.
+     */
+    private void failUnreadableResponse() {
         Call call = pending.poll();
         if (call != null) {
-            report(call, Outcome.UNREADABLE, 0);
+            reportEnd(call, Outcome.UNREADABLE, 0);
         }
         abandon();
     }
 
-    /** A response that begins and does not go on would let all calls behind it time out. */
+    /** Treats a response that has begun and then stalls as unreadable; otherwise all calls behind it would time out. */
     private void checkForStall() {
-        if (!isClosed() && !in.isEmpty() && partialResponseUs == lastReceivedUs) {
-            responseUnreadable();
+        if (!isClosed() && !in.isEmpty() && lastPartialReadUs == lastReceivedUs) {
+            failUnreadableResponse();
         }
     }
 
-    /** A call that was written completely may have been added, or may yet be; the others never are. */
     @Override
     protected void disconnected(CloseCause cause) {
-        endCalls();
+        endPendingCalls();
     }
 
-    private void endCalls() {
+    /**
+     * Ends all pending calls. A call that was written completely may have been executed or may be executed later; the
+     * others never are.
+     */
+    private void endPendingCalls() {
         while (!pending.isEmpty()) {
             Call call = pending.poll();
-            report(call, call.endOffset <= writtenBytes ? Outcome.RESET : Outcome.CONNECT_FAILED, 0);
+            reportEnd(call, call.endOffset <= writtenBytes ? Outcome.RESET : Outcome.CONNECT_FAILED, 0);
         }
         awaited.clear();
     }
@@ -210,7 +225,7 @@
     /** Ends all pending calls and closes the connection. */
     public void abandon() {
         if (!isClosed()) {
-            endCalls();
+            endPendingCalls();
             close();
         }
     }
--- a/src/main/java/hopdrum/frontdoor/connection/DiscoveredBackend.java
+++ b/src/main/java/hopdrum/frontdoor/connection/DiscoveredBackend.java
@@ -8,16 +8,16 @@
 import java.util.Map;
 
 /**
- * One backend of an endpoint list, as discovery or the configuration gives it.
+ * A backend in an endpoint list from discovery or from the configuration.
  *
- * @param name its name, by which later lists refer to it
- * @param address where it takes requests
- * @param zone the name of its zone
- * @param kind the name of its kind of machine
- * @param cell the number of its cell
- * @param weight its share of the requests among backends of its kind
- * @param startedAtMs when it started, milliseconds of the wall clock; 0 means long ago
- * @param state whether it is ready, draining or gone
+ * @param name the backend's name, by which later lists refer to it
+ * @param address the address on which the backend accepts requests
+ * @param zone the name of the backend's zone
+ * @param kind the name of the kind of backend
+ * @param cell the number of the backend's cell
+ * @param weight the backend's share of the requests among the backends of its kind
+ * @param startedAtMs when the backend started, in milliseconds of the wall clock; 0 means long ago
+ * @param state whether the backend is ready, draining or gone
  */
 public record DiscoveredBackend(
         String name,
@@ -33,16 +33,17 @@
      * Reads the backends of an endpoint list.
      *
      * @param message the list as parsed from JSON
-     * @throws IllegalArgumentException if any of it is malformed; its message names the field
+     * @return the backends, in the order of the list
+     * @throws IllegalArgumentException if the list is malformed; the message names the field at fault
      */
     public static List<DiscoveredBackend> parseList(Map<?, ?> message) {
         if (!(message.get("hosts") instanceof List<?> hosts)) {
-            throw new IllegalArgumentException("no list of hosts");
+            throw new IllegalArgumentException("the endpoint list has no list of hosts");
         }
         List<DiscoveredBackend> backends = new ArrayList<>();
         for (Object host : hosts) {
             if (!(host instanceof Map<?, ?> fields)) {
-                throw new IllegalArgumentException("a host is no object");
+                throw new IllegalArgumentException("a host in the endpoint list is not an object");
             }
             backends.add(parse(fields));
         }
@@ -66,7 +67,7 @@
             case "in_service" -> Endpoint.State.READY;
             case "terminating" -> Endpoint.State.DRAINING;
             case "terminated" -> Endpoint.State.GONE;
-            default -> throw new IllegalArgumentException("unknown health " + health);
+            default -> throw new IllegalArgumentException("a host has the unknown health " + health);
         };
     }
 
@@ -74,17 +75,18 @@
         if (fields.get(key) instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw new IllegalArgumentException("a host without " + key);
+        throw new IllegalArgumentException("a host in the endpoint list lacks " + key);
     }
 
-    private static double number(Map<?, ?> fields, String key, double absent) {
+    private static double number(Map<?, ?> fields, String key, double defaultValue) {
         Object value = fields.get(key);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (value instanceof Double number) {
             return number;
         }
-        throw new IllegalArgumentException("a host whose " + key + " is no number");
+        throw new IllegalArgumentException(
+                "a host in the endpoint list has a value for " + key + " that is not a number");
     }
 }
--- a/src/main/java/hopdrum/frontdoor/connection/InFlightRequest.java
+++ b/src/main/java/hopdrum/frontdoor/connection/InFlightRequest.java
@@ -4,15 +4,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request in flight: the client that waits for its response, its handle at Policy, and its attempts. */
+/**
+ * A request in flight, with the client that waits for the response, Policy's handle of the request, and its attempts.
+ */
 public final class InFlightRequest {
     private final long id;
     private final String traceId;
     private final long expiresAtUs;
     private final boolean forwardedByPartner;
     private final List<Attempt> attempts = new ArrayList<>(1);
-    private ClientConnection client; // null once it has its response, or has disconnected
-    private Request handle; // null until Policy has taken the request
+    private ClientConnection client; // null once the client has a response or has disconnected
+    private Request handle; // null until Policy has received the request
 
     InFlightRequest(long id, String traceId, ClientConnection client, long expiresAtUs, boolean forwardedByPartner) {
         this.id = id;
@@ -22,7 +24,7 @@
         this.forwardedByPartner = forwardedByPartner;
     }
 
-    /** The number by which Policy knows the request. */
+    /** The id that Policy uses for the request. */
     public long id() {
         return id;
     }
@@ -31,7 +33,7 @@
         return traceId;
     }
 
-    /** When the client stops waiting for the response. */
+    /** When the client stops waiting for the response, in microseconds of the event loop's clock. */
     public long expiresAtUs() {
         return expiresAtUs;
     }
@@ -41,24 +43,24 @@
         return forwardedByPartner;
     }
 
-    /** The client that waits for the response; null once it has one, or has disconnected. */
+    /** The client that waits for the response; null once the client has a response or has disconnected. */
     public ClientConnection client() {
         return client;
     }
 
-    /** Ends the client's wait: returns the client that was waiting, null if there was none. */
+    /** Detaches the client, which no longer waits for a response, and returns it; null if no client was waiting. */
     public ClientConnection detachClient() {
         ClientConnection detached = client;
         client = null;
         return detached;
     }
 
-    /** Policy's handle of the request; null until Policy has taken it. */
+    /** Policy's handle of the request; null until Policy has received the request. */
     public Request handle() {
         return handle;
     }
 
-    /** Stores the handle that Policy gave out for the request. */
+    /** Sets the handle that Policy has returned for the request. */
     public void setHandle(Request policyHandle) {
         handle = policyHandle;
     }
@@ -66,8 +68,10 @@
     /**
      * Adds the next attempt.
      *
-     * @param timeoutUs how long Policy waits for the attempt's response
-     * @param writeWithinUs how long the attempt may wait for its connection before it is written
+     * @param nowUs when the attempt starts, in microseconds of the event loop's clock
+     * @param timeoutUs how long Policy waits for the response to the attempt, in microseconds
+     * @param writeWithinUs how long the attempt may wait for its connection before it is written, in microseconds
+     * @return the attempt
      */
     public Attempt addAttempt(long nowUs, long timeoutUs, long writeWithinUs) {
         Attempt attempt = new Attempt(this, attempts.size(), nowUs, timeoutUs, writeWithinUs);
@@ -75,7 +79,7 @@
         return attempt;
     }
 
-    /** The attempt of that number; null if there is none. */
+    /** The attempt with this index; null if there is none. */
     public Attempt attempt(int number) {
         return number < attempts.size() ? attempts.get(number) : null;
     }
--- a/src/main/java/hopdrum/frontdoor/connection/InFlightRequests.java
+++ b/src/main/java/hopdrum/frontdoor/connection/InFlightRequests.java
@@ -5,15 +5,21 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The requests in flight by the ids that Policy knows them by. An entry is removed when Policy is done with it. */
+/** The requests in flight, by the ids that Policy uses for them. A request is removed when Policy has finished it. */
 public final class InFlightRequests {
     private final Map<Long, InFlightRequest> byId = new HashMap<>();
     private final Set<String> traceIds = new HashSet<>(); // of the requests in byId
     private long nextId = 1;
 
     /**
-     * Adds a request. Returns null while another one with that trace id is in flight, so that no client can take over
-     * another's request.
+     * Adds a request. Returns null if another request with the same trace id is in flight, so that no client can take
+     * over the request of another.
+     *
+     * @param client the client that waits for the response
+     * @param traceId the request's trace id
+     * @param expiresAtUs when the client stops waiting, in microseconds of the event loop's clock
+     * @param forwardedByPartner whether a partner's front door has forwarded the request to this one
+     * @return the request; null if the trace id is in use
      */
     public InFlightRequest add(ClientConnection client, String traceId, long expiresAtUs, boolean forwardedByPartner) {
         if (!traceIds.add(traceId)) {
@@ -24,26 +30,26 @@
         return request;
     }
 
-    /** The request of that id; null if it is not in flight. */
+    /** The request with this id; null if it is not in flight. */
     public InFlightRequest get(long id) {
         return byId.get(id);
     }
 
-    /** Removes the request if Policy is done with it. */
+    /** Removes the request if Policy has finished it. */
     public void removeIfDone(InFlightRequest request) {
         if (request.handle().isFinished()) {
             remove(request);
         }
     }
 
-    /** Removes the request, also one that Policy never took. */
+    /** Removes the request, whether or not Policy has received it. */
     public void remove(InFlightRequest request) {
         if (byId.remove(request.id()) != null) {
             traceIds.remove(request.traceId());
         }
     }
 
-    /** How many requests are in flight. */
+    /** The number of requests in flight. */
     public int size() {
         return byId.size();
     }
--- a/src/main/java/hopdrum/frontdoor/connection/ResourceBudget.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ResourceBudget.java
@@ -2,80 +2,80 @@
 
 import hopdrum.frontdoor.wire.RingBuffer;
 
-/** Limits on the descriptors, memory and transfer time of all connections, and what is in use now. */
+/** The limits on the file descriptors, memory and transfer time of all connections, and what is in use now. */
 public final class ResourceBudget implements RingBuffer.MemoryListener {
     private static final int RESERVED_DESCRIPTORS = 32; // for files, discovery, the counter, UDP and the selector
     private static final int MIN_CONNECTIONS = 8;
-    private final int maxClients;
-    private final int maxBackends;
+    private final int maxClientConnections;
+    private final int maxBackendConnections;
     private final long maxBytes;
     private final long transferTimeoutUs;
-    private int clients;
-    private int backends;
-    private long bytes;
+    private int clientConnections;
+    private int backendConnections;
+    private long bufferBytes;
 
     /**
-     * Splits the descriptors between clients and backends.
+     * Creates a budget, which splits the descriptors between clients and backends.
      *
-     * @param sockets descriptors that the process may have open
-     * @param memoryBytes bytes that the connections' buffers may hold
-     * @param transferTimeoutUs how long a client may take to send a message, microseconds
+     * @param maxDescriptors the number of file descriptors that the process may have open
+     * @param maxBytes the memory that the connections' buffers may take, in bytes
+     * @param transferTimeoutUs how long a client may take to send a message, in microseconds
      */
-    public ResourceBudget(int sockets, long memoryBytes, long transferTimeoutUs) {
+    public ResourceBudget(int maxDescriptors, long maxBytes, long transferTimeoutUs) {
         this.transferTimeoutUs = transferTimeoutUs;
-        int connections = Math.max(MIN_CONNECTIONS, sockets - RESERVED_DESCRIPTORS);
-        maxBackends = connections / 3; // a queued request holds a client's connection alone
-        maxClients = connections - maxBackends;
-        maxBytes = memoryBytes;
+        int connections = Math.max(MIN_CONNECTIONS, maxDescriptors - RESERVED_DESCRIPTORS);
+        maxBackendConnections = connections / 3; // fewer, since a queued request holds only a client's connection
+        maxClientConnections = connections - maxBackendConnections;
+        this.maxBytes = maxBytes;
     }
 
-    /** How long a client may take to send a message, microseconds. */
+    /** How long a client may take to send a message, in microseconds. */
     public long transferTimeoutUs() {
         return transferTimeoutUs;
     }
 
-    /** Whether one more client's connection is within the limits. */
+    /** Whether the limits allow one more connection from a client. */
     public boolean hasRoomForClient() {
-        return clients < maxClients && bytes < maxBytes;
+        return clientConnections < maxClientConnections && bufferBytes < maxBytes;
     }
 
-    /** Whether one more connection to a backend is within the limits. */
+    /** Whether the limits allow one more connection to a backend. */
     public boolean hasRoomForBackend() {
-        return backends < maxBackends && bytes < maxBytes;
+        return backendConnections < maxBackendConnections && bufferBytes < maxBytes;
     }
 
-    /** Counts a client's connection. */
+    /** Counts a new connection from a client. */
     public void clientOpened() {
-        clients++;
+        clientConnections++;
     }
 
-    /** Gives back what {@link #clientOpened()} counted. */
+    /** Reverts {@link #clientOpened()} once the connection is closed. */
     public void clientClosed() {
-        clients--;
+        clientConnections--;
     }
 
-    /** Counts a connection to a backend. */
+    /** Counts a new connection to a backend. */
     public void backendOpened() {
-        backends++;
+        backendConnections++;
     }
 
-    /** Gives back what {@link #backendOpened()} counted. */
+    /** Reverts {@link #backendOpened()} once the connection is closed. */
     public void backendClosed() {
-        backends--;
+        backendConnections--;
     }
 
-    /** How many clients' connections are open. */
+    /** The number of open connections from clients. */
     public int clientConnections() {
-        return clients;
+        return clientConnections;
     }
 
-    /** How many connections to backends are open. */
+    /** The number of open connections to backends. */
     public int backendConnections() {
-        return backends;
+        return backendConnections;
     }
 
     @Override
     public void memoryChanged(int deltaBytes) {
-        bytes += deltaBytes;
+        bufferBytes += deltaBytes;
     }
 }
