--- a/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendConnection.java
@@ -96,10 +96,10 @@
      * the time that remains when it is written. Returns false, and closes the connection, if the request does not fit
      * into the send buffer.
      */
-    public boolean send(Attempt assigned) {
-        attempt = assigned;
+    public boolean send(Attempt newAttempt) {
+        attempt = newAttempt;
         lastPartialReadUs = 0;
-        assigned.assignTo(this);
+        newAttempt.assignTo(this);
         requestWritten = false;
         if (isConnected() && !writeRequest()) {
             detachAttempt();
@@ -136,18 +136,18 @@
         } else if (loop.nowUs() >= attempt.writeByUs() || !pool.acceptsAttempts()) {
             endUnsentAttempt(Outcome.CONNECT_FAILED);
         } else if (!writeRequest()) {
-            Attempt ended = detachAttempt();
+            Attempt endedAttempt = detachAttempt();
             close();
-            listener.attemptEnded(ended, Outcome.CONNECT_FAILED, NO_REPORT);
+            listener.attemptEnded(endedAttempt, Outcome.CONNECT_FAILED, NO_REPORT);
         }
     }
 
     /** Ends an attempt for which the connection was established too late, and keeps the connection for another one. */
     private void endUnsentAttempt(Outcome outcome) {
-        Attempt ended = detachAttempt();
+        Attempt endedAttempt = detachAttempt();
         idleSinceUs = loop.nowUs();
         pool.release(this);
-        listener.attemptEnded(ended, outcome, NO_REPORT);
+        listener.attemptEnded(endedAttempt, outcome, NO_REPORT);
     }
 
     private void connectTimedOut() {
@@ -188,18 +188,18 @@
     /** The backend has executed the request, and a malformed response says nothing about the backend's health. */
     private void failUnreadableResponse(String reason) {
         LOG.warning("a response of a backend cannot be read", reason);
-        Attempt ended = detachAttempt();
+        Attempt endedAttempt = detachAttempt();
         close();
-        listener.attemptEnded(ended, Outcome.UNREADABLE, NO_REPORT);
+        listener.attemptEnded(endedAttempt, Outcome.UNREADABLE, NO_REPORT);
     }
 
     /** Ends an attempt whose response has begun and then stalls, since its client would wait in vain. */
-    private void watchForStall(long delayUs, Attempt watched) {
+    private void watchForStall(long delayUs, Attempt watchedAttempt) {
         loop.scheduleAfter(delayUs, () -> {
             long remainingUs = lastPartialReadUs + STALL_TIMEOUT_US - loop.nowUs();
-            if (attempt == watched && !isClosed() && remainingUs > 0) {
-                watchForStall(remainingUs, watched);
-            } else if (attempt == watched && !isClosed()) {
+            if (attempt == watchedAttempt && !isClosed() && remainingUs > 0) {
+                watchForStall(remainingUs, watchedAttempt);
+            } else if (attempt == watchedAttempt && !isClosed()) {
                 failUnreadableResponse("the response stalled before its end");
             }
         });
@@ -210,26 +210,26 @@
      * since the listener may use the connection again at once.
      */
     private void completeResponse(boolean reusable) {
-        Attempt ended = detachAttempt();
+        Attempt endedAttempt = detachAttempt();
         Outcome outcome =
                 pool.isPartner() ? BackendResponse.partnerOutcome(reader) : BackendResponse.outcome(in, reader);
         float[] report = BackendResponse.loadReport(in, reader, reportFields);
         if (outcome == Outcome.OK || (pool.isPartner() && HttpWriter.isFinalStatus(reader.status()))) {
-            listener.forwardResponse(ended, in, reader);
+            listener.forwardResponse(endedAttempt, in, reader);
         }
         if (reusable) {
             becomeIdle();
         } else {
             close();
         }
-        listener.attemptEnded(ended, outcome, report);
+        listener.attemptEnded(endedAttempt, outcome, report);
     }
 
     private Attempt detachAttempt() {
-        Attempt ended = attempt;
+        Attempt endedAttempt = attempt;
         attempt = null;
-        ended.unassign();
-        return ended;
+        endedAttempt.unassign();
+        return endedAttempt;
     }
 
     private void becomeIdle() {
--- a/src/main/java/hopdrum/frontdoor/connection/BackendDirectory.java
+++ b/src/main/java/hopdrum/frontdoor/connection/BackendDirectory.java
@@ -45,15 +45,15 @@
 
     /** Closes the connection that has been idle longest, if any, to make room for another one. */
     public void closeLongestIdle() {
-        BackendConnection longest = null;
+        BackendConnection longestIdle = null;
         for (ConnectionPool pool : byId.values()) {
             BackendConnection idle = pool.longestIdle();
-            if (idle != null && (longest == null || idle.idleSinceUs() < longest.idleSinceUs())) {
-                longest = idle;
+            if (idle != null && (longestIdle == null || idle.idleSinceUs() < longestIdle.idleSinceUs())) {
+                longestIdle = idle;
             }
         }
-        if (longest != null) {
-            longest.close();
+        if (longestIdle != null) {
+            longestIdle.close();
         }
     }
 
@@ -68,10 +68,10 @@
     public List<Endpoint> applyEndpointList(List<DiscoveredBackend> backends, boolean complete) {
         if (complete) {
             // Backends that are still named must not be withdrawn in between, since that closes their idle connections.
-            Set<String> named = new HashSet<>();
-            backends.forEach(backend -> named.add(backend.name()));
-            byName.forEach(
-                    (name, pool) -> pool.setListed(named.contains(name) || (pool.isPartner() && pool.isListed())));
+            Set<String> listedNames = new HashSet<>();
+            backends.forEach(backend -> listedNames.add(backend.name()));
+            byName.forEach((name, pool) ->
+                    pool.setListed(listedNames.contains(name) || (pool.isPartner() && pool.isListed())));
         }
         List<Endpoint> endpoints = new ArrayList<>();
         for (DiscoveredBackend backend : backends) {
@@ -106,7 +106,7 @@
      */
     public List<Endpoint> applyPartners(int tier, List<ShardOwnership.PartnerEndpoint> partners) {
         String prefix = "tier " + tier + ": "; // discovery gives no name with this prefix
-        Set<String> named = new HashSet<>();
+        Set<String> listedNames = new HashSet<>();
         List<Endpoint> endpoints = new ArrayList<>();
         for (ShardOwnership.PartnerEndpoint partner : partners) {
             String name = prefix + partner.name();
@@ -114,12 +114,12 @@
                     name, key -> new ConnectionPool(nextId++, Config.parseAddress("serves", partner.address()), true));
             byId.put(pool.backendId(), pool);
             pool.updateState(Endpoint.State.READY);
-            named.add(name);
+            listedNames.add(name);
             endpoints.add(new Endpoint(
                     pool.backendId(), Math.max(0, zones.indexOf(partner.site())), 0, 0, Endpoint.State.READY, 1, 0));
         }
-        byName.forEach(
-                (name, pool) -> pool.setListed(pool.isListed() && (!name.startsWith(prefix) || named.contains(name))));
+        byName.forEach((name, pool) ->
+                pool.setListed(pool.isListed() && (!name.startsWith(prefix) || listedNames.contains(name))));
         removeWithdrawn();
         return endpoints;
     }
--- a/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ClientConnection.java
@@ -108,8 +108,8 @@
     }
 
     /** Attaches the request that the message at the front contains; further messages wait for its response. */
-    public void attachRequest(InFlightRequest inFlight) {
-        request = inFlight;
+    public void attachRequest(InFlightRequest inFlightRequest) {
+        request = inFlightRequest;
     }
 
     @Override
@@ -216,11 +216,11 @@
      * @return false if the send buffer has no room for the response
      */
     public boolean forwardResponse(RingBuffer from, HttpReader response) {
-        boolean last = !reader.keepAlive() || listener.closesAfterResponse(in.size() > reader.messageTo());
-        if (!HttpWriter.forwardResponse(from, response, last, out)) {
+        boolean lastResponse = !reader.keepAlive() || listener.closesAfterResponse(in.size() > reader.messageTo());
+        if (!HttpWriter.forwardResponse(from, response, lastResponse, out)) {
             return false;
         }
-        responseBuffered(last);
+        responseBuffered(lastResponse);
         return true;
     }
 
@@ -232,18 +232,19 @@
      * @param close whether the connection is closed after the response in any case
      */
     public void respond(int status, long retryAfterUs, boolean close) {
-        boolean last = close || !reader.keepAlive() || listener.closesAfterResponse(in.size() > reader.messageTo());
-        if (!HttpWriter.writeEmptyResponse(status, retryAfterUs, last, out)) {
+        boolean lastResponse =
+                close || !reader.keepAlive() || listener.closesAfterResponse(in.size() > reader.messageTo());
+        if (!HttpWriter.writeEmptyResponse(status, retryAfterUs, lastResponse, out)) {
             loop.runAfterCurrentEvent(this::close);
             return;
         }
-        responseBuffered(last);
+        responseBuffered(lastResponse);
     }
 
-    private void responseBuffered(boolean last) {
+    private void responseBuffered(boolean lastResponse) {
         request = null;
-        closing = last;
-        if (last) {
+        closing = lastResponse;
+        if (lastResponse) {
             in.skip(in.size());
         } else {
             reader.removeMessage(in);
@@ -257,7 +258,7 @@
             timeout = loop.scheduleAfter(
                     READ_RESPONSE_TIMEOUT_US, this::transferTimedOut); // the client may never read the response
         }
-        if (!last) {
+        if (!lastResponse) {
             loop.runAfterCurrentEvent(this::resumeAfterResponse);
         }
     }
@@ -293,11 +294,11 @@
      * Ends the outgoing stream and gives the client some time to close the connection first. Closing at once could
      * reset the connection before the client has read the last response.
      */
-    private void linger(long maxUs) {
+    private void linger(long maxLingerUs) {
         endSending();
         if (!isClosed()) {
             idleSinceUs = loop.nowUs();
-            timeout = loop.scheduleAfter(maxUs, this::close);
+            timeout = loop.scheduleAfter(maxLingerUs, this::close);
             listener.connectionLingering(this);
         }
     }
--- a/src/main/java/hopdrum/frontdoor/connection/ConnectionPool.java
+++ b/src/main/java/hopdrum/frontdoor/connection/ConnectionPool.java
@@ -14,8 +14,8 @@
     private final long backendId;
     private final boolean partner;
     private InetSocketAddress address;
-    private final Set<BackendConnection> open = new HashSet<>(); // a connection removes itself when it closes
-    private final Deque<BackendConnection> idle = new ArrayDeque<>(); // those open that are idle, longest idle first
+    private final Set<BackendConnection> openConnections = new HashSet<>(); // a closed connection removes itself
+    private final Deque<BackendConnection> idleConnections = new ArrayDeque<>(); // open ones, longest idle first
     private boolean listed = true;
     private boolean accepting = true;
 
@@ -75,7 +75,7 @@
     }
 
     boolean isEmpty() {
-        return open.isEmpty();
+        return openConnections.isEmpty();
     }
 
     /**
@@ -86,7 +86,7 @@
      * @param nowUs the time of the event loop's clock, in microseconds
      */
     public BackendConnection acquireIdle(long nowUs) {
-        Iterator<BackendConnection> mostRecentFirst = idle.descendingIterator();
+        Iterator<BackendConnection> mostRecentFirst = idleConnections.descendingIterator();
         while (mostRecentFirst.hasNext()) {
             BackendConnection connection = mostRecentFirst.next();
             if (nowUs - connection.idleSinceUs() >= MIN_IDLE_US) {
@@ -100,13 +100,13 @@
 
     /** Adds a new connection to the backend; it becomes idle only by {@link #release}. */
     public void add(BackendConnection connection) {
-        open.add(connection);
+        openConnections.add(connection);
     }
 
     /** Takes back a connection that is free for another attempt, or closes it if the backend has been withdrawn. */
     void release(BackendConnection connection) {
         if (listed) {
-            idle.addLast(connection);
+            idleConnections.addLast(connection);
         } else {
             connection.close();
         }
@@ -114,24 +114,24 @@
 
     /** Removes a connection that has been closed. */
     void remove(BackendConnection connection) {
-        open.remove(connection);
-        idle.remove(connection);
+        openConnections.remove(connection);
+        idleConnections.remove(connection);
     }
 
     BackendConnection longestIdle() {
-        return idle.peekFirst();
+        return idleConnections.peekFirst();
     }
 
     /** Closes all connections. */
     public void closeAll() {
-        while (!open.isEmpty()) {
-            open.iterator().next().close();
+        while (!openConnections.isEmpty()) {
+            openConnections.iterator().next().close();
         }
     }
 
     private void closeIdle() {
-        while (!idle.isEmpty()) {
-            idle.peekLast().close();
+        while (!idleConnections.isEmpty()) {
+            idleConnections.peekLast().close();
         }
     }
 
@@ -140,8 +140,8 @@
      * since an attempt that is sent just as the backend closes the connection is reset.
      */
     public void closeIdleSince(long beforeUs) {
-        while (!idle.isEmpty() && idle.peekFirst().idleSinceUs() < beforeUs) {
-            idle.peekFirst().close();
+        while (!idleConnections.isEmpty() && idleConnections.peekFirst().idleSinceUs() < beforeUs) {
+            idleConnections.peekFirst().close();
         }
     }
 }
--- a/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
+++ b/src/main/java/hopdrum/frontdoor/connection/CounterConnection.java
@@ -53,8 +53,8 @@
     private final Listener listener;
     private final long timeoutUs;
     private final HttpReader reader = new HttpReader(HttpReader.Kind.RESPONSE);
-    private final Deque<Call> pending = new ArrayDeque<>(); // calls without a response, in the order sent
-    private final Deque<Call> awaited = new ArrayDeque<>(); // the pending calls that have not timed out
+    private final Deque<Call> pendingCalls = new ArrayDeque<>(); // calls without a response, in the order sent
+    private final Deque<Call> awaitedCalls = new ArrayDeque<>(); // the pending calls that have not timed out
     private long bufferedBytes; // total of bytes put into the send buffer since the connection was opened
     private long writtenBytes; // how many of bufferedBytes were written to the socket
     private long lastReceivedUs;
@@ -94,13 +94,13 @@
         if (!CounterProtocol.writeRequest(name, amount, timeToLiveMs, out)) {
             return false;
         }
-        if (pending.isEmpty()) {
+        if (pendingCalls.isEmpty()) {
             lastReceivedUs = loop.nowUs();
         }
         bufferedBytes += out.size() - sizeBefore;
         Call call = new Call(name, loop.nowUs(), bufferedBytes);
-        pending.add(call);
-        awaited.add(call);
+        pendingCalls.add(call);
+        awaitedCalls.add(call);
         flush();
         if (!timeoutArmed) {
             timeoutArmed = true;
@@ -112,14 +112,14 @@
     /** Closes the connection once no call is pending. No more calls may be sent on the connection. */
     public void drain() {
         draining = true;
-        if (pending.isEmpty()) {
+        if (pendingCalls.isEmpty()) {
             close();
         }
     }
 
     /** Whether a call is pending and nothing has arrived for longer than a time in microseconds. */
     public boolean isStalled(long thresholdUs) {
-        return !pending.isEmpty() && loop.nowUs() - lastReceivedUs > thresholdUs;
+        return !pendingCalls.isEmpty() && loop.nowUs() - lastReceivedUs > thresholdUs;
     }
 
     private void handleTimeout() {
@@ -127,21 +127,21 @@
         if (isClosed()) {
             return;
         }
-        if (!isConnected() && !awaited.isEmpty() && loop.nowUs() - awaited.peek().sentUs >= timeoutUs) {
+        if (!isConnected() && !awaitedCalls.isEmpty() && loop.nowUs() - awaitedCalls.peek().sentUs >= timeoutUs) {
             endPendingCalls(); // never connected: no call was written, and none may be written later
             close();
             return;
         }
-        if (isStalled(timeoutUs) && listener.hasRespondedSince(pending.peek().sentUs)) {
+        if (isStalled(timeoutUs) && listener.hasRespondedSince(pendingCalls.peek().sentUs)) {
             abandon(); // only this connection is silent: the counter responds on others
             return;
         }
-        while (!awaited.isEmpty() && loop.nowUs() - awaited.peek().sentUs >= timeoutUs) {
-            reportEnd(awaited.poll(), Outcome.TIMED_OUT, 0);
+        while (!awaitedCalls.isEmpty() && loop.nowUs() - awaitedCalls.peek().sentUs >= timeoutUs) {
+            reportEnd(awaitedCalls.poll(), Outcome.TIMED_OUT, 0);
         }
-        if (!awaited.isEmpty()) {
+        if (!awaitedCalls.isEmpty()) {
             timeoutArmed = true;
-            loop.scheduleAt(awaited.peek().sentUs + timeoutUs, this::handleTimeout);
+            loop.scheduleAt(awaitedCalls.peek().sentUs + timeoutUs, this::handleTimeout);
         }
     }
 
@@ -163,16 +163,16 @@
         try {
             while (!isClosed() && reader.read(in)) {
                 CounterReply reply = CounterProtocol.readReply(in, reader);
-                Call call = pending.poll();
+                Call call = pendingCalls.poll();
                 if (call == null) {
                     close();
                     return;
                 }
-                awaited.remove(call);
+                awaitedCalls.remove(call);
                 boolean keepAlive = reader.keepAlive();
                 reader.removeMessage(in);
                 reportEnd(call, reply.outcome(), reply.total());
-                if ((!keepAlive || (draining && pending.isEmpty())) && !isClosed()) {
+                if ((!keepAlive || (draining && pendingCalls.isEmpty())) && !isClosed()) {
                     endPendingCalls();
                     close();
                 }
@@ -191,7 +191,7 @@
      * since later responses cannot be matched to their calls any more.
      */
     private void failUnreadableResponse() {
-        Call call = pending.poll();
+        Call call = pendingCalls.poll();
         if (call != null) {
             reportEnd(call, Outcome.UNREADABLE, 0);
         }
@@ -215,11 +215,11 @@
      * others never are.
      */
     private void endPendingCalls() {
-        while (!pending.isEmpty()) {
-            Call call = pending.poll();
+        while (!pendingCalls.isEmpty()) {
+            Call call = pendingCalls.poll();
             reportEnd(call, call.endOffset <= writtenBytes ? Outcome.RESET : Outcome.CONNECT_FAILED, 0);
         }
-        awaited.clear();
+        awaitedCalls.clear();
     }
 
     /** Ends all pending calls and closes the connection. */
--- a/src/main/java/hopdrum/frontdoor/connection/InFlightRequest.java
+++ b/src/main/java/hopdrum/frontdoor/connection/InFlightRequest.java
@@ -50,9 +50,9 @@
 
     /** Detaches the client, which no longer waits for a response, and returns it; null if no client was waiting. */
     public ClientConnection detachClient() {
-        ClientConnection detached = client;
+        ClientConnection detachedClient = client;
         client = null;
-        return detached;
+        return detachedClient;
     }
 
     /** Policy's handle of the request; null until Policy has received the request. */
--- a/src/main/java/hopdrum/frontdoor/lifecycle/StreamConnection.java
+++ b/src/main/java/hopdrum/frontdoor/lifecycle/StreamConnection.java
@@ -43,15 +43,19 @@
      *
      * @param loop the event loop on which the connection is handled
      * @param channel the connected channel
-     * @param maxIn the capacity of the receive buffer, in bytes
-     * @param maxOut the capacity of the send buffer, in bytes
+     * @param maxInBytes the capacity of the receive buffer, in bytes
+     * @param maxOutBytes the capacity of the send buffer, in bytes
      * @param memoryListener is notified of the memory that the buffers take
      * @throws IOException if the channel cannot be set up; the channel is closed then
      */
     protected StreamConnection(
-            EventLoop loop, SocketChannel channel, int maxIn, int maxOut, RingBuffer.MemoryListener memoryListener)
+            EventLoop loop,
+            SocketChannel channel,
+            int maxInBytes,
+            int maxOutBytes,
+            RingBuffer.MemoryListener memoryListener)
             throws IOException {
-        this(loop, channel, maxIn, maxOut, memoryListener, true);
+        this(loop, channel, maxInBytes, maxOutBytes, memoryListener, true);
     }
 
     /**
@@ -60,22 +64,22 @@
      *
      * @param loop the event loop on which the connection is handled
      * @param to the address to connect to
-     * @param maxIn the capacity of the receive buffer, in bytes
-     * @param maxOut the capacity of the send buffer, in bytes
+     * @param maxInBytes the capacity of the receive buffer, in bytes
+     * @param maxOutBytes the capacity of the send buffer, in bytes
      * @param memoryListener is notified of the memory that the buffers take
      * @throws IOException if no socket can be opened, or if connecting fails at once
      */
     protected StreamConnection(
-            EventLoop loop, SocketAddress to, int maxIn, int maxOut, RingBuffer.MemoryListener memoryListener)
+            EventLoop loop, SocketAddress to, int maxInBytes, int maxOutBytes, RingBuffer.MemoryListener memoryListener)
             throws IOException {
-        this(loop, open(to), maxIn, maxOut, memoryListener, false);
+        this(loop, open(to), maxInBytes, maxOutBytes, memoryListener, false);
     }
 
     private StreamConnection(
             EventLoop loop,
             SocketChannel channel,
-            int maxIn,
-            int maxOut,
+            int maxInBytes,
+            int maxOutBytes,
             RingBuffer.MemoryListener memoryListener,
             boolean accepted)
             throws IOException {
@@ -90,8 +94,8 @@
             channel.close();
             throw e;
         }
-        in = new RingBuffer(maxIn, memoryListener);
-        out = new RingBuffer(maxOut, memoryListener);
+        in = new RingBuffer(maxInBytes, memoryListener);
+        out = new RingBuffer(maxOutBytes, memoryListener);
     }
 
     private static SocketChannel open(SocketAddress to) throws IOException {
