--- a/src/main/java/hopdrum/fleet/log/FleetLog.java
+++ b/src/main/java/hopdrum/fleet/log/FleetLog.java
@@ -13,36 +13,36 @@
 import java.util.Map;
 
 /**
- * What one member decided, as JSON lines: event, at (milliseconds of the wall clock), mono_us (of the machine's
- * monotonic clock), name, start, and what the event adds. Events that others can cause are logged once a second at most.
- * Thread-safe.
+ * Logs the decisions of one member as JSON lines. Each line has the keys event, at (wall clock, milliseconds), mono_us
+ * (the machine's monotonic clock, microseconds), name and start, followed by the event's own keys. Events that other
+ * processes can cause at any rate are logged at most once a second. Thread-safe.
  */
 public final class FleetLog implements AutoCloseable {
     private static final long MIN_INTERVAL_US = 1_000_000;
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** What is remembered of a rate-limited event. */
+    /** When a rate-limited event was last logged, and how often it has been suppressed since. */
     private static final class RateLimit {
-        long lastUs;
-        long leftOut;
+        long lastLoggedUs;
+        long suppressed;
 
-        RateLimit(long lastUs) {
-            this.lastUs = lastUs;
+        RateLimit(long lastLoggedUs) {
+            this.lastLoggedUs = lastLoggedUs;
         }
     }
 
     private final PrintStream out;
     private final String name;
     private final long start;
-    private final Map<String, RateLimit> rateLimits = new HashMap<>(); // by event; as many as the code has of them
+    private final Map<String, RateLimit> rateLimits = new HashMap<>(); // by event; bounded by the number of event names
 
     /**
-     * Opens a log; lines are appended.
+     * Opens a log, to which lines are appended.
      *
      * @param file the file to write; null for standard error
      * @param name the member's name
      * @param start the member's start number
-     * @throws IOException where the file cannot be opened
+     * @throws IOException if the file cannot be opened
      */
     public FleetLog(Path file, String name, long start) throws IOException {
         this.out = file == null
@@ -59,7 +59,7 @@
      * Logs an event.
      *
      * @param event the event's name
-     * @param pairs keys, each followed by its value
+     * @param pairs alternating keys and values; each key is a string
      */
     public synchronized void event(String event, Object... pairs) {
         Map<String, Object> line = new LinkedHashMap<>();
@@ -74,12 +74,13 @@
         try {
             out.println(MAPPER.writeValueAsString(line));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("the event " + event + " has no JSON form", e);
+            throw new IllegalStateException("the event " + event + " cannot be serialized to JSON", e);
         }
     }
 
     /**
-     * Logs an event that others can cause at any rate: once a second at most; the next line has the number suppressed.
+     * Logs an event that other processes can cause at any rate, at most once a second. The next line of the event tells
+     * how often it was suppressed.
      *
      * @param event the event's name
      * @param reason what happened
@@ -87,13 +88,13 @@
     public synchronized void rateLimitedEvent(String event, String reason) {
         long nowUs = System.nanoTime() / 1000;
         RateLimit limit = rateLimits.computeIfAbsent(event, key -> new RateLimit(nowUs - MIN_INTERVAL_US));
-        if (nowUs - limit.lastUs < MIN_INTERVAL_US) {
-            limit.leftOut++;
+        if (nowUs - limit.lastLoggedUs < MIN_INTERVAL_US) {
+            limit.suppressed++;
             return;
         }
-        event(event, "why", reason, "left_out", limit.leftOut);
-        limit.lastUs = nowUs;
-        limit.leftOut = 0;
+        event(event, "why", reason, "left_out", limit.suppressed);
+        limit.lastLoggedUs = nowUs;
+        limit.suppressed = 0;
     }
 
     @Override
--- a/src/main/java/hopdrum/fleet/log/package-info.java
+++ b/src/main/java/hopdrum/fleet/log/package-info.java
@@ -1,2 +1,2 @@
-/** The decision log of one fleet member: JSON lines, rate-limited where others can cause them. */
+/** The decision log of one fleet member: JSON lines, rate-limited where other processes can cause them. */
 package hopdrum.fleet.log;
--- a/src/main/java/hopdrum/fleet/store/Store.java
+++ b/src/main/java/hopdrum/fleet/store/Store.java
@@ -16,20 +16,20 @@
 import java.util.zip.CRC32C;
 
 /**
- * The durable state of a member: its identity as a voter, the last settled view, and what it has promised for the next. One
- * checksummed file, written beside, forced and moved into place before any promise is answered. The folder is locked
- * while the store is open: guards against one voter in two processes. Not thread-safe.
+ * Stores the durable state of a member: its identity as a voter, the last settled view, and its votes on the next view.
+ * The state is one checksummed file, which is replaced atomically: a new file is written, forced to disk and renamed.
+ * The folder is locked while the store is open, so that no two processes act as the same voter. Not thread-safe.
  */
 public final class Store implements AutoCloseable {
     /**
-     * What a member must not forget over a restart.
+     * The state of a member that must survive a restart.
      *
-     * @param voter the voter's number, drawn when the store was made
-     * @param lastStart the last start's number
+     * @param voter the voter number, drawn when the store was created
+     * @param lastStart the number of the last start
      * @param view the last settled view
-     * @param promised below this ballot nothing is accepted for the view after it
-     * @param acceptedIn the ballot in which a view was accepted; null if none was
-     * @param accepted the view that was accepted; null if none was
+     * @param promised the promised ballot: no view is accepted in a lower ballot as the settled view's successor
+     * @param acceptedIn the ballot in which a view was accepted; null if no view was accepted
+     * @param accepted the accepted view; null if no view was accepted
      */
     public record DurableState(
             long voter, long lastStart, View view, Ballot promised, Ballot acceptedIn, View accepted) {}
@@ -37,7 +37,7 @@
     private static final ObjectMapper MAPPER = new CBORMapper();
     private static final int HEADER_BYTES = 12; // MAGIC, length, checksum
     private static final int MAGIC = 0x68646631; // "hdf1"
-    private static final String FILE = "member.cbor";
+    private static final String FILE_NAME = "member.cbor";
 
     private final Path folder;
     private final FileChannel lockChannel;
@@ -45,10 +45,10 @@
     private String damage;
 
     /**
-     * Opens and locks a store, making its folder where there is none.
+     * Opens and locks a store; creates its folder if that does not exist.
      *
      * @param folder the store's folder
-     * @throws IOException with one line, where the folder cannot be used or is another process's
+     * @throws IOException if the folder cannot be used or is locked, with a message of one line
      */
     public Store(Path folder) throws IOException {
         this.folder = folder;
@@ -58,21 +58,21 @@
             lock = lockChannel.tryLock();
         } catch (OverlappingFileLockException e) {
             lockChannel.close();
-            throw new IOException("the store " + folder + " is in use here already", e);
+            throw new IOException("the store " + folder + " is already open in this process", e);
         }
         if (lock == null) {
             lockChannel.close();
-            throw new IOException("the store " + folder + " is another process's");
+            throw new IOException("the store " + folder + " is locked by another process");
         }
     }
 
     /**
-     * Reads the state. A damaged file is renamed and kept for inspection.
+     * Reads the state. A damaged file is renamed, and so kept for inspection.
      *
-     * @return the state; null where there is none, or it is corrupt: then {@link #damage} has the reason
+     * @return the state; null if there is none, or if the file is damaged, in which case {@link #damage} says how
      */
     public DurableState read() {
-        Path file = folder.resolve(FILE);
+        Path file = folder.resolve(FILE_NAME);
         damage = null;
         try {
             if (!Files.exists(file)) {
@@ -84,39 +84,39 @@
                     || header.getInt() != MAGIC
                     || header.getInt() != bytes.length - HEADER_BYTES
                     || header.getInt() != checksum(bytes, HEADER_BYTES)) {
-                damage = "its length or checksum is wrong";
+                damage = "the magic number, length or checksum is wrong";
             } else {
                 return MAPPER.readValue(bytes, HEADER_BYTES, bytes.length - HEADER_BYTES, DurableState.class);
             }
         } catch (IOException | IllegalArgumentException e) {
             damage = String.valueOf(e.getMessage()).lines().findFirst().orElse("unreadable");
         }
-        setAside(file);
+        renameDamagedFile(file);
         return null;
     }
 
-    private void setAside(Path file) {
+    private void renameDamagedFile(Path file) {
         try {
-            Files.move(file, folder.resolve(FILE + ".damaged"), StandardCopyOption.REPLACE_EXISTING);
+            Files.move(file, folder.resolve(FILE_NAME + ".damaged"), StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            damage += "; it could not be set aside: " + e.getMessage();
+            damage += "; the file could not be renamed: " + e.getMessage();
         }
     }
 
     /**
-     * Returns what was wrong with the file that {@link #read} read last.
+     * Returns what was wrong with the file in the last call of {@link #read}.
      *
-     * @return one line; null where it was sound or was not there
+     * @return one line; null if the file was sound or did not exist
      */
     public String damage() {
         return damage;
     }
 
     /**
-     * Replaces the state; returns once it is durable. A vote whose write fails must not be cast.
+     * Replaces the state, and returns once the new state is durable. A vote whose write fails must not be sent.
      *
-     * @param state the state
-     * @throws IOException where it could not be written
+     * @param state the new state
+     * @throws IOException if the state could not be written
      */
     public void write(DurableState state) throws IOException {
         byte[] body = MAPPER.writeValueAsBytes(state);
@@ -126,15 +126,19 @@
                 .putInt(checksum(body, 0))
                 .put(body)
                 .flip();
-        Path fresh = folder.resolve(FILE + ".new");
+        Path newFile = folder.resolve(FILE_NAME + ".new");
         try (FileChannel file = FileChannel.open(
-                fresh, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+                newFile, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             while (bytes.hasRemaining()) {
                 file.write(bytes);
             }
             file.force(true);
         }
-        Files.move(fresh, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                newFile,
+                folder.resolve(FILE_NAME),
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
         try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
             directory.force(true);
         }
--- a/src/main/java/hopdrum/fleet/store/package-info.java
+++ b/src/main/java/hopdrum/fleet/store/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A member's durable state over restarts: its voter number, the last settled view and its votes, in one checksummed
- * file in a locked folder.
+ * The durable state of a member: its voter number, the last settled view and its votes, in one checksummed file in a
+ * locked folder.
  */
 package hopdrum.fleet.store;
--- a/src/main/java/hopdrum/fleet/view/Acceptor.java
+++ b/src/main/java/hopdrum/fleet/view/Acceptor.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 
 /**
- * The Paxos acceptor for the view that follows the settled one. A promise or an acceptance binds it at once, and is sent
- * only when it is durable, so that a restart cannot forget a vote. The write is asynchronous: a slow disk does not block
- * the member.
+ * The Paxos acceptor for the successor of the settled view. A promise or an acceptance is binding at once, but is sent
+ * only when it is durable, so that no vote is lost in a restart. Writes are asynchronous, so that a slow disk does not
+ * block the member.
  */
 final class Acceptor {
     private final Member self;
@@ -19,10 +19,14 @@
     private final ShardAssigner shardAssigner;
     private final ConsensusLog log;
     private Ballot promised;
-    private Ballot acceptedBallot; // null if nothing is accepted
-    private View acceptedView;
+    private Ballot acceptedBallot; // null if no view has been accepted
+    private View acceptedView; // null if no view has been accepted
 
-    /** @param restored what was durable before this start; null if nothing was */
+    /**
+     * Restores the votes cast before this start.
+     *
+     * @param restored the state restored from the store; null if there is none
+     */
     Acceptor(
             Member self,
             DurableState restored,
@@ -40,20 +44,24 @@
         this.acceptedView = restored == null ? null : restored.accepted();
     }
 
-    /** Whether this member has voted for a successor of the settled view: it then no longer counts as holding that one. */
+    /**
+     * Whether this member has accepted a successor of the settled view. If so, this member no longer renews leases on
+     * the settled view.
+     */
     boolean hasAccepted() {
         return acceptedBallot != null;
     }
 
-    /** The highest round that this acceptor has promised. */
+    /** Returns the round of the highest promised ballot. */
     long promisedRound() {
         return promised.round();
     }
 
     /**
-     * Answers a prepare on the settled view with a promise, or by naming the higher ballot that was promised.
+     * Answers a prepare for the successor of the settled view with a promise, or with the higher ballot that was
+     * promised.
      *
-     * @return whether it was promised
+     * @return whether the ballot was promised
      */
     boolean onPrepare(View view, Member from, Message.Prepare prepare) {
         if (isPreempted(prepare.ballot())) {
@@ -67,7 +75,7 @@
         return true;
     }
 
-    /** Accepts a proposal, unless a higher ballot was promised or its shard assignment breaks the rule. */
+    /** Accepts a proposal, unless a higher ballot was promised or its shard assignment violates the assignment rule. */
     void onAccept(View view, Member from, Message.Accept accept) {
         if (isPreempted(accept.ballot())) {
             sender.send(from, new Message.Preempted(accept.era(), accept.number(), promised));
@@ -92,7 +100,10 @@
         return ballot.compareTo(promised) < 0;
     }
 
-    /** A view has been settled. No vote depends on this write: a restart that has lost it requests the view again. */
+    /**
+     * Discards the votes on a view that has been settled. No vote depends on this write: if it is lost in a restart,
+     * the member requests the settled view again.
+     */
     void reset(View settled) {
         promised = Ballot.NONE;
         acceptedBallot = null;
--- a/src/main/java/hopdrum/fleet/view/ConsensusLog.java
+++ b/src/main/java/hopdrum/fleet/view/ConsensusLog.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The consensus events of the decision log; their names and keys are read by the trial checker. */
+/** Logs the consensus events of the decision log. The trial checker reads the names and keys of these events. */
 final class ConsensusLog {
     /** How this member learned of a settled view. */
     enum Source {
@@ -16,10 +16,10 @@
         OWN_PROPOSAL("agreed"),
         PEER("told");
 
-        private final String logged;
+        private final String loggedName;
 
-        Source(String logged) {
-            this.logged = logged;
+        Source(String loggedName) {
+            this.loggedName = loggedName;
         }
     }
 
@@ -94,7 +94,7 @@
                 "voters",
                 voters,
                 "how",
-                source.logged);
+                source.loggedName);
     }
 
     void eraChanged(long before, long now) {
--- a/src/main/java/hopdrum/fleet/view/ConsensusSender.java
+++ b/src/main/java/hopdrum/fleet/view/ConsensusSender.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * Sends the messages of consensus. Those to this member itself are queued and handled after the present message,
+ * Sends the messages of consensus. Messages to this member itself are queued and handled after the current message,
  * which avoids reentrant calls.
  */
 final class ConsensusSender {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** To a member that is known to be another than this one, though it may share its name. */
+    /** Sends a message to a process that is known not to be this one, although it may have the same name. */
     void sendToPeer(Member recipient, Message message) {
         sender.send(recipient.address(), message);
     }
@@ -39,8 +39,8 @@
         }
     }
 
-    /** The next message to this member itself; null if there is none. */
-    Message pollOwn() {
+    /** Removes and returns the next message to this member itself; null if there is none. */
+    Message pollSelfMessage() {
         return toSelf.poll();
     }
 }
--- a/src/main/java/hopdrum/fleet/view/DurableStateWriter.java
+++ b/src/main/java/hopdrum/fleet/view/DurableStateWriter.java
@@ -2,14 +2,14 @@
 
 import hopdrum.fleet.store.Store.DurableState;
 
-/** Makes durable what must outlast a restart, in the order given. */
+/** Writes the state that must survive a restart to durable storage, in the order of the calls. */
 public interface DurableStateWriter {
     /**
-     * Queues a write; does not block. Once the state is durable, the continuation is to be handed to
-     * {@link ViewConsensus#onStateDurable}; if the write fails it is never run.
+     * Queues a write without blocking. Once the state is durable, the continuation must be passed to
+     * {@link ViewConsensus#onStateDurable}; if the write fails, the continuation is never run.
      *
-     * @param state what to write; it replaces what was written before
-     * @param continuation what waits for the write, for instance the vote that may be sent only then
+     * @param state the state to write, which replaces the state written before
+     * @param continuation what to run after the write, for instance sending the vote that the state records
      */
     void write(DurableState state, Runnable continuation);
 }
--- a/src/main/java/hopdrum/fleet/view/Electorate.java
+++ b/src/main/java/hopdrum/fleet/view/Electorate.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * The voters on the view that follows a settled one: its members, by voter number; before the founding, all
- * founders by name.
+ * The voters on the successor of a settled view: the members of the settled view, identified by voter number. Before
+ * the founding of the fleet, the voters are all founders, identified by name.
  */
 final class Electorate {
     private final Member self;
@@ -21,7 +21,7 @@
         this.failureDetector = failureDetector;
     }
 
-    /** The founders' names, sorted. */
+    /** Returns the founders' names, sorted. */
     List<String> founders() {
         return founders;
     }
@@ -30,7 +30,10 @@
         return mayVote(view, self);
     }
 
-    /** A member whose store was lost has another voter's number than in the view: its vote does not count. */
+    /**
+     * Whether a member's vote counts. A member that has lost its store has another voter number than in the view, and
+     * its vote does not count.
+     */
     boolean mayVote(View view, Member member) {
         if (isUnfounded(view)) {
             return founders.contains(member.name());
@@ -39,12 +42,15 @@
         return settled != null && settled.voter() == member.voter();
     }
 
-    /** A founder without its store cannot know what it agreed to before: a founding takes all of them. */
+    /**
+     * Returns the number of votes needed. A founding needs all founders, because a founder that has lost its store does
+     * not know what it has voted for before.
+     */
     int quorum(View view) {
         return isUnfounded(view) ? founders.size() : view.majority();
     }
 
-    /** The voters, with their present addresses. */
+    /** Returns the voters, at their latest known addresses; founders that are not known yet are left out. */
     List<Member> voters(View view) {
         List<Member> voters = new ArrayList<>();
         if (isUnfounded(view)) {
@@ -64,8 +70,9 @@
     }
 
     /**
-     * Whether this member coordinates: it is the first by name of the voters that are not even suspected. Several
-     * members may coordinate at once; ballots order them. One that was restarted without its store cannot vote and is skipped.
+     * Whether this member is the coordinator: the first by name of the voters that are alive and not suspected. Several
+     * members may consider themselves coordinator at once; ballots order their proposals. A member that was restarted
+     * without its store cannot vote and is skipped.
      */
     boolean isCoordinator(View view) {
         for (Member voter : voters(view)) {
--- a/src/main/java/hopdrum/fleet/view/FailureDetector.java
+++ b/src/main/java/hopdrum/fleet/view/FailureDetector.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 
 /**
- * Detects quickly, but only approximately, who is present: SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar,
- * Phillips, Currey 2018). Each period one peer is probed, through helpers if it does not answer; one that is unreachable
- * is suspected, may refute, and is declared dead after a timeout that shrinks as others confirm. Updates are disseminated
- * on the pings. docs/fleet.md lists the differences from the papers.
+ * Detects quickly, but only approximately, which members are present, by SWIM (Das, Gupta, Motivala 2002) with
+ * Lifeguard (Dadgar, Phillips, Currey 2018). Each period one peer is probed, through helpers if it does not answer. An
+ * unreachable peer is suspected, may refute, and is declared dead after a timeout that shrinks as other members confirm
+ * the suspicion. Updates are disseminated on pings and acks. docs/fleet.md lists the differences from the papers.
  *
  * <p>Not thread-safe: called under the lock of {@link Membership}. Times are microseconds of one monotonic clock.
  */
 public final class FailureDetector {
-    private static final int PAUSE_PERIODS = 2; // between two ticks: this process did not run
+    private static final int PAUSE_PERIODS = 2; // a longer time between two ticks means that this process was paused
 
     private final Member self;
     private final FleetTiming timing;
@@ -55,7 +55,10 @@
 
     // ---- Queries ----
 
-    /** The state of the latest known start of that name, this member's own included; null if the name is not known. */
+    /**
+     * Returns the state of the latest known start of that name, which may be this member's; null if the name is
+     * unknown.
+     */
     public State state(String name) {
         if (name.equals(self.name())) {
             return local.state();
@@ -64,7 +67,7 @@
         return peer == null ? null : peer.state();
     }
 
-    /** The latest known start of that name, this member's own included; null if the name is not known. */
+    /** Returns the latest known start of that name, which may be this member; null if the name is unknown. */
     public Member latestStart(String name) {
         if (name.equals(self.name())) {
             return self;
@@ -73,16 +76,19 @@
         return peer == null ? null : peer.member();
     }
 
-    /** Since when the peer of that name has had its state, microseconds; long past if the name is not known. */
+    /**
+     * Returns since when the peer of that name has had its state, microseconds; a time far in the past if the name is
+     * unknown.
+     */
     public long stateSinceUs(String name) {
         Peer peer = peers.get(name);
         return peer == null ? Long.MIN_VALUE / 2 : peer.stateSinceUs();
     }
 
     /**
-     * All members believed to be present, suspected or not; this member comes first unless it is leaving.
+     * Returns all members believed to be present, suspected or not; this member comes first unless it is leaving.
      *
-     * @return a list of the caller's own
+     * @return a new list, which the caller may modify
      */
     public List<Member> presentMembers() {
         List<Member> present = peers.members(Peer::isPresent);
@@ -92,24 +98,24 @@
         return present;
     }
 
-    /** The members that have left gracefully and are not forgotten yet. */
+    /** Returns the members that have left gracefully and have not been removed from the peer table yet. */
     public List<Member> departedMembers() {
         return peers.members(peer -> peer.hasState(State.LEFT));
     }
 
-    /** The state of each known peer, by name. */
+    /** Returns the state of each known peer, by name. */
     public Map<String, State> states() {
         return peers.states();
     }
 
-    // ---- Time ----
+    // ---- Ticks ----
 
-    /** Called several times a probe period. */
+    /** Sends probes and applies timeouts as due; called several times per probe period. */
     void tick(long nowUs) {
         long sinceLastTickUs = nowUs - lastTickUs;
         lastTickUs = nowUs;
         if (sinceLastTickUs > PAUSE_PERIODS * timing.probePeriodUs()) {
-            resumeAfter(sinceLastTickUs, nowUs);
+            resumeAfterPause(sinceLastTickUs, nowUs);
         }
         updates.tick(nowUs);
         relayedPings.tick(nowUs);
@@ -118,12 +124,15 @@
         exchanges.tick(nowUs);
     }
 
-    /** Guards against suspecting peers because this process was paused: probes from before the pause are not evidence. */
-    private void resumeAfter(long pausedUs, long nowUs) {
+    /**
+     * Discards probes from before a pause of this process: their missing acks are no evidence that a peer failed, so no
+     * peer is to be suspected because of them.
+     */
+    private void resumeAfterPause(long pausedUs, long nowUs) {
         log.event("woke", "away_us", pausedUs);
         health.degrade(pausedUs / timing.probePeriodUs());
-        probes.restart(nowUs);
-        suspectProbes.clear();
+        probes.restartAfterPause(nowUs);
+        suspectProbes.cancelAll();
         updates.restartSuspicions(nowUs);
     }
 
@@ -164,13 +173,16 @@
         }
     }
 
-    /** A view has been settled: messages name it from now on, and its members are probed even if no gossip named them. */
+    /**
+     * Switches to a settled view: messages name this view from now on, and its members are probed even if no gossip has
+     * named them.
+     */
     void onViewSettled(View settled, long nowUs) {
         messenger.setView(settled);
         updates.addMembers(settled, nowUs);
     }
 
-    /** Announces that this member leaves: directly to some peers, to the others by gossip. */
+    /** Announces that this member is leaving: to some peers directly, to the others through gossip. */
     void leave() {
         local.leave();
         exchanges.announceDeparture();
--- a/src/main/java/hopdrum/fleet/view/FullStateExchanges.java
+++ b/src/main/java/hopdrum/fleet/view/FullStateExchanges.java
@@ -8,14 +8,14 @@
 import java.util.SplittableRandom;
 
 /**
- * Anti-entropy: exchanges of full state with random peers, which repair updates that gossip has missed, and with seeds and
- * dead members, which merge partitions that have declared each other dead.
+ * Anti-entropy. Full-state exchanges with random peers deliver updates that gossip has missed; exchanges with seeds and
+ * dead members merge partitions whose members have declared each other dead.
  */
 final class FullStateExchanges {
-    private static final int EXCHANGE_PERIODS = 10;
-    private static final int FULL_RATE_MEMBERS = 16; // in larger fleets exchanges are rarer: their bytes stay flat
-    private static final int REJOIN_PERIODS = 3; // between two tries to reach a seed or one of the dead
-    private static final int LEAVE_FANOUT = 5; // peers that are notified of a departure at once
+    private static final int EXCHANGE_PERIODS = 10; // mean time between exchanges, up to twice FULL_RATE_MEMBERS peers
+    private static final int FULL_RATE_MEMBERS = 16; // larger fleets exchange less often, to bound the bytes sent
+    private static final int REJOIN_PERIODS = 3; // mean time between attempts to reach a seed or a dead member
+    private static final int DEPARTURE_FANOUT = 5; // peers that are notified of a departure at once
 
     private final String selfAddress;
     private final List<String> seeds;
@@ -63,12 +63,12 @@
         return randomAround(EXCHANGE_PERIODS * timing.probePeriodUs() * slowdown);
     }
 
-    /** From half to one and a half times the mean: members do not fall into step. */
+    /** Returns 0.5 to 1.5 times the mean, so that the members' exchanges do not synchronize. */
     private long randomAround(long meanUs) {
         return meanUs / 2 + random.nextLong(meanUs);
     }
 
-    /** Never given up: a cut between two halves may last long, and so may the wait for the first seed. */
+    /** Tries one missing address. Never gives up, because a partition or the wait for the first seed may last long. */
     private void tryRejoin() {
         List<String> missing = missingAddresses();
         if (!missing.isEmpty() && !local.isLeaving()) {
@@ -97,9 +97,9 @@
         return missing;
     }
 
-    /** Notifies some peers at once that this member leaves; gossip reaches the others. */
+    /** Notifies a few peers directly that this member is leaving; the others learn it through gossip. */
     void announceDeparture() {
-        for (Peer peer : peers.sample(LEAVE_FANOUT, Peer::isPresent)) {
+        for (Peer peer : peers.sample(DEPARTURE_FANOUT, Peer::isPresent)) {
             messenger.exchangeFullState(peer.address(), true);
         }
     }
--- a/src/main/java/hopdrum/fleet/view/GossipQueue.java
+++ b/src/main/java/hopdrum/fleet/view/GossipQueue.java
@@ -8,27 +8,30 @@
 import java.util.List;
 import java.util.Map;
 
-/** The updates that are disseminated on pings and acks: the latest about each member, each sent a bounded number of times. */
+/**
+ * The updates that pings, ping requests and acks disseminate: the latest about each member, each sent a bounded number
+ * of times.
+ */
 final class GossipQueue {
-    private static final int MAX_UPDATES_PER_MESSAGE = 8; // the size of a ping stays flat as the fleet grows
-    private static final int SENDS_PER_DOUBLING = 4; // an update is sent so often for each doubling of the fleet
+    private static final int MAX_UPDATES_PER_MESSAGE = 8; // keeps the size of a ping independent of the fleet's size
+    private static final int SENDS_PER_DOUBLING = 4; // sends of an update for each doubling of the fleet's size
 
-    private static final class Pending {
+    private static final class PendingUpdate {
         private GossipUpdate update;
         private int sends;
     }
 
     private final String observer;
-    private final Map<String, Pending> pendingByName = new LinkedHashMap<>(); // removed once sent often enough
+    private final Map<String, PendingUpdate> pendingByName = new LinkedHashMap<>(); // removed after maxSends sends
 
     /** @param observer the name of this member */
     GossipQueue(String observer) {
         this.observer = observer;
     }
 
-    /** Replaces what is pending about that member, and counts its sends from 0. */
+    /** Replaces the pending update about the subject, if any, and resets its number of sends to 0. */
     void enqueue(GossipUpdate update) {
-        Pending pending = pendingByName.computeIfAbsent(update.subject().name(), name -> new Pending());
+        PendingUpdate pending = pendingByName.computeIfAbsent(update.subject().name(), name -> new PendingUpdate());
         pending.update = update;
         pending.sends = 0;
     }
@@ -38,19 +41,19 @@
     }
 
     /**
-     * Chooses the updates for one message, those sent least first. For a peer that is not believed alive, its own state
-     * comes first, so that it can refute.
+     * Chooses the updates for one message, least sent first. If the recipient is not believed alive, the update about
+     * the recipient itself comes first, so that the recipient can refute.
      *
-     * @param knownPeers how many peers are known, of any state
+     * @param knownPeers the number of known peers, whatever their state
      */
     List<GossipUpdate> updatesFor(Peer recipient, int knownPeers) {
         List<GossipUpdate> updates = new ArrayList<>(MAX_UPDATES_PER_MESSAGE);
         if (!recipient.hasState(State.ALIVE)) {
             updates.add(recipient.toUpdate(observer));
         }
-        List<Pending> leastSentFirst = new ArrayList<>(pendingByName.values());
+        List<PendingUpdate> leastSentFirst = new ArrayList<>(pendingByName.values());
         leastSentFirst.sort(Comparator.comparingInt(pending -> pending.sends));
-        for (Pending pending : leastSentFirst) {
+        for (PendingUpdate pending : leastSentFirst) {
             if (updates.size() >= MAX_UPDATES_PER_MESSAGE) {
                 break;
             }
--- a/src/main/java/hopdrum/fleet/view/LatencySharing.java
+++ b/src/main/java/hopdrum/fleet/view/LatencySharing.java
@@ -5,7 +5,10 @@
 import hopdrum.fleet.message.Message;
 import java.util.List;
 
-/** Measures and shares latencies: each period readings are exchanged with peers at the sites measured longest ago. */
+/**
+ * Measures and shares latencies. Once per period, latency readings are exchanged with peers at the sites that were
+ * measured longest ago.
+ */
 final class LatencySharing {
     private static final int PEERS_PER_PERIOD = 3;
 
@@ -21,15 +24,18 @@
         this.map = map;
     }
 
-    /** Called in each tick, also while this member is inactive: a longer gap is a pause, which spoils measurements. */
-    void noteTick(long nowUs) {
+    /**
+     * Discards outstanding probes if more than a period has passed since the last call: a pause of this process
+     * invalidates their measurements. Called in each tick, even while this member is inactive.
+     */
+    void discardProbesAfterPause(long nowUs) {
         if (nowUs - lastTickUs > context.timing().probePeriodUs()) {
             map.discardOutstandingProbes();
         }
         lastTickUs = nowUs;
     }
 
-    /** Exchanges readings with peers, once a period. */
+    /** Exchanges readings with up to three peers at different sites, once per period. */
     void tick(long nowUs) {
         if (nowUs < nextExchangeUs) {
             return;
@@ -64,8 +70,8 @@
                     .send(
                             from.address(),
                             new Message.LatencyExchange(exchange.seq(), true, map.readingsToShare(nowUs)));
-        } else if (nowUs - lastTickUs
-                < context.timing().probePeriodUs()) { // else a pause may be part of the round trip
+        } else if (nowUs - lastTickUs < context.timing().probePeriodUs()) {
+            // After a longer gap between ticks, the measured round trip may include a pause of this process.
             map.completeProbe(from, exchange.seq(), nowUs);
         }
     }
--- a/src/main/java/hopdrum/fleet/view/LeaseCoordinator.java
+++ b/src/main/java/hopdrum/fleet/view/LeaseCoordinator.java
@@ -10,22 +10,23 @@
 import java.util.Set;
 
 /**
- * The coordinator's part of leases. It polls all members in rounds; each answer carries the answerer's own clock. Once a
- * majority has answered a round, each member is granted the time of its last answer before that round began: a member that
- * votes for a later view does so after it answered the round, so after that time. Only a holder's own clock is compared with
- * a granted time, so clocks need not be synchronized.
+ * The coordinator's part of leases. It polls all members in rounds; each answer carries the time on the answering
+ * member's clock. Once a majority has answered a round, each of them is granted a lease as of its last answer before
+ * that round began: a member that votes for a later view does so after it has answered the round, and so after the
+ * granted time. A granted time is compared only with the clock of the member that holds the lease, so clocks need not
+ * be synchronized.
  */
 final class LeaseCoordinator {
     private static final int ROUNDS_PER_LEASE = 5;
-    private static final int FIRST_ROUNDS_PER_PERIOD = 4; // of a view, until a majority has a time to be granted
+    private static final int FIRST_ROUNDS_PER_PERIOD = 4; // of a new view, until a majority has a time to be granted
 
     private final Member self;
     private final FleetTiming timing;
     private final MessageSender sender;
     private final ViewLease ownLease;
-    private final Map<String, Long> lastClocks = new HashMap<>(); // by member, of its last answer; cleared by a view
-    private final Set<String> answeredRound = new HashSet<>(); // cleared by the next round
-    private Map<String, Long> clocksBeforeRound = Map.of();
+    private final Map<String, Long> lastAnswerClocks = new HashMap<>(); // by member name; cleared by a new view
+    private final Set<String> answeredRound = new HashSet<>(); // names; cleared by the next round
+    private Map<String, Long> clocksBeforeRound = Map.of(); // lastAnswerClocks as of the start of the round
     private View view = View.NONE;
     private long round;
     private boolean roundHasMajority;
@@ -40,7 +41,7 @@
 
     void onViewSettled(View settled, long nowUs) {
         view = settled;
-        lastClocks.clear();
+        lastAnswerClocks.clear();
         clocksBeforeRound = Map.of();
         answeredRound.clear();
         roundHasMajority = false;
@@ -48,9 +49,9 @@
     }
 
     /**
-     * Begins a round if one is due; called only where this member is the coordinator.
+     * Starts a round if one is due; called only while this member is the coordinator.
      *
-     * @param voters the view's members, at the addresses at which they are reached now
+     * @param voters the view's members, at their latest known addresses
      */
     void tick(List<Member> voters, long nowUs) {
         if (view.era() == 0 || nowUs < nextRoundUs) {
@@ -63,7 +64,7 @@
         if (view.contains(self)) {
             recordAnswer(self, nowUs);
         }
-        clocksBeforeRound = new HashMap<>(lastClocks);
+        clocksBeforeRound = new HashMap<>(lastAnswerClocks);
         for (Member member : voters) {
             if (!member.isSameStart(self)) {
                 sender.send(member.address(), new Message.Renew(view.era(), view.number(), round));
@@ -72,21 +73,21 @@
         grantOnMajority(voters, nowUs);
     }
 
-    /** A voter of the view has answered a round. */
+    /** Handles a voter's answer to a round; an answer to an earlier round or about another view is ignored. */
     void onRenewed(Member from, Message.Renewed renewed, long nowUs) {
         if (!view.hasId(renewed.era(), renewed.number()) || renewed.round() != round) {
             return;
         }
         recordAnswer(from, renewed.atUs());
         if (roundHasMajority) {
-            grant(from);
+            grantLease(from);
         } else {
             grantOnMajority(view.members(), nowUs);
         }
     }
 
-    private void recordAnswer(Member from, long clockUs) {
-        lastClocks.put(from.name(), clockUs);
+    private void recordAnswer(Member from, long answerClockUs) {
+        lastAnswerClocks.put(from.name(), answerClockUs);
         answeredRound.add(from.name());
     }
 
@@ -97,23 +98,24 @@
         roundHasMajority = true;
         for (Member member : members) {
             if (answeredRound.contains(member.name())) {
-                grant(member);
+                grantLease(member);
             }
         }
-        if (clocksBeforeRound.size() < view.majority()) { // a view's first round has no time to grant: the next is soon
+        if (clocksBeforeRound.size() < view.majority()) {
+            // The first round of a view has no times to grant, so the next round starts early.
             nextRoundUs = Math.min(nextRoundUs, nowUs + timing.probePeriodUs() / FIRST_ROUNDS_PER_PERIOD);
         }
     }
 
-    private void grant(Member member) {
-        Long sinceUs = clocksBeforeRound.get(member.name());
-        if (sinceUs == null) {
+    private void grantLease(Member member) {
+        Long confirmedUs = clocksBeforeRound.get(member.name());
+        if (confirmedUs == null) {
             return;
         }
         if (member.name().equals(self.name())) {
-            ownLease.extend(sinceUs);
+            ownLease.extend(confirmedUs);
         } else {
-            sender.send(member.address(), new Message.LeaseGranted(view.era(), view.number(), sinceUs));
+            sender.send(member.address(), new Message.LeaseGranted(view.era(), view.number(), confirmedUs));
         }
     }
 }
--- a/src/main/java/hopdrum/fleet/view/LocalHealth.java
+++ b/src/main/java/hopdrum/fleet/view/LocalHealth.java
@@ -1,14 +1,14 @@
 package hopdrum.fleet.view;
 
 /**
- * Lifeguard's local health: an observer that was paused, is unreachable or gets no answers may itself be at fault, and
- * multiplies its timeouts before it suspects others.
+ * Lifeguard's local health. A member that was paused, cannot be reached or gets no answers may itself be at fault, so
+ * it multiplies its probe timeouts before it suspects others.
  */
 final class LocalHealth {
     private static final int WORST_SCORE = 8;
-    private int score; // 0: healthy
+    private int score; // 0 is healthy
 
-    /** By how much all probe timeouts are multiplied. */
+    /** Returns the factor by which all probe timeouts are multiplied. */
     int timeoutMultiplier() {
         return score + 1;
     }
--- a/src/main/java/hopdrum/fleet/view/LocalMember.java
+++ b/src/main/java/hopdrum/fleet/view/LocalMember.java
@@ -5,7 +5,7 @@
 import hopdrum.fleet.message.Member;
 import hopdrum.fleet.message.Message;
 
-/** This member as its peers see it: its incarnation, whether it leaves, and a later start that claims its name. */
+/** This member as its peers see it: its incarnation, whether it is leaving, and a later start that claims its name. */
 final class LocalMember {
     private final Member self;
     private final MessageSender sender;
@@ -14,7 +14,7 @@
     private final LocalHealth health;
     private long incarnation;
     private boolean leaving;
-    private Member rival; // null if none is known
+    private Member nameClaimant; // latest other start that claims this member's name; null if none is known
 
     LocalMember(MemberContext context, GossipQueue gossip, LocalHealth health) {
         this.self = context.self();
@@ -24,7 +24,7 @@
         this.health = health;
     }
 
-    /** Puts this member's own state into the gossip. */
+    /** Queues this member's own state for dissemination. */
     void announce() {
         gossip.enqueue(toUpdate());
     }
@@ -35,7 +35,10 @@
         announce();
     }
 
-    /** A peer's update is about this member's name: refutes what is wrong, and notifies a later start that the name is taken. */
+    /**
+     * Handles an update about this member's name: refutes one that does not say that this member is alive, and notifies
+     * a later start that the name is taken.
+     */
     void onUpdate(GossipUpdate update) {
         if (leaving) {
             return;
@@ -52,15 +55,15 @@
             return;
         }
         incarnation = update.incarnation() + 1;
-        health.degrade(1); // peers could not reach this member: it may be slow itself
+        health.degrade(1); // peers could not reach this member, so it may be slow
         log.event("refuted", "what", update.state().name(), "by", update.reporter(), "incarnation", incarnation);
         announce();
     }
 
     private void onLaterStart(Member laterStart) {
-        if (rival == null || rival.start() < laterStart.start()) {
-            rival = laterStart;
-            log.event("rival", "its_start", rival.start(), "at_address", rival.address());
+        if (nameClaimant == null || nameClaimant.start() < laterStart.start()) {
+            nameClaimant = laterStart;
+            log.event("rival", "its_start", nameClaimant.start(), "at_address", nameClaimant.address());
         }
         sender.send(laterStart.address(), new Message.NameTaken(self));
     }
--- a/src/main/java/hopdrum/fleet/view/MemberContext.java
+++ b/src/main/java/hopdrum/fleet/view/MemberContext.java
@@ -4,11 +4,11 @@
 import java.util.SplittableRandom;
 
 /**
- * What all parts of one member's membership share.
+ * What all components of one member share.
  *
  * @param self this start of this member
  * @param timing the fleet's intervals
- * @param random the one source of random draws; the order of draws is part of a simulated run
+ * @param random the only source of random draws; a simulated run is repeatable only if the order of draws is the same
  * @param sender sends messages to peers
  * @param log records decisions
  */
--- a/src/main/java/hopdrum/fleet/view/Membership.java
+++ b/src/main/java/hopdrum/fleet/view/Membership.java
@@ -8,14 +8,14 @@
 import java.util.SplittableRandom;
 
 /**
- * One member of its fleet: dispatches messages and ticks to failure detection, consensus, leases, the latency map and
- * the shard protocol, and is inactive while its name belongs to another process.
+ * One member of a fleet: dispatches messages and ticks to failure detection, consensus, leases, the latency map and the
+ * shard protocol. The member is inactive while its name belongs to another process.
  *
- * <p>Not thread-safe: its owner calls it, and all that it hands out, under one lock, or in virtual time. Times are
- * microseconds of one monotonic clock.
+ * <p>Not thread-safe: the owner calls a membership, and every object that the membership returns, under one lock, or in
+ * virtual time. Times are microseconds of one monotonic clock.
  */
 public final class Membership {
-    private static final int NAME_TAKEN_PERIODS = 20; // mean time before a member whose name is taken tries again
+    private static final int NAME_TAKEN_PERIODS = 20; // mean time for which a member whose name is taken is inactive
 
     private final MemberContext context;
     private final FailureDetector failureDetector;
@@ -23,21 +23,21 @@
     private final LatencyMap latencyMap;
     private final LatencySharing latencySharing;
     private final ShardProtocol shards;
-    private long inactiveUntilUs = Long.MIN_VALUE / 2; // the name is taken
+    private long inactiveUntilUs = Long.MIN_VALUE / 2; // set while this member's name is taken
     private boolean left;
 
     /**
-     * Starts this member's part; its first messages are sent in the first tick.
+     * Creates a member; its first messages are sent in the first tick.
      *
      * @param self this start of this member
      * @param seeds addresses at which the fleet may be found
      * @param founders the names that all have to be present before a new fleet is founded
-     * @param restored what was durable before this start; null if nothing was
+     * @param restored the state restored from the store; null if there is none
      * @param timing the fleet's intervals
      * @param random the source of all random draws
      * @param sender sends messages to peers
      * @param writer makes votes durable
-     * @param shards the protocol by which operators share shards; null where they share none
+     * @param shards the protocol by which operators share shards; null if they share none
      * @param log records decisions
      * @param nowUs monotonic time, microseconds
      */
@@ -63,29 +63,32 @@
                 new ViewConsensus(context, founders, restored, failureDetector, writer, this.shards, nowUs);
     }
 
-    /** Returns the failure detector: quick, approximate presence. */
+    /** Returns the failure detector, which reports quickly, but only approximately, which members are present. */
     public FailureDetector failureDetector() {
         return failureDetector;
     }
 
-    /** The latencies between sites. */
+    /** Returns the map of latencies between sites. */
     public LatencyMap latencyMap() {
         return latencyMap;
     }
 
-    /** Returns the consensus on settled views: rare, exact changes. */
+    /** Returns the consensus on settled views, whose changes are rare and exact. */
     public ViewConsensus viewConsensus() {
         return viewConsensus;
     }
 
-    /** Whether this member has left, or its name is another process's: it then acts on nothing and is silent. */
+    /**
+     * Whether this member has left, or its name belongs to another process: it then sends nothing and ignores all
+     * messages.
+     */
     public boolean isInactive(long nowUs) {
         return left || viewConsensus.isSuperseded() || nowUs < inactiveUntilUs;
     }
 
-    /** To be called several times a probe period. */
+    /** Advances all protocols unless this member is inactive; to be called several times per probe period. */
     public void tick(long nowUs) {
-        latencySharing.noteTick(nowUs);
+        latencySharing.discardProbesAfterPause(nowUs);
         if (!isInactive(nowUs)) {
             failureDetector.tick(nowUs);
             viewConsensus.tick(nowUs);
@@ -94,7 +97,7 @@
         }
     }
 
-    /** Leaves gracefully: notifies some peers immediately. This member is inactive from now on. */
+    /** Leaves the fleet gracefully: some peers are notified at once. This member is inactive from now on. */
     public void leave(long nowUs) {
         if (!isInactive(nowUs)) {
             failureDetector.leave();
@@ -107,7 +110,7 @@
      * Handles one message.
      *
      * @param from the sender, as its hello named it
-     * @param message what it sent
+     * @param message the message
      * @param nowUs monotonic time, microseconds
      */
     public void onMessage(Member from, Message message, long nowUs) {
@@ -122,7 +125,7 @@
             onNameTaken(taken, nowUs);
         } else {
             viewConsensus.onMessage(from, message, nowUs);
-            if (message instanceof Message.ViewSettled settled) { // a member that announces a view holds it
+            if (message instanceof Message.ViewSettled settled) { // the sender holds the view that it announces
                 shards.onPeerView(from, settled.view().era(), settled.view().number());
             }
         }
@@ -164,7 +167,10 @@
         shards.onPeerView(from, era, number);
     }
 
-    /** A member in the settled view holds its name, whatever another process claims: the other process must yield. */
+    /**
+     * Becomes inactive for a time if another process holds this member's name. A member of the settled view keeps its
+     * name and ignores the message.
+     */
     private void onNameTaken(Message.NameTaken taken, long nowUs) {
         Member self = context.self();
         Member holder = taken.holder();
@@ -179,7 +185,7 @@
                 .event(
                         "refused",
                         "why",
-                        "the name is another's",
+                        "the name is taken by another process",
                         "its_start",
                         holder.start(),
                         "at_address",
--- a/src/main/java/hopdrum/fleet/view/Peer.java
+++ b/src/main/java/hopdrum/fleet/view/Peer.java
@@ -8,7 +8,9 @@
 
 /** The failure detector's state of one other member: its latest known start, incarnation and suspicion. */
 final class Peer {
-    /** Confirmations beyond the first accusation that shorten the timeout; more change nothing. */
+    /**
+     * Number of confirmations, beyond the first report of a suspicion, that shorten its timeout; further ones do not.
+     */
     static final int MAX_CONFIRMATIONS = 3;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -18,45 +20,57 @@
     private State state;
     private long stateSinceUs;
     private long lastContactUs = NEVER;
-    private long nextCheckUs;
-    private final Set<String> accusers = new HashSet<>(2); // of the present suspicion; cleared with each state change
+    private long nextSuspectProbeUs;
+    private final Set<String> suspicionReporters = new HashSet<>(2); // names; cleared on each state change
 
     Peer(GossipUpdate first, long nowUs) {
         member = first.subject();
         apply(first, nowUs);
     }
 
-    /** Takes over an update's incarnation and state; the caller has checked that it supersedes the present ones. */
+    /** Sets incarnation and state to those of an update; the caller has checked that it supersedes the present ones. */
     void apply(GossipUpdate update, long nowUs) {
         incarnation = update.incarnation();
         state = update.state();
         stateSinceUs = nowUs;
-        nextCheckUs = nowUs;
-        accusers.clear();
+        nextSuspectProbeUs = nowUs;
+        suspicionReporters.clear();
         if (state == State.SUSPECT) {
-            accusers.add(update.reporter());
+            suspicionReporters.add(update.reporter());
         }
     }
 
-    /** Replaces the start after a restart; no message of the new start has been received yet. */
+    /** Replaces the start with a later one, from which no message has been received yet. */
     void replaceStart(Member laterStart) {
         member = laterStart;
         lastContactUs = NEVER;
     }
 
-    /** Counts another accuser of the present suspicion; false if it is known, or if enough have confirmed. */
-    boolean addAccuser(String name) {
-        return accusers.size() <= MAX_CONFIRMATIONS && accusers.add(name);
+    /**
+     * Adds a reporter of the present suspicion.
+     *
+     * @return false if the reporter was counted before, or if enough members have confirmed already
+     */
+    boolean addSuspicionReporter(String name) {
+        return suspicionReporters.size() <= MAX_CONFIRMATIONS && suspicionReporters.add(name);
     }
 
-    /** How many others have confirmed the present suspicion, beside the first accuser. */
+    /** Returns how many members have confirmed the present suspicion, besides its first reporter. */
     int confirmations() {
-        return accusers.size() - 1;
+        return suspicionReporters.size() - 1;
     }
 
-    /** The present state as gossip; of a suspicion, by one of its accusers, else by the observer itself. */
+    /**
+     * Returns the present state as an update.
+     *
+     * @param observer the name of this member, which the update names as its reporter unless the peer is suspected; a
+     *     suspicion names one of the members that reported the suspicion
+     */
     GossipUpdate toUpdate(String observer) {
-        return toUpdateBy(accusers.isEmpty() ? observer : accusers.iterator().next());
+        return toUpdateBy(
+                suspicionReporters.isEmpty()
+                        ? observer
+                        : suspicionReporters.iterator().next());
     }
 
     GossipUpdate toUpdateBy(String reporter) {
@@ -83,7 +97,7 @@
         return state == other;
     }
 
-    /** Alive or suspected: not yet dropped. */
+    /** Whether this peer is alive or suspected, but neither dead nor departed. */
     boolean isPresent() {
         return state == State.ALIVE || state == State.SUSPECT;
     }
@@ -97,7 +111,7 @@
         stateSinceUs = nowUs;
     }
 
-    /** When this start last sent a message to this member itself. */
+    /** Returns when this peer's present start last sent a message to this member, microseconds. */
     long lastContactUs() {
         return lastContactUs;
     }
@@ -106,12 +120,12 @@
         lastContactUs = nowUs;
     }
 
-    /** When a suspect may be checked by this member again. */
-    long nextCheckUs() {
-        return nextCheckUs;
+    /** Returns when this member may next decide whether to probe this peer as a suspect, microseconds. */
+    long nextSuspectProbeUs() {
+        return nextSuspectProbeUs;
     }
 
-    void scheduleCheck(long atUs) {
-        nextCheckUs = atUs;
+    void scheduleSuspectProbe(long atUs) {
+        nextSuspectProbeUs = atUs;
     }
 }
--- a/src/main/java/hopdrum/fleet/view/PeerTable.java
+++ b/src/main/java/hopdrum/fleet/view/PeerTable.java
@@ -10,16 +10,16 @@
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
 
-/** All peers that are known, by name, in the order in which they became known. */
+/** All known peers by name, in the order in which they became known. */
 final class PeerTable {
     private final SplittableRandom random;
-    private final Map<String, Peer> peers = new LinkedHashMap<>(); // dead peers and those that left are removed by age
+    private final Map<String, Peer> peers = new LinkedHashMap<>(); // dead and departed peers are removed by age
 
     PeerTable(SplittableRandom random) {
         this.random = random;
     }
 
-    /** Null where the name is not known. */
+    /** Returns the peer of that name; null if the name is not known. */
     Peer get(String name) {
         return peers.get(name);
     }
@@ -40,12 +40,12 @@
         return peers.size();
     }
 
-    /** A live view, not to be iterated while peers are added or removed. */
+    /** Returns a live collection, which must not be iterated while peers are added or removed. */
     Collection<Peer> all() {
         return peers.values();
     }
 
-    /** A copy, which may be iterated while peers are added or removed. */
+    /** Returns a copy, which may be iterated while peers are added or removed. */
     List<Peer> snapshot() {
         return List.copyOf(peers.values());
     }
@@ -60,7 +60,7 @@
         return count;
     }
 
-    /** The members of those peers that satisfy the condition, in a list of the caller's own. */
+    /** Returns the members of the peers that satisfy the condition, in a new list that the caller may modify. */
     List<Member> members(Predicate<Peer> condition) {
         List<Member> members = new ArrayList<>();
         for (Peer peer : peers.values()) {
@@ -71,18 +71,18 @@
         return members;
     }
 
-    /** Up to so many peers that satisfy the condition, drawn at random. */
-    List<Peer> sample(int most, Predicate<Peer> condition) {
+    /** Returns at most {@code maxCount} peers that satisfy the condition, drawn at random without replacement. */
+    List<Peer> sample(int maxCount, Predicate<Peer> condition) {
         List<Peer> candidates = new ArrayList<>();
         for (Peer peer : peers.values()) {
             if (condition.test(peer)) {
                 candidates.add(peer);
             }
         }
-        return RandomOrder.sample(candidates, most, random);
+        return RandomOrder.sample(candidates, maxCount, random);
     }
 
-    /** The state of each peer by name, for the log and for tests. */
+    /** Returns a copy of the peers' states by name, for the log and for tests. */
     Map<String, State> states() {
         Map<String, State> states = new LinkedHashMap<>();
         peers.forEach((name, peer) -> states.put(name, peer.state()));
--- a/src/main/java/hopdrum/fleet/view/PeerUpdates.java
+++ b/src/main/java/hopdrum/fleet/view/PeerUpdates.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /**
- * Decides which updates about peers are applied: by SWIM's precedence of incarnations and states, and by the rule that a
+ * Decides which updates about peers are applied, by SWIM's precedence of incarnations and states and by the rule that a
  * name belongs to one process at a time. Applied updates are logged and disseminated.
  */
 final class PeerUpdates {
-    private static final int NAME_HELD_ROUNDS = 2; // probe rounds in which a live holder makes contact
+    private static final int NAME_HELD_PROBE_ROUNDS = 2; // probe rounds within which a live holder sends a message
 
-    /** Is notified before a known peer changes its state. */
+    /** Notified before the state of a known peer changes. */
     interface StateChangeListener {
         void onStateChange(Peer peer, State next);
     }
@@ -43,7 +43,12 @@
         this.listener = listener;
     }
 
-    /** A message came from that start itself; null if the name is this member's own, or if another start holds it. */
+    /**
+     * Records a message that the given start has sent itself.
+     *
+     * @return the peer of the sender's name; null if that name is this member's own. The peer may have another start,
+     *     if that one holds the name
+     */
     Peer onMessageFrom(Member from, long nowUs) {
         apply(new GossipUpdate(from, 0, State.ALIVE, from.name()), nowUs);
         Peer peer = peers.get(from.name());
@@ -53,7 +58,7 @@
         return peer;
     }
 
-    /** Members of a settled view are known even if no gossip has named them. */
+    /** Adds the members of a settled view that no gossip has named yet. */
     void addMembers(View settled, long nowUs) {
         for (Member member : settled.members()) {
             if (!peers.contains(member.name())) {
@@ -80,16 +85,17 @@
         } else if (subject.start() != peer.member().start()) {
             applyToOtherStart(peer, update, nowUs);
         } else if (peer.hasState(State.LEFT) || !subject.isSameStart(peer.member())) {
-            return; // leaving is final for a start; and one start cannot be two voters
+            return; // leaving is final for a start, and one start cannot have two voter numbers
         } else if (supersedes(update, peer)) {
             changeState(peer, update, nowUs);
-        } else if (accusesAgain(update, peer) && peer.addAccuser(update.reporter())) {
+        } else if (confirmsSuspicion(update, peer) && peer.addSuspicionReporter(update.reporter())) {
             gossip.enqueue(update);
         }
     }
 
     private void addUnknown(GossipUpdate update, long nowUs) {
-        if (update.state() == State.ALIVE || update.state() == State.SUSPECT) { // else removed members would return
+        // Dead and departed members are not added, so that those that were removed stay removed.
+        if (update.state() == State.ALIVE || update.state() == State.SUSPECT) {
             Peer peer = new Peer(update, nowUs);
             peers.add(peer);
             announce(peer, update.reporter());
@@ -98,18 +104,21 @@
 
     private void applyToOtherStart(Peer peer, GossipUpdate update, long nowUs) {
         boolean later = update.subject().start() > peer.member().start();
-        if (later && !holdsItsName(peer, update, nowUs)) {
+        if (later && !isNameStillHeld(peer, update, nowUs)) {
             peer.replaceStart(update.subject());
             changeState(peer, update, nowUs);
         }
     }
 
-    /** Guards against two processes of one name: while the first is alive, a later start elsewhere is not a restart. */
-    private boolean holdsItsName(Peer holder, GossipUpdate later, long nowUs) {
+    /**
+     * Whether the holder keeps its name against a later start. While the holder is alive, a later start at another
+     * address is not a restart but a second process of the same name.
+     */
+    private boolean isNameStillHeld(Peer holder, GossipUpdate later, long nowUs) {
         boolean elsewhere = !later.subject().address().equals(holder.address());
         long roundUs = timing.probePeriodUs() * Math.max(1, peers.presentCount());
         boolean hasContact =
-                holder.hasState(State.ALIVE) && nowUs - holder.lastContactUs() < NAME_HELD_ROUNDS * roundUs;
+                holder.hasState(State.ALIVE) && nowUs - holder.lastContactUs() < NAME_HELD_PROBE_ROUNDS * roundUs;
         return elsewhere && hasContact && later.state() != State.LEFT;
     }
 
@@ -119,7 +128,7 @@
                         && precedence(update.state()) > precedence(peer.state()));
     }
 
-    /** Of two updates of one incarnation the one of higher precedence holds. */
+    /** Of two updates about the same incarnation, the one whose state has the higher precedence applies. */
     private static int precedence(State state) {
         return switch (state) {
             case ALIVE -> 0;
@@ -129,23 +138,25 @@
         };
     }
 
-    private static boolean accusesAgain(GossipUpdate update, Peer peer) {
+    private static boolean confirmsSuspicion(GossipUpdate update, Peer peer) {
         return update.incarnation() == peer.incarnation()
                 && update.state() == State.SUSPECT
                 && peer.hasState(State.SUSPECT);
     }
 
-    /** This member's own probes of the peer have failed: accuses it, or confirms an accusation. */
+    /** Suspects a peer that this member's own probe has not reached, or confirms an existing suspicion. */
     void suspect(Peer peer, long nowUs) {
-        GossipUpdate accusation = new GossipUpdate(peer.member(), peer.incarnation(), State.SUSPECT, self.name());
+        GossipUpdate suspicion = new GossipUpdate(peer.member(), peer.incarnation(), State.SUSPECT, self.name());
         if (peer.hasState(State.ALIVE)) {
-            changeState(peer, accusation, nowUs);
-        } else if (peer.addAccuser(self.name())) {
-            gossip.enqueue(accusation);
+            changeState(peer, suspicion, nowUs);
+        } else if (peer.addSuspicionReporter(self.name())) {
+            gossip.enqueue(suspicion);
         }
     }
 
-    /** Declares suspects dead whose timeout has passed, and forgets those long dead or departed. */
+    /**
+     * Declares suspects dead whose suspicion has timed out, and removes peers that were dead or departed for too long.
+     */
     void tick(long nowUs) {
         for (Peer peer : peers.snapshot()) {
             if (peer.hasState(State.SUSPECT) && nowUs >= suspicionTimeout.deadlineUs(peer, peers.presentCount())) {
@@ -158,7 +169,7 @@
         }
     }
 
-    /** This member was paused: a suspect may have refuted meanwhile, and gets its time again. */
+    /** Restarts all suspicion timeouts after a pause of this member, during which a suspect may have refuted. */
     void restartSuspicions(long nowUs) {
         for (Peer peer : peers.all()) {
             if (peer.hasState(State.SUSPECT)) {
--- a/src/main/java/hopdrum/fleet/view/ProbeOrder.java
+++ b/src/main/java/hopdrum/fleet/view/ProbeOrder.java
@@ -4,18 +4,18 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** SWIM's round robin, reshuffled for each round: no peer waits for its probe longer than two rounds. */
+/** SWIM's round-robin probe order, shuffled for each round: no peer waits longer than two rounds for its next probe. */
 final class ProbeOrder {
     private final PeerTable peers;
     private final SplittableRandom random;
-    private final List<Peer> round = new ArrayList<>(); // the rest of this round, its next peer last
+    private final List<Peer> round = new ArrayList<>(); // remaining peers of the current round, the next one last
 
     ProbeOrder(PeerTable peers, SplittableRandom random) {
         this.peers = peers;
         this.random = random;
     }
 
-    /** Null if no peer is present. */
+    /** Returns the next peer to probe; null if no peer is present. */
     Peer next() {
         while (true) {
             if (round.isEmpty()) {
--- a/src/main/java/hopdrum/fleet/view/ProbeScheduler.java
+++ b/src/main/java/hopdrum/fleet/view/ProbeScheduler.java
@@ -4,17 +4,18 @@
 import hopdrum.fleet.message.Member;
 
 /**
- * SWIM's probes: each period one peer is pinged, after the ack timeout through others too; one that neither way has reached
- * by the period's end is suspected. A local health below the best makes both times longer.
+ * Schedules SWIM probes. Each period one peer is pinged; if no ack arrives within the ack timeout, helpers ping it too.
+ * A peer that has acknowledged neither by the end of the period is suspected. Degraded local health lengthens both
+ * times.
  */
 final class ProbeScheduler {
-    /** The probe under way. */
+    /** The current probe. */
     private static final class Probe {
         private final Peer target;
         private final long sequence;
         private final long sentUs;
-        private boolean indirect; // ping requests to helpers have been sent
-        private int missingNacks; // helpers that have sent neither an ack nor a nack
+        private boolean indirect; // whether ping requests have been sent to helpers
+        private int missingNacks; // number of helpers that have sent neither an ack nor a nack
 
         private Probe(Peer target, long sequence, long sentUs) {
             this.target = target;
@@ -30,7 +31,7 @@
     private final LocalHealth health;
     private final ProbeOrder order;
     private final RoundTripListener roundTripListener;
-    private Probe probe; // null if none is under way
+    private Probe probe; // null if no probe is in progress
     private long nextProbeUs;
 
     ProbeScheduler(
@@ -60,18 +61,18 @@
             return;
         }
         if (probe != null) {
-            fail(nowUs);
+            failProbe(nowUs);
         }
-        start(nowUs);
+        startProbe(nowUs);
     }
 
     private boolean isOverdue(long timeoutUs, long nowUs) {
         return nowUs - probe.sentUs >= timeoutUs * health.timeoutMultiplier();
     }
 
-    private void fail(long nowUs) {
-        int onlyPeer = peers.presentCount() <= 1 ? 1 : 0; // without helpers, either side may be at fault
-        health.degrade(Math.max(probe.missingNacks, onlyPeer)); // missing nacks: this member may be the slow one
+    private void failProbe(long nowUs) {
+        int onlyPeer = peers.presentCount() <= 1 ? 1 : 0; // without helpers, either member may be the unreachable one
+        health.degrade(Math.max(probe.missingNacks, onlyPeer)); // missing nacks suggest that this member is slow
         Peer target = probe.target;
         if (target.isPresent()) {
             updates.suspect(target, nowUs);
@@ -79,7 +80,7 @@
         probe = null;
     }
 
-    private void start(long nowUs) {
+    private void startProbe(long nowUs) {
         nextProbeUs = nowUs + timing.probePeriodUs();
         Peer target = order.next();
         if (target != null) {
@@ -89,12 +90,13 @@
     }
 
     /**
-     * The target has answered, itself or through a helper.
+     * Completes the probe: the target has acknowledged it, directly or through a helper.
      *
-     * @param paused this member may have been paused between the ack's arrival and now: the round trip time is not valid
+     * @param paused whether this member may have been paused between the ack's arrival and now, which makes the
+     *     round-trip time invalid
      */
     void onAck(Member from, long sequence, boolean paused, long nowUs) {
-        if (!isUnderWay(sequence)) {
+        if (!isCurrentProbe(sequence)) {
             return;
         }
         if (from.isSameStart(probe.target.member()) && !paused) {
@@ -104,26 +106,28 @@
         health.improve();
     }
 
-    /** A helper has had no answer from the target yet, but is alive itself. */
+    /** Records a nack: the helper has had no ack from the target yet, but is alive itself. */
     void onNack(long sequence) {
-        if (isUnderWay(sequence)) {
+        if (isCurrentProbe(sequence)) {
             probe.missingNacks = Math.max(0, probe.missingNacks - 1);
         }
     }
 
-    private boolean isUnderWay(long sequence) {
+    private boolean isCurrentProbe(long sequence) {
         return probe != null && probe.sequence == sequence;
     }
 
-    /** Cancels the target's probe: its state has been decided by other means. */
+    /**
+     * Cancels the probe of a peer that turns alive, dead or departed, because the probe's result is no longer needed.
+     */
     void onStateChange(Peer peer, State next) {
         if (probe != null && probe.target == peer && next != State.SUSPECT) {
             probe = null;
         }
     }
 
-    /** Cancels the current probe: after a pause of this member its result is not evidence about the target. */
-    void restart(long nowUs) {
+    /** Cancels the current probe: after a pause of this member, a missing ack is no evidence that the target failed. */
+    void restartAfterPause(long nowUs) {
         probe = null;
         nextProbeUs = nowUs;
     }
--- a/src/main/java/hopdrum/fleet/view/Proposer.java
+++ b/src/main/java/hopdrum/fleet/view/Proposer.java
@@ -9,20 +9,23 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** The Paxos proposer of the view that follows the settled one: one proposal at a time, with backoff after each failure. */
+/**
+ * The Paxos proposer for the successor of the settled view. It makes one proposal at a time and backs off after each
+ * failed one.
+ */
 final class Proposer {
-    private static final int MIN_TIMEOUT_PERIODS = 2; // doubled by each proposal that times out: disks may be slow
+    private static final int MIN_TIMEOUT_PERIODS = 2; // doubled after each timeout, because disks may be slow
     private static final int MAX_TIMEOUT_PERIODS = 32;
-    private static final int BACKOFF_PERIODS = 2; // of random backoff, beyond half a period
+    private static final int BACKOFF_PERIODS = 2; // bound of the random backoff that is added to half a period
 
-    /** The proposal under way. */
+    /** The current proposal. */
     private static final class Proposal {
         private final Ballot ballot;
         private final Set<String> promises = new HashSet<>();
         private final Set<String> acceptances = new HashSet<>();
         private View value;
-        private Ballot valueBallot = Ballot.NONE; // in which an acceptor had accepted the value before
-        private boolean accepting; // phase 2
+        private Ballot valueBallot = Ballot.NONE; // highest ballot in which an acceptor had already accepted the value
+        private boolean accepting; // whether phase 2 has begun
         private long deadlineUs;
 
         private Proposal(Ballot ballot, View value) {
@@ -37,12 +40,16 @@
     private final Electorate electorate;
     private final ConsensusSender sender;
     private final ConsensusLog log;
-    private Proposal proposal; // null if none is under way
+    private Proposal proposal; // null if no proposal is in progress
     private long highestRound;
     private int timeoutPeriods = MIN_TIMEOUT_PERIODS;
-    private long notBeforeUs;
+    private long backoffUntilUs;
 
-    /** @param highestRound the highest round that is known to have been used for the next view */
+    /**
+     * Creates an idle proposer.
+     *
+     * @param highestRound the highest round that is known to have been used for the next view
+     */
     Proposer(
             MemberContext context, Electorate electorate, ConsensusSender sender, ConsensusLog log, long highestRound) {
         this.self = context.self();
@@ -55,10 +62,10 @@
     }
 
     boolean mayPropose(long nowUs) {
-        return proposal == null && nowUs >= notBeforeUs;
+        return proposal == null && nowUs >= backoffUntilUs;
     }
 
-    /** Phase 1: sends a prepare to all voters. */
+    /** Starts a proposal with phase 1: sends a prepare to all voters. */
     void propose(View view, View value, long nowUs) {
         proposal = new Proposal(new Ballot(++highestRound, self.name()), value);
         proposal.deadlineUs = deadlineUs(nowUs);
@@ -66,7 +73,7 @@
         sender.sendAll(electorate.voters(view), new Message.Prepare(view.era(), view.number(), proposal.ballot));
     }
 
-    /** A proposal that has had no quorum by its deadline is given up. */
+    /** Abandons a proposal that has no quorum by its deadline, and doubles the next one's timeout. */
     void tick(View view, long nowUs) {
         if (proposal != null && nowUs >= proposal.deadlineUs) {
             log.proposalFailed(
@@ -76,16 +83,16 @@
         }
     }
 
-    /** Phase 2 begins with a quorum of promises. */
+    /** Counts a promise; starts phase 2 once a quorum has promised. */
     void onPromise(View view, Member from, Message.Promise promise, long nowUs) {
-        boolean expected = isUnderWay(promise.ballot()) && !proposal.accepting;
+        boolean expected = isCurrentProposal(promise.ballot()) && !proposal.accepting;
         if (!expected || !view.hasId(promise.era(), promise.number()) || !electorate.mayVote(view, from)) {
             return;
         }
         proposal.promises.add(from.name());
         if (promise.accepted() != null && promise.acceptedIn().compareTo(proposal.valueBallot) > 0) {
             proposal.valueBallot = promise.acceptedIn();
-            proposal.value = promise.accepted(); // it may have been chosen already: no other may be
+            proposal.value = promise.accepted(); // this view may have been chosen already, so no other may be proposed
         }
         if (proposal.promises.size() >= electorate.quorum(view)) {
             proposal.accepting = true;
@@ -96,9 +103,9 @@
         }
     }
 
-    /** Gives the view that is settled by this acceptance, if it completes a quorum. */
+    /** Counts an acceptance; returns the view that it settles if it completes a quorum. */
     Optional<View> onAccepted(View view, Member from, Message.Accepted accepted) {
-        boolean expected = isUnderWay(accepted.ballot()) && proposal.accepting;
+        boolean expected = isCurrentProposal(accepted.ballot()) && proposal.accepting;
         if (!expected || !view.hasId(accepted.era(), accepted.number()) || !electorate.mayVote(view, from)) {
             return Optional.empty();
         }
@@ -111,7 +118,7 @@
         return Optional.of(settled);
     }
 
-    /** An acceptor has promised a higher ballot. */
+    /** Abandons the proposal if an acceptor has promised a higher ballot. */
     void onPreempted(View view, Message.Preempted preempted, long nowUs) {
         if (proposal != null
                 && view.hasId(preempted.era(), preempted.number())
@@ -121,19 +128,19 @@
         }
     }
 
-    /** Another's ballot is in use: the next own one is above it. */
+    /** Records the round of another proposer's ballot, so that this member's next ballot is higher. */
     void observeRound(Ballot ballot) {
         highestRound = Math.max(highestRound, ballot.round());
     }
 
-    /** A view has been settled: proposals to follow the one before are void. */
+    /** Drops the proposal: a new view has been settled, so the proposal is void. */
     void reset() {
         proposal = null;
         highestRound = 0;
         timeoutPeriods = MIN_TIMEOUT_PERIODS;
     }
 
-    private boolean isUnderWay(Ballot ballot) {
+    private boolean isCurrentProposal(Ballot ballot) {
         return proposal != null && proposal.ballot.equals(ballot);
     }
 
@@ -143,6 +150,6 @@
 
     private void backOff(long nowUs) {
         proposal = null;
-        notBeforeUs = nowUs + timing.probePeriodUs() / 2 + random.nextLong(BACKOFF_PERIODS * timing.probePeriodUs());
+        backoffUntilUs = nowUs + timing.probePeriodUs() / 2 + random.nextLong(BACKOFF_PERIODS * timing.probePeriodUs());
     }
 }
--- a/src/main/java/hopdrum/fleet/view/RandomOrder.java
+++ b/src/main/java/hopdrum/fleet/view/RandomOrder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Shuffles by a SplittableRandom, which Collections.shuffle does not take on Java 17. */
+/** Shuffling and sampling with a SplittableRandom, which Collections.shuffle does not accept in Java 17. */
 final class RandomOrder {
     private RandomOrder() {}
 
@@ -14,9 +14,12 @@
         }
     }
 
-    /** A random sample without replacement, in random order: a view of the list, which is reordered in place. */
-    static <T> List<T> sample(List<T> list, int most, SplittableRandom random) {
-        int size = Math.min(most, list.size());
+    /**
+     * Draws a random sample without replacement, in random order. Reorders the list in place and returns a view of its
+     * beginning.
+     */
+    static <T> List<T> sample(List<T> list, int maxCount, SplittableRandom random) {
+        int size = Math.min(maxCount, list.size());
         for (int i = 0; i < size; i++) {
             Collections.swap(list, i, i + random.nextInt(list.size() - i));
         }
--- a/src/main/java/hopdrum/fleet/view/ShardAssigner.java
+++ b/src/main/java/hopdrum/fleet/view/ShardAssigner.java
@@ -7,12 +7,12 @@
 import java.util.Optional;
 
 /**
- * Decides the shard assignment that is settled along with a view's members, by a rule that all members share. Called under
- * the lock of {@link Membership}.
+ * Computes and checks the shard assignment that is settled along with a view's members, by a rule that all members
+ * share. All methods are called under the lock of {@link Membership}.
  */
 public interface ShardAssigner {
     /**
-     * The assignment to propose along with the next view.
+     * Returns the assignment to propose along with the next view.
      *
      * @param before the present settled view
      * @param members the next view's members, sorted by name
@@ -25,12 +25,12 @@
      *
      * @param before the present settled view
      * @param proposed the view that is to follow it
-     * @return how it violates the rule, for the log; empty if it follows from it
+     * @return how the assignment violates the rule, for the log; empty if it does not
      */
     Optional<String> violation(View before, View proposed);
 
     /**
-     * A view has been settled.
+     * Called when a view has been settled.
      *
      * @param view the view that this member holds from now on
      * @param nowUs monotonic time, microseconds
--- a/src/main/java/hopdrum/fleet/view/ShardProtocol.java
+++ b/src/main/java/hopdrum/fleet/view/ShardProtocol.java
@@ -8,29 +8,29 @@
 import java.util.Optional;
 
 /**
- * The shard-sharing protocol as {@link Membership} drives it: the assignment rule, messages and
- * ticks. Called under the lock of {@link Membership}. Times are microseconds of one monotonic clock.
+ * The shard-sharing protocol as {@link Membership} drives it: the assignment rule, messages and ticks. All methods are
+ * called under the lock of {@link Membership}. Times are microseconds of one monotonic clock.
  */
 public interface ShardProtocol extends ShardAssigner {
-    /** The protocol of a fleet without shards: it assigns nothing and ignores its messages. */
+    /** The protocol of a fleet without shards: no shard is assigned and the protocol's messages are ignored. */
     ShardProtocol NONE = new NoShards();
 
-    /** Called once, before anything else, with the detector of which members are present. */
+    /** Sets the failure detector, which tells which members are present; called once, before any other method. */
     void setFailureDetector(FailureDetector detector);
 
-    /** Called several times a probe period. */
+    /** Advances the protocol; called several times per probe period. */
     void tick(long nowUs);
 
-    /** A peer has named the settled view that it holds. */
+    /** Handles a peer's statement of which settled view it holds. */
     void onPeerView(Member from, long era, long number);
 
-    /** A peer's agreement proposals have arrived. */
+    /** Handles a peer's agreement proposals. */
     void onAgreementProposals(Member from, Message.AgreementProposals proposals, long nowUs);
 
-    /** A member of the same operator has announced completed hand-overs of shards. */
+    /** Handles completed hand-overs of shards that a member of the same operator has announced. */
     void onShardsHandedOver(Member from, Message.ShardsHandedOver handedOver, long nowUs);
 
-    /** A fleet whose operators share no shards: a view with an assignment is refused. */
+    /** The protocol of a fleet whose operators share no shards: a view with a shard assignment violates its rule. */
     final class NoShards implements ShardProtocol {
         private NoShards() {}
 
@@ -43,7 +43,7 @@
         public Optional<String> violation(View before, View proposed) {
             return proposed.shardAssignment() == null
                     ? Optional.empty()
-                    : Optional.of("nothing is divided in this fleet");
+                    : Optional.of("a fleet without shards must not have a shard assignment");
         }
 
         @Override
--- a/src/main/java/hopdrum/fleet/view/SuspectProbes.java
+++ b/src/main/java/hopdrum/fleet/view/SuspectProbes.java
@@ -7,13 +7,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Probes of peers that others suspect: about three members probe each suspect, at once and then each period, so that
- * either the suspicion is confirmed or the suspect learns of it and refutes.
+ * Probes of suspected peers. About three members probe each suspect, immediately and then in each period, so that
+ * either the suspicion is confirmed or the suspect learns of the suspicion and refutes it.
  */
 final class SuspectProbes {
-    private static final int EXPECTED_PROBERS = 3; // of one suspect in one period, in the mean
+    private static final int EXPECTED_PROBERS = 3; // mean number of members that probe a suspect in one period
 
-    /** A probe under way. */
+    /** A probe in progress. */
     private static final class Probe {
         private final Peer suspect;
         private final long incarnation;
@@ -37,7 +37,7 @@
     private final PeerUpdates updates;
     private final SwimMessenger messenger;
     private final LocalHealth health;
-    private final Map<Long, Probe> probes = new LinkedHashMap<>(); // by sequence; removed by ack and by age
+    private final Map<Long, Probe> probes = new LinkedHashMap<>(); // by sequence number; removed on an ack or a timeout
 
     SuspectProbes(
             MemberContext context, PeerTable peers, PeerUpdates updates, SwimMessenger messenger, LocalHealth health) {
@@ -51,13 +51,13 @@
 
     void tick(long nowUs) {
         for (Peer peer : peers.all()) {
-            if (peer.hasState(State.SUSPECT) && nowUs >= peer.nextCheckUs()) {
-                peer.scheduleCheck(nowUs + timing.probePeriodUs());
+            if (peer.hasState(State.SUSPECT) && nowUs >= peer.nextSuspectProbeUs()) {
+                peer.scheduleSuspectProbe(nowUs + timing.probePeriodUs());
                 probeByChance(peer, nowUs);
             }
         }
         for (Map.Entry<Long, Probe> entry : List.copyOf(probes.entrySet())) {
-            advance(entry.getKey(), entry.getValue(), nowUs);
+            advanceProbe(entry.getKey(), entry.getValue(), nowUs);
         }
     }
 
@@ -70,7 +70,7 @@
         }
     }
 
-    private void advance(long sequence, Probe probe, long nowUs) {
+    private void advanceProbe(long sequence, Probe probe, long nowUs) {
         long waitedUs = nowUs - probe.sentUs;
         if (probe.isObsolete()) {
             probes.remove(sequence);
@@ -87,7 +87,7 @@
         probes.remove(sequence);
     }
 
-    void clear() {
+    void cancelAll() {
         probes.clear();
     }
 }
--- a/src/main/java/hopdrum/fleet/view/SuspicionTimeout.java
+++ b/src/main/java/hopdrum/fleet/view/SuspicionTimeout.java
@@ -1,6 +1,9 @@
 package hopdrum.fleet.view;
 
-/** Lifeguard's dynamic suspicion timeout: it shrinks, by the logarithm, from the longest to the least as others confirm. */
+/**
+ * Lifeguard's dynamic suspicion timeout, which shrinks logarithmically from its maximum to its minimum as other members
+ * confirm the suspicion.
+ */
 final class SuspicionTimeout {
     private final FleetTiming timing;
 
@@ -9,9 +12,9 @@
     }
 
     /**
-     * When the suspect is to be declared dead unless it refutes.
+     * Returns when the suspect is to be declared dead unless it refutes, microseconds.
      *
-     * @param presentPeers how many peers are present, the suspect among them
+     * @param presentPeers the number of peers present, including the suspect
      */
     long deadlineUs(Peer suspect, int presentPeers) {
         int confirmers = Math.min(Peer.MAX_CONFIRMATIONS, presentPeers - 1);
--- a/src/main/java/hopdrum/fleet/view/SwimMessenger.java
+++ b/src/main/java/hopdrum/fleet/view/SwimMessenger.java
@@ -8,7 +8,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Builds and sends the failure detector's messages, with gossip and this member's settled view on them. */
+/**
+ * Builds and sends the failure detector's messages, which carry gossip and the era and number of the settled view.
+ */
 final class SwimMessenger {
     private static final int INDIRECT_PROBERS = 3;
 
@@ -26,12 +28,12 @@
         this.gossip = gossip;
     }
 
-    /** The settled view that pings, acks and exchanges name from now on. */
+    /** Sets the settled view that pings, acks and full-state exchanges name from now on. */
     void setView(View settled) {
         view = settled;
     }
 
-    /** A number that no ping of this start has had. */
+    /** Returns a sequence number that no ping of this start has used. */
     long nextSequence() {
         return ++lastSequence;
     }
@@ -40,12 +42,20 @@
         ping(peer.member(), peer, sequence);
     }
 
-    /** @param peer what is known of that name, for its gossip; null if nothing is */
+    /**
+     * Pings a member.
+     *
+     * @param peer the peer of the target's name, for which gossip is chosen; null if the name is unknown
+     */
     void ping(Member target, Peer peer, long sequence) {
         sender.send(target.address(), new Message.Ping(sequence, view.era(), view.number(), gossipFor(peer)));
     }
 
-    /** @param peer what is known of the recipient, for its gossip; null if no gossip is to be sent */
+    /**
+     * Acknowledges a ping.
+     *
+     * @param peer the peer at that address, for which gossip is chosen; null if no gossip is to be sent
+     */
     void ack(String address, Peer peer, long sequence) {
         sender.send(address, new Message.Ack(sequence, view.era(), view.number(), gossipFor(peer)));
     }
@@ -54,7 +64,7 @@
         sender.send(address, new Message.Nack(sequence));
     }
 
-    /** Sends ping requests for the target to some live peers; returns how many. */
+    /** Sends ping requests for the target to a few live peers; returns how many. */
     int requestIndirectPings(Peer target, long sequence) {
         List<Peer> helpers = peers.sample(INDIRECT_PROBERS, peer -> peer.hasState(State.ALIVE) && peer != target);
         for (Peer helper : helpers) {
@@ -63,7 +73,11 @@
         return helpers.size();
     }
 
-    /** @param answer false to ask for the recipient's full state in return */
+    /**
+     * Sends the states of this member and all its peers.
+     *
+     * @param answer whether this is an answer; if false, the recipient sends its full state in return
+     */
     void exchangeFullState(String address, boolean answer) {
         List<GossipUpdate> updates = new ArrayList<>();
         updates.add(local.toUpdate());
--- a/src/main/java/hopdrum/fleet/view/ViewCatchUp.java
+++ b/src/main/java/hopdrum/fleet/view/ViewCatchUp.java
@@ -4,7 +4,10 @@
 import hopdrum.fleet.message.Message;
 import hopdrum.fleet.message.View;
 
-/** Brings members that hold different settled views to the latest: one that is behind requests it, or is sent it. */
+/**
+ * Brings members that hold an earlier settled view to the latest one: a member that is behind requests the latest view,
+ * and a member that is ahead sends it.
+ */
 final class ViewCatchUp {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -17,7 +20,10 @@
         this.sender = sender;
     }
 
-    /** Whether a proposer builds on the same view as this member; where it does not, one of both is to catch up. */
+    /**
+     * Whether a proposer holds the same settled view as this member. If not, sends the proposer the later view or
+     * requests it.
+     */
     boolean isOnSameView(View own, Member proposer, long era, long number) {
         if (own.hasId(era, number)) {
             return true;
@@ -30,7 +36,7 @@
         return false;
     }
 
-    /** A peer has named the view that it holds. */
+    /** Handles a peer's statement of which settled view it holds: sends the peer a later view or requests it. */
     void onPeerView(View own, Member peer, long era, long number, long nowUs) {
         if (isLater(own, era, number)) {
             sender.send(peer, new Message.ViewSettled(own));
@@ -40,7 +46,7 @@
         }
     }
 
-    /** A peer requests a view later than its own. */
+    /** Answers a peer that requests a later view than its own, if this member holds one. */
     void onRequest(View own, Member peer, Message.SettledViewRequest request) {
         if (isLater(own, request.era(), request.number())) {
             sender.send(peer, new Message.ViewSettled(own));
--- a/src/main/java/hopdrum/fleet/view/ViewChangePlanner.java
+++ b/src/main/java/hopdrum/fleet/view/ViewChangePlanner.java
@@ -10,13 +10,13 @@
 import java.util.Optional;
 
 /**
- * Compares the settled view with what the failure detector sees, and decides which view to propose next. Changes wait until
- * they have been stable for a period and no suspicion is open, and so come in batches (after Rapid, Suresh and others
- * 2018); they wait a bounded time.
+ * Compares the settled view with the members that the failure detector reports, and decides which view to propose next.
+ * Changes are proposed once they have been stable for a probe period and no member is suspected, and so are batched
+ * (after Rapid, Suresh and others 2018). The wait is bounded.
  */
 final class ViewChangePlanner {
     private static final int STABLE_PERIODS = 1;
-    private static final int MAX_BATCH_PERIODS = 6; // then a change is proposed though others are still under way
+    private static final int MAX_BATCH_PERIODS = 6; // then a change is proposed even if it is not stable yet
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final Member self;
@@ -24,7 +24,7 @@
     private final Electorate electorate;
     private final FailureDetector failureDetector;
     private final ShardAssigner shardAssigner;
-    private List<Member> target; // the members that the next view should have; null if no change is wanted
+    private List<Member> targetMembers; // of the next view; null if no change is needed
     private long targetSinceUs;
     private long changeSinceUs = NEVER;
 
@@ -40,14 +40,14 @@
         this.shardAssigner = shardAssigner;
     }
 
-    /** A view has been settled: what was wanted of the one before is void. */
+    /** Discards the tracked change: there is none any more, or a new view has been settled. */
     void reset() {
-        target = null;
+        targetMembers = null;
         changeSinceUs = NEVER;
     }
 
     /**
-     * Looks for changes; called in each tick of a voter.
+     * Checks for changes; called in each tick of a voter.
      *
      * @param view the settled view
      * @param mayPropose whether the proposer is idle and not backing off
@@ -63,12 +63,12 @@
             reset();
             return Optional.empty();
         }
-        track(members.get(), nowUs);
-        if (!isDue(view, nowUs) || !mayPropose || !coordinator) {
+        trackTarget(members.get(), nowUs);
+        if (!isChangeDue(view, nowUs) || !mayPropose || !coordinator) {
             return Optional.empty();
         }
         long era = Electorate.isUnfounded(view) ? System.currentTimeMillis() * 1000 : view.era();
-        return Optional.of(new View(era, view.number() + 1, target, assignment));
+        return Optional.of(new View(era, view.number() + 1, targetMembers, assignment));
     }
 
     private static boolean isChange(View view, List<Member> members, ShardAssignment assignment) {
@@ -76,9 +76,9 @@
         return reassigns || !haveSameStarts(members, view.members());
     }
 
-    private void track(List<Member> members, long nowUs) {
-        if (target == null || !haveSameStarts(members, target)) {
-            target = members;
+    private void trackTarget(List<Member> members, long nowUs) {
+        if (targetMembers == null || !haveSameStarts(members, targetMembers)) {
+            targetMembers = members;
             targetSinceUs = nowUs;
         }
         if (changeSinceUs == NEVER) {
@@ -86,7 +86,7 @@
         }
     }
 
-    private boolean isDue(View view, long nowUs) {
+    private boolean isChangeDue(View view, long nowUs) {
         boolean stable = nowUs - targetSinceUs >= STABLE_PERIODS * timing.probePeriodUs() && !hasSuspect(view);
         return stable || nowUs - changeSinceUs >= MAX_BATCH_PERIODS * timing.probePeriodUs();
     }
@@ -95,7 +95,7 @@
         return view.members().stream().anyMatch(member -> failureDetector.state(member.name()) == State.SUSPECT);
     }
 
-    /** Empty until all founders are alive. */
+    /** Returns the members of a fleet's first view; empty until all founders are alive. */
     private Optional<List<Member>> foundingMembers() {
         List<Member> members = new ArrayList<>();
         for (String name : electorate.founders()) {
@@ -120,7 +120,7 @@
                     || latest.start() < member.start()
                     || state == State.ALIVE
                     || state == State.SUSPECT) {
-                next.add(member); // nothing newer is known of it, or its suspicion is not decided yet
+                next.add(member); // no later start is known, or the suspicion is undecided
             }
         }
         for (Member member : failureDetector.presentMembers()) {
@@ -138,12 +138,12 @@
                 && (member.isSameStart(self) || aliveForUs >= STABLE_PERIODS * timing.probePeriodUs());
     }
 
-    private static boolean haveSameStarts(List<Member> some, List<Member> others) {
-        if (some.size() != others.size()) {
+    private static boolean haveSameStarts(List<Member> first, List<Member> second) {
+        if (first.size() != second.size()) {
             return false;
         }
-        for (int i = 0; i < some.size(); i++) {
-            if (!some.get(i).isSameStart(others.get(i))) {
+        for (int i = 0; i < first.size(); i++) {
+            if (!first.get(i).isSameStart(second.get(i))) {
                 return false;
             }
         }
--- a/src/main/java/hopdrum/fleet/view/ViewConsensus.java
+++ b/src/main/java/hopdrum/fleet/view/ViewConsensus.java
@@ -9,10 +9,11 @@
 import java.util.Set;
 
 /**
- * Settled views: each is agreed on by a majority of the members of the one before, by single-decree Paxos for each view
- * number (Lamport, Paxos Made Simple, 2001), so that no number ever names two views. The first view of a fleet takes all
- * founders. {@link ViewChangePlanner} decides what to propose, {@link Proposer} and {@link Acceptor} are the two Paxos
- * roles, {@link ViewCatchUp} distributes settled views.
+ * Agrees on settled views. A majority of the members of one view agrees on the next, by one instance of single-decree
+ * Paxos (Lamport, Paxos Made Simple, 2001) for each view number, so that no number ever names two views. The first view
+ * of a fleet needs the votes of all founders. {@link ViewChangePlanner} decides what to propose, {@link Proposer} and
+ * {@link Acceptor} are the two Paxos roles, and {@link ViewCatchUp} brings members that are behind to the latest
+ * settled view.
  *
  * <p>Not thread-safe: called under the lock of {@link Membership}. Times are microseconds of one monotonic clock.
  */
@@ -33,8 +34,10 @@
     private boolean superseded;
 
     /**
+     * Starts from the restored settled view, or from {@link View#NONE}.
+     *
      * @param founders the names that all have to be present before a new fleet is founded
-     * @param restored what was durable before this start; null if nothing was
+     * @param restored the state restored from the store; null if there is none
      */
     ViewConsensus(
             MemberContext context,
@@ -67,24 +70,26 @@
 
     // ---- Queries ----
 
-    /** The view that is settled here; {@link View#NONE} before the founding. */
+    /** Returns the latest settled view known to this member; {@link View#NONE} before the founding of the fleet. */
     public View view() {
         return view;
     }
 
-    /** This member's lease on the settled view. */
+    /** Returns this member's lease on the settled view. */
     public ViewLease lease() {
         return lease;
     }
 
-    /** Whether a later start of this name is in the settled view: this start must not act any more. */
+    /** Whether the settled view contains a later start of this member's name: this start must not act any more. */
     boolean isSuperseded() {
         return superseded;
     }
 
-    // ---- Time ----
+    // ---- Ticks ----
 
-    /** Called several times a probe period. */
+    /**
+     * Proposes a change, abandons an overdue proposal and renews leases, as due; called several times per probe period.
+     */
     void tick(long nowUs) {
         proposer.tick(view, nowUs);
         if (!superseded && electorate.isVoter(view)) {
@@ -96,40 +101,40 @@
         if (electorate.isVoter(view) && electorate.isCoordinator(view) && !acceptor.hasAccepted()) {
             leaseCoordinator.tick(electorate.voters(view), nowUs);
         }
-        handleOwnMessages(nowUs);
+        handleSelfMessages(nowUs);
     }
 
     /**
-     * A write of this member's state is durable: sends the vote that waited for it. To be called under the lock of
-     * {@link Membership}.
+     * Resumes after a write of this member's state has become durable: sends the vote that waited for the write. To be
+     * called under the lock of {@link Membership}.
      *
-     * @param continuation what was given to {@link DurableStateWriter#write} with the state
+     * @param continuation the continuation that {@link DurableStateWriter#write} was given with the state
      * @param nowUs monotonic time, microseconds
      */
     public void onStateDurable(Runnable continuation, long nowUs) {
         continuation.run();
-        handleOwnMessages(nowUs);
+        handleSelfMessages(nowUs);
     }
 
     // ---- Messages ----
 
-    /** Handles a message of consensus or of leases; those of other protocols are ignored. */
+    /** Handles a message of consensus or of leases; messages of other protocols are ignored. */
     void onMessage(Member from, Message message, long nowUs) {
         if (!onPaxosMessage(from, message, nowUs) && !onCatchUpMessage(from, message, nowUs)) {
             onLeaseMessage(from, message, nowUs);
         }
-        handleOwnMessages(nowUs);
+        handleSelfMessages(nowUs);
     }
 
-    /** A peer has named the settled view that it holds. */
+    /** Handles a peer's statement of which settled view it holds. */
     void onPeerView(Member from, long era, long number, long nowUs) {
         catchUp.onPeerView(view, from, era, number, nowUs);
-        handleOwnMessages(nowUs);
+        handleSelfMessages(nowUs);
     }
 
-    /** What this member sends to itself takes the way of all messages, but never while another is being handled. */
-    private void handleOwnMessages(long nowUs) {
-        for (Message own = sender.pollOwn(); own != null; own = sender.pollOwn()) {
+    /** Handles the messages that this member has sent to itself, once the message that caused them has been handled. */
+    private void handleSelfMessages(long nowUs) {
+        for (Message own = sender.pollSelfMessage(); own != null; own = sender.pollSelfMessage()) {
             onPaxosMessage(self, own, nowUs);
         }
     }
@@ -142,7 +147,7 @@
         } else if (message instanceof Message.Accept accept) {
             onAccept(from, accept);
         } else if (message instanceof Message.Accepted accepted) {
-            proposer.onAccepted(view, from, accepted).ifPresent(settled -> settle(settled, nowUs));
+            proposer.onAccepted(view, from, accepted).ifPresent(settled -> settleView(settled, nowUs));
         } else if (message instanceof Message.Preempted preempted) {
             proposer.onPreempted(view, preempted, nowUs);
         } else {
@@ -153,7 +158,7 @@
 
     private boolean onCatchUpMessage(Member from, Message message, long nowUs) {
         if (message instanceof Message.ViewSettled settled) {
-            adopt(settled.view(), ConsensusLog.Source.PEER, nowUs);
+            adoptView(settled.view(), ConsensusLog.Source.PEER, nowUs);
         } else if (message instanceof Message.SettledViewRequest request) {
             catchUp.onRequest(view, from, request);
         } else {
@@ -175,18 +180,18 @@
     }
 
     private void onPrepare(Member from, Message.Prepare prepare) {
-        if (votesOn(from, prepare.era(), prepare.number()) && acceptor.onPrepare(view, from, prepare)) {
+        if (mayVoteOn(from, prepare.era(), prepare.number()) && acceptor.onPrepare(view, from, prepare)) {
             proposer.observeRound(prepare.ballot());
         }
     }
 
     private void onAccept(Member from, Message.Accept accept) {
-        if (votesOn(from, accept.era(), accept.number())) {
+        if (mayVoteOn(from, accept.era(), accept.number())) {
             acceptor.onAccept(view, from, accept);
         }
     }
 
-    private boolean votesOn(Member proposer, long era, long number) {
+    private boolean mayVoteOn(Member proposer, long era, long number) {
         return !superseded
                 && catchUp.isOnSameView(view, proposer, era, number)
                 && electorate.isVoter(view)
@@ -196,18 +201,21 @@
     private void onRenew(Member from, Message.Renew renew, long nowUs) {
         if (!view.hasId(renew.era(), renew.number())) {
             catchUp.onPeerView(view, from, renew.era(), renew.number(), nowUs);
-        } else if (!acceptor.hasAccepted()
-                && view.contains(self)) { // a member that has voted for the next view does not renew this one
+        } else if (!acceptor.hasAccepted() && view.contains(self)) {
+            // A member that has voted for the next view no longer renews leases on the present one.
             sender.send(from, new Message.Renewed(renew.era(), renew.number(), renew.round(), nowUs));
         }
     }
 
     // ---- Settled views ----
 
-    /** This member's proposal has a quorum: adopts the view, and sends it to the voters, its members and all who are present. */
-    private void settle(View settled, long nowUs) {
+    /**
+     * Adopts the view of this member's proposal, which a quorum has accepted, and sends it to the voters, to its
+     * members and to all members present, once per address.
+     */
+    private void settleView(View settled, long nowUs) {
         Set<Member> recipients = new HashSet<>(electorate.voters(view));
-        adopt(settled, ConsensusLog.Source.OWN_PROPOSAL, nowUs);
+        adoptView(settled, ConsensusLog.Source.OWN_PROPOSAL, nowUs);
         addByAddress(recipients, settled.members());
         addByAddress(recipients, failureDetector.presentMembers());
         recipients.removeIf(member -> member.isSameStart(self));
@@ -223,16 +231,17 @@
     }
 
     /**
-     * Holds a settled view from now on, if it is later than the present one. One of another era, so of another founding,
-     * is adopted only where there was no fleet, or where the lease has lapsed and nothing of the present era is acted on.
+     * Adopts a settled view if it is later than the present one. A view of a later era, that is of another founding, is
+     * adopted only if this member has no view yet, or if its lease has expired, so that it no longer acts on the
+     * present era.
      */
-    private void adopt(View settled, ConsensusLog.Source source, long nowUs) {
+    private void adoptView(View settled, ConsensusLog.Source source, long nowUs) {
         boolean sameEra = settled.era() == view.era() && settled.number() > view.number();
         boolean laterEra = settled.era() > view.era() && (Electorate.isUnfounded(view) || !lease.isHeld(nowUs));
         if ((!sameEra && !laterEra) || Electorate.isUnfounded(settled)) {
             return;
         }
-        boolean follows = sameEra && settled.number() == view.number() + 1;
+        boolean consecutive = sameEra && settled.number() == view.number() + 1;
         View before = view;
         view = settled;
         acceptor.reset(settled);
@@ -244,7 +253,7 @@
         }
         checkSuperseded();
         failureDetector.onViewSettled(view, nowUs);
-        notifyLease(nowUs, follows);
+        notifyLease(nowUs, consecutive);
         shardAssigner.onViewSettled(view, nowUs);
     }
 
@@ -256,8 +265,8 @@
         }
     }
 
-    private void notifyLease(long nowUs, boolean follows) {
-        lease.onViewSettled(view, nowUs, follows);
+    private void notifyLease(long nowUs, boolean consecutive) {
+        lease.onViewSettled(view, nowUs, consecutive);
         leaseCoordinator.onViewSettled(view, nowUs);
     }
 }
--- a/src/main/java/hopdrum/fleet/view/ViewLease.java
+++ b/src/main/java/hopdrum/fleet/view/ViewLease.java
@@ -7,8 +7,9 @@
 import java.util.List;
 
 /**
- * This member's lease on its settled view: how long it may act on it, by its own clock alone. The coordinator grants it
- * (see {@link LeaseCoordinator}); it lasts for the configured time from the granted moment on.
+ * This member's lease on its settled view: how long this member may act on the view, by its own clock alone. The
+ * coordinator grants a lease as of a moment on this clock (see {@link LeaseCoordinator}); the lease lasts for the
+ * configured time from that moment on.
  *
  * <p>Not thread-safe: called under the lock of {@link Membership}. Times are microseconds of one monotonic clock.
  */
@@ -22,10 +23,10 @@
     private final FleetTiming timing;
     private final DecisionLog log;
     private final long startedUs;
-    private final List<FormerView> formerViews = new ArrayList<>(); // removed as their leases lapse
+    private final List<FormerView> formerViews = new ArrayList<>(); // removed once all leases on them have expired
     private View view = View.NONE;
-    private long lastConfirmedUs = NEVER; // the last grant for the present view, or for the one right before it
-    private long skippedUntilUs; // views were skipped: until then their unknown leases may be live
+    private long lastConfirmedUs = NEVER; // latest grant for the present view or its predecessor
+    private long unknownLeasesUntilUs; // leases on views that this member did not hold may be live until then
     private boolean cutOff;
 
     ViewLease(MemberContext context, long nowUs) {
@@ -35,16 +36,21 @@
         this.startedUs = nowUs;
     }
 
-    /** @param follows whether the view's number is the next one after that of the view held before */
-    void onViewSettled(View settled, long nowUs, boolean follows) {
+    /**
+     * Switches to a settled view.
+     *
+     * @param consecutive whether the view's number directly follows that of the view held before
+     */
+    void onViewSettled(View settled, long nowUs, boolean consecutive) {
         boolean wasMember = view.contains(self);
-        if (follows && wasMember) {
+        if (consecutive && wasMember) {
             formerViews.add(new FormerView(view, nowUs + timing.leaseWithDriftUs()));
         } else {
-            skippedUntilUs = nowUs + timing.leaseWithDriftUs(); // others may have been granted more than is known here
+            // Other members may hold leases on views that this member does not know.
+            unknownLeasesUntilUs = nowUs + timing.leaseWithDriftUs();
             formerViews.clear();
         }
-        if (!follows || !wasMember || !settled.contains(self)) {
+        if (!consecutive || !wasMember || !settled.contains(self)) {
             lastConfirmedUs = NEVER;
         }
         view = settled;
@@ -53,21 +59,21 @@
 
     // ---- Queries ----
 
-    /** When this member's lease ends, microseconds; long past where it has none. */
+    /** Returns when this member's lease expires, microseconds; a time far in the past if this member has no lease. */
     public long expiresAtUs(long nowUs) {
-        return mayHold(nowUs) ? lastConfirmedUs + timing.leaseUs() : NEVER;
+        return mayHoldLease(nowUs) ? lastConfirmedUs + timing.leaseUs() : NEVER;
     }
 
     /**
-     * The last moment, microseconds, at which a majority is known to have held this member's view or the one before; long
-     * past where this member may not act.
+     * Returns the latest moment, microseconds, at which a majority is known to have held this member's view or its
+     * predecessor; a time far in the past if this member may not act on its view.
      */
     public long lastConfirmedUs(long nowUs) {
-        return mayHold(nowUs) ? lastConfirmedUs : NEVER;
+        return mayHoldLease(nowUs) ? lastConfirmedUs : NEVER;
     }
 
-    private boolean mayHold(long nowUs) {
-        return view.contains(self) && nowUs >= skippedUntilUs;
+    private boolean mayHoldLease(long nowUs) {
+        return view.contains(self) && nowUs >= unknownLeasesUntilUs;
     }
 
     boolean isHeld(long nowUs) {
@@ -75,8 +81,8 @@
     }
 
     /**
-     * The settled view, and those before it under which a lease may still be live somewhere: what a member claims must be
-     * within its share of each.
+     * Returns the settled view, followed by the former views on which another member may still hold a lease. A member
+     * may claim no more than its share under each of these views.
      */
     public List<View> liveViews(long nowUs) {
         List<View> live = new ArrayList<>();
@@ -89,25 +95,30 @@
         return live;
     }
 
-    /** Whether this member is in its view, but no majority has been seen to hold that view for the length of a lease. */
+    /**
+     * Whether this member is in its view, but no majority is known to have held that view within the length of a lease.
+     */
     public boolean isCutOff() {
         return cutOff;
     }
 
-    // ---- Time and grants ----
+    // ---- Ticks and grants ----
 
     void tick(long nowUs) {
         formerViews.removeIf(former -> nowUs >= former.untilUs);
         boolean lapsed = view.contains(self)
                 && nowUs > Math.max(lastConfirmedUs, startedUs) + timing.leaseUs()
-                && nowUs > skippedUntilUs;
+                && nowUs > unknownLeasesUntilUs;
         if (lapsed != cutOff) {
             cutOff = lapsed;
             log.event(lapsed ? "cut_off" : "held_again", "era", view.era(), "number", view.number());
         }
     }
 
-    /** A coordinator's grant; a time that this clock has not shown since the start is not this start's. */
+    /**
+     * Applies a coordinator's grant for the settled view. A grant as of a time that this member's clock has not shown
+     * since the start is ignored, because it belongs to another start.
+     */
     void onGranted(Message.LeaseGranted granted, long nowUs) {
         if (view.hasId(granted.era(), granted.number())
                 && granted.atUs() >= startedUs
@@ -117,8 +128,8 @@
         }
     }
 
-    /** A majority is known to have held the view at the given time or later. */
-    void extend(long sinceUs) {
-        lastConfirmedUs = Math.max(lastConfirmedUs, sinceUs);
+    /** Extends the lease: a majority is known to have held the view at the given time, microseconds, or later. */
+    void extend(long confirmedUs) {
+        lastConfirmedUs = Math.max(lastConfirmedUs, confirmedUs);
     }
 }
--- a/src/test/java/hopdrum/fleet/SettledViewsTest.java
+++ b/src/test/java/hopdrum/fleet/SettledViewsTest.java
@@ -144,7 +144,10 @@
         assertThat(fleet.isSettled()).isTrue();
     }
 
-    /** Kills, restarts with and without stores, pauses, cuts and losses at random: prints the seed that breaks an invariant. */
+    /**
+     * Kills, restarts with and without stores, pauses, cuts and losses at random: prints the seed that breaks an
+     * invariant.
+     */
     @Property(tries = 40, shrinking = ShrinkingMode.OFF)
     void noScheduleOfFaultsBreaksAnInvariant(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
