--- a/src/test/java/hopdrum/fleet/SettledViewsTest.java
+++ b/src/test/java/hopdrum/fleet/SettledViewsTest.java
@@ -12,7 +12,10 @@
 import net.jqwik.api.ShrinkingMode;
 import org.junit.jupiter.api.Test;
 
-/** Fleets in virtual time, with one kind of failure each. The simulation checks its invariants at each step. */
+/**
+ * Settled views and the leases on them under partitions, slow disks, kills, restarts and pauses, in fleets that run in
+ * virtual time. The simulation checks its invariants at each step.
+ */
 class SettledViewsTest {
     private static final long SECOND_US = 1_000_000;
     private static final FleetTiming TIMING = new FleetTiming(SECOND_US, 5 * SECOND_US, 3_600 * SECOND_US);
@@ -21,7 +24,7 @@
         FleetSimulation fleet = new FleetSimulation(members, Math.min(5, members), TIMING, seed);
         fleet.nodes().forEach(node -> fleet.start(node, false));
         assertThat(fleet.until(60 * SECOND_US, fleet::isSettled)).isTrue();
-        fleet.run(12 * SECOND_US); // leases of an earlier era would have lapsed
+        fleet.run(12 * SECOND_US); // leases of an earlier era would have expired
         return fleet;
     }
 
@@ -29,6 +32,10 @@
         return fleet.nowUs() < node.membership().viewConsensus().lease().expiresAtUs(fleet.nowUs());
     }
 
+    /**
+     * Guards against two sides acting on different views. A partition separates two of five members: the majority
+     * settles a view without them, while they must keep theirs and lose their leases on it.
+     */
     @Test
     void aMinorityKeepsItsSettledViewReportsThatItIsCutOffAndClaimsNothingAfterItsLease() {
         FleetSimulation fleet = settledFleet(5, 1);
@@ -51,6 +58,10 @@
         assertThat(fleet.violations()).isEmpty();
     }
 
+    /**
+     * Guards against a slow disk blocking a member, so that it would be suspected. One member's writes take four probe
+     * periods, and the last view needs that member's vote.
+     */
     @Test
     void aDiskThatTakesFourPeriodsAWriteMakesNoMemberSuspectedAndItsVotesCountOnceTheyAreDurable() {
         FleetSimulation fleet = settledFleet(5, 3);
@@ -58,12 +69,16 @@
         fleet.setDiskWriteUs(name -> name.equals("m001") ? 4 * SECOND_US : 0);
         fleet.kill(fleet.node(4));
         assertThat(fleet.until(12 * SECOND_US, fleet::isSettled)).isTrue();
-        fleet.kill(fleet.node(3)); // without the slow one there are two of four: no majority
+        fleet.kill(fleet.node(3)); // without the slow member, two of four voters are left, which is no majority
         assertThat(fleet.until(90 * SECOND_US, fleet::isSettled)).isTrue();
         assertThat(fleet.events()).noneMatch(e -> e.contains(" m001 woke") || e.contains("member [who, m001"));
         assertThat(fleet.violations()).isEmpty();
     }
 
+    /**
+     * Guards against a fleet that waits for a coordinator without a vote. The first member by name is restarted without
+     * its store, and so with another voter number.
+     */
     @Test
     void theFirstByNameRestartedWithoutItsStoreHasNoVoteAndAnotherCoordinatorAdmitsIt() {
         FleetSimulation fleet = settledFleet(5, 4);
@@ -74,6 +89,7 @@
         assertThat(fleet.violations()).isEmpty();
     }
 
+    /** Guards against half of the members counting as a majority. A partition splits a fleet of four in two halves. */
     @Test
     void twoHalvesOfFourSettleNothingAndNeitherHoldsALease() {
         FleetSimulation fleet = settledFleet(4, 2);
@@ -86,6 +102,10 @@
         assertThat(fleet.violations()).isEmpty();
     }
 
+    /**
+     * Guards against claiming a share twice. A member is restarted, while the lease of its earlier start may still be
+     * live.
+     */
     @Test
     void aRestartedMemberClaimsNothingBeforeItsPredecessorsLeaseHasExpired() {
         FleetSimulation fleet = settledFleet(3, 3);
@@ -98,6 +118,10 @@
         assertThat(fleet.violations()).isEmpty();
     }
 
+    /**
+     * Guards against acting on an expired lease. The coordinator is paused while the others settle a view without it,
+     * and resumes with its old view.
+     */
     @Test
     void aCoordinatorPausedThroughAViewChangeDoesNotActOnItsOldLease() {
         FleetSimulation fleet = settledFleet(5, 4);
@@ -112,6 +136,10 @@
         assertThat(fleet.violations()).isEmpty();
     }
 
+    /**
+     * Guards against a fleet that cannot start again, or that reuses view numbers. All members are killed and restarted
+     * without their stores.
+     */
     @Test
     void aFleetThatLostAllStoresIsFoundedAnewInAnotherEra() {
         FleetSimulation fleet = settledFleet(5, 5);
@@ -123,6 +151,10 @@
         assertThat(fleet.violations()).isEmpty();
     }
 
+    /**
+     * Guards against a second founding. One founder is restarted without its store, while the other members hold a
+     * view.
+     */
     @Test
     void aFounderThatLostItsStoreDoesNotFoundAnotherFleet() {
         FleetSimulation fleet = settledFleet(3, 6);
@@ -134,19 +166,24 @@
         assertThat(fleet.node(2).view().era()).isEqualTo(era);
     }
 
+    /**
+     * Guards against suspecting peers whose acks were missed during a pause. One member is paused for less than the
+     * minimum suspicion timeout.
+     */
     @Test
     void anObserverThatWasPausedDoesNotDropOthers() {
         FleetSimulation fleet = settledFleet(7, 7);
         fleet.clearWronglyDropped();
-        fleet.pause(fleet.node(3), 2_500_000); // less than the least suspicion timeout
+        fleet.pause(fleet.node(3), 2_500_000); // less than the minimum suspicion timeout
         fleet.run(20 * SECOND_US);
         assertThat(fleet.wronglyDropped()).isEmpty();
         assertThat(fleet.isSettled()).isTrue();
     }
 
     /**
-     * Kills, restarts with and without stores, pauses, cuts and losses at random: prints the seed that breaks an
-     * invariant.
+     * Injects random faults: kills, restarts with and without stores, pauses, partitions in one or both directions,
+     * message loss and delay, and slow disks. A failure reports the seed and the step at which an invariant was
+     * violated.
      */
     @Property(tries = 40, shrinking = ShrinkingMode.OFF)
     void noScheduleOfFaultsBreaksAnInvariant(@ForAll long seed) {
