--- a/src/main/java/hopdrum/fleet/view/Acceptor.java
+++ b/src/main/java/hopdrum/fleet/view/Acceptor.java
@@ -18,7 +18,7 @@
     private final ConsensusSender sender;
     private final ShardAssigner shardAssigner;
     private final ConsensusLog log;
-    private Ballot promised;
+    private Ballot promisedBallot;
     private Ballot acceptedBallot; // null if no view has been accepted
     private View acceptedView; // null if no view has been accepted
 
@@ -39,7 +39,7 @@
         this.sender = sender;
         this.shardAssigner = shardAssigner;
         this.log = log;
-        this.promised = restored == null || restored.promised() == null ? Ballot.NONE : restored.promised();
+        this.promisedBallot = restored == null || restored.promised() == null ? Ballot.NONE : restored.promised();
         this.acceptedBallot = restored == null ? null : restored.acceptedIn();
         this.acceptedView = restored == null ? null : restored.accepted();
     }
@@ -54,7 +54,7 @@
 
     /** Returns the round of the highest promised ballot. */
     long promisedRound() {
-        return promised.round();
+        return promisedBallot.round();
     }
 
     /**
@@ -65,12 +65,12 @@
      */
     boolean onPrepare(View view, Member from, Message.Prepare prepare) {
         if (isPreempted(prepare.ballot())) {
-            sender.send(from, new Message.Preempted(prepare.era(), prepare.number(), promised));
+            sender.send(from, new Message.Preempted(prepare.era(), prepare.number(), promisedBallot));
             return false;
         }
         Message promise =
                 new Message.Promise(prepare.era(), prepare.number(), prepare.ballot(), acceptedBallot, acceptedView);
-        promised = prepare.ballot();
+        promisedBallot = prepare.ballot();
         persist(view, () -> sender.send(from, promise));
         return true;
     }
@@ -78,7 +78,7 @@
     /** Accepts a proposal, unless a higher ballot was promised or its shard assignment violates the assignment rule. */
     void onAccept(View view, Member from, Message.Accept accept) {
         if (isPreempted(accept.ballot())) {
-            sender.send(from, new Message.Preempted(accept.era(), accept.number(), promised));
+            sender.send(from, new Message.Preempted(accept.era(), accept.number(), promisedBallot));
             return;
         }
         View proposed = accept.view();
@@ -87,7 +87,7 @@
             log.rejected(accept.era(), proposed, violation.get());
             return;
         }
-        promised = accept.ballot();
+        promisedBallot = accept.ballot();
         acceptedBallot = accept.ballot();
         acceptedView = proposed;
         persist(view, () -> {
@@ -97,7 +97,7 @@
     }
 
     private boolean isPreempted(Ballot ballot) {
-        return ballot.compareTo(promised) < 0;
+        return ballot.compareTo(promisedBallot) < 0;
     }
 
     /**
@@ -105,14 +105,15 @@
      * the member requests the settled view again.
      */
     void reset(View settled) {
-        promised = Ballot.NONE;
+        promisedBallot = Ballot.NONE;
         acceptedBallot = null;
         acceptedView = null;
         persist(settled, () -> {});
     }
 
     private void persist(View view, Runnable continuation) {
-        DurableState state = new DurableState(self.voter(), self.start(), view, promised, acceptedBallot, acceptedView);
+        DurableState state =
+                new DurableState(self.voter(), self.start(), view, promisedBallot, acceptedBallot, acceptedView);
         writer.write(state, continuation);
     }
 }
--- a/src/main/java/hopdrum/fleet/view/ConsensusSender.java
+++ b/src/main/java/hopdrum/fleet/view/ConsensusSender.java
@@ -13,7 +13,8 @@
 final class ConsensusSender {
     private final Member self;
     private final MessageSender sender;
-    private final Deque<Message> toSelf = new ArrayDeque<>(); // emptied at the end of each call into ViewConsensus
+    private final Deque<Message> selfMessages =
+            new ArrayDeque<>(); // emptied at the end of each call into ViewConsensus
 
     ConsensusSender(Member self, MessageSender sender) {
         this.self = self;
@@ -22,7 +23,7 @@
 
     void send(Member recipient, Message message) {
         if (recipient.name().equals(self.name())) {
-            toSelf.add(message);
+            selfMessages.add(message);
         } else {
             sendToPeer(recipient, message);
         }
@@ -41,6 +42,6 @@
 
     /** Removes and returns the next message to this member itself; null if there is none. */
     Message pollSelfMessage() {
-        return toSelf.poll();
+        return selfMessages.poll();
     }
 }
--- a/src/main/java/hopdrum/fleet/view/FailureDetector.java
+++ b/src/main/java/hopdrum/fleet/view/FailureDetector.java
@@ -23,7 +23,7 @@
     private final DecisionLog log;
     private final PeerTable peers;
     private final LocalHealth health = new LocalHealth();
-    private final LocalMember local;
+    private final LocalMember localMember;
     private final PeerUpdates updates;
     private final SwimMessenger messenger;
     private final ProbeScheduler probes;
@@ -38,15 +38,15 @@
         log = context.log();
         GossipQueue gossip = new GossipQueue(self.name());
         peers = new PeerTable(context.random());
-        local = new LocalMember(context, gossip, health);
-        updates = new PeerUpdates(context, peers, local, gossip, this::onStateChange);
-        messenger = new SwimMessenger(context.sender(), peers, local, gossip);
+        localMember = new LocalMember(context, gossip, health);
+        updates = new PeerUpdates(context, peers, localMember, gossip, this::onStateChange);
+        messenger = new SwimMessenger(context.sender(), peers, localMember, gossip);
         probes = new ProbeScheduler(context, peers, updates, messenger, health, roundTripListener, nowUs);
         suspectProbes = new SuspectProbes(context, peers, updates, messenger, health);
         relayedPings = new RelayedPings(timing, peers, messenger);
-        exchanges = new FullStateExchanges(context, seeds, peers, local, messenger, nowUs);
+        exchanges = new FullStateExchanges(context, seeds, peers, localMember, messenger, nowUs);
         lastTickUs = nowUs;
-        local.announce();
+        localMember.announce();
     }
 
     private void onStateChange(Peer peer, State next) {
@@ -61,7 +61,7 @@
      */
     public State state(String name) {
         if (name.equals(self.name())) {
-            return local.state();
+            return localMember.state();
         }
         Peer peer = peers.get(name);
         return peer == null ? null : peer.state();
@@ -92,7 +92,7 @@
      */
     public List<Member> presentMembers() {
         List<Member> present = peers.members(Peer::isPresent);
-        if (!local.isLeaving()) {
+        if (!localMember.isLeaving()) {
             present.add(0, self);
         }
         return present;
@@ -184,7 +184,7 @@
 
     /** Announces that this member is leaving: to some peers directly, to the others through gossip. */
     void leave() {
-        local.leave();
+        localMember.leave();
         exchanges.announceDeparture();
     }
 }
--- a/src/main/java/hopdrum/fleet/view/FullStateExchanges.java
+++ b/src/main/java/hopdrum/fleet/view/FullStateExchanges.java
@@ -12,7 +12,7 @@
  * dead members merge partitions whose members have declared each other dead.
  */
 final class FullStateExchanges {
-    private static final int EXCHANGE_PERIODS = 10; // mean time between exchanges, up to twice FULL_RATE_MEMBERS peers
+    private static final int EXCHANGE_PERIODS = 10; // mean time between two exchanges in a small fleet
     private static final int FULL_RATE_MEMBERS = 16; // larger fleets exchange less often, to bound the bytes sent
     private static final int REJOIN_PERIODS = 3; // mean time between attempts to reach a seed or a dead member
     private static final int DEPARTURE_FANOUT = 5; // peers that are notified of a departure at once
@@ -22,7 +22,7 @@
     private final FleetTiming timing;
     private final SplittableRandom random;
     private final PeerTable peers;
-    private final LocalMember local;
+    private final LocalMember localMember;
     private final SwimMessenger messenger;
     private long nextExchangeUs;
     private long nextRejoinUs;
@@ -31,7 +31,7 @@
             MemberContext context,
             List<String> seeds,
             PeerTable peers,
-            LocalMember local,
+            LocalMember localMember,
             SwimMessenger messenger,
             long nowUs) {
         this.selfAddress = context.self().address();
@@ -39,7 +39,7 @@
         this.timing = context.timing();
         this.random = context.random();
         this.peers = peers;
-        this.local = local;
+        this.localMember = localMember;
         this.messenger = messenger;
         this.nextExchangeUs = nowUs;
         this.nextRejoinUs = nowUs;
@@ -71,7 +71,7 @@
     /** Tries one missing address. Never gives up, because a partition or the wait for the first seed may last long. */
     private void tryRejoin() {
         List<String> missing = missingAddresses();
-        if (!missing.isEmpty() && !local.isLeaving()) {
+        if (!missing.isEmpty() && !localMember.isLeaving()) {
             messenger.exchangeFullState(missing.get(random.nextInt(missing.size())), false);
         }
     }
--- a/src/main/java/hopdrum/fleet/view/GossipQueue.java
+++ b/src/main/java/hopdrum/fleet/view/GossipQueue.java
@@ -21,12 +21,16 @@
         private int sends;
     }
 
-    private final String observer;
+    private final String selfName;
     private final Map<String, PendingUpdate> pendingByName = new LinkedHashMap<>(); // removed after maxSends sends
 
-    /** @param observer the name of this member */
-    GossipQueue(String observer) {
-        this.observer = observer;
+    /**
+     * Creates an empty queue.
+     *
+     * @param selfName the name of this member
+     */
+    GossipQueue(String selfName) {
+        this.selfName = selfName;
     }
 
     /** Replaces the pending update about the subject, if any, and resets its number of sends to 0. */
@@ -49,7 +53,7 @@
     List<GossipUpdate> updatesFor(Peer recipient, int knownPeers) {
         List<GossipUpdate> updates = new ArrayList<>(MAX_UPDATES_PER_MESSAGE);
         if (!recipient.hasState(State.ALIVE)) {
-            updates.add(recipient.toUpdate(observer));
+            updates.add(recipient.toUpdate(selfName));
         }
         List<PendingUpdate> leastSentFirst = new ArrayList<>(pendingByName.values());
         leastSentFirst.sort(Comparator.comparingInt(pending -> pending.sends));
--- a/src/main/java/hopdrum/fleet/view/PeerUpdates.java
+++ b/src/main/java/hopdrum/fleet/view/PeerUpdates.java
@@ -22,7 +22,7 @@
     private final FleetTiming timing;
     private final DecisionLog log;
     private final PeerTable peers;
-    private final LocalMember local;
+    private final LocalMember localMember;
     private final GossipQueue gossip;
     private final SuspicionTimeout suspicionTimeout;
     private final StateChangeListener listener;
@@ -30,14 +30,14 @@
     PeerUpdates(
             MemberContext context,
             PeerTable peers,
-            LocalMember local,
+            LocalMember localMember,
             GossipQueue gossip,
             StateChangeListener listener) {
         this.self = context.self();
         this.timing = context.timing();
         this.log = context.log();
         this.peers = peers;
-        this.local = local;
+        this.localMember = localMember;
         this.gossip = gossip;
         this.suspicionTimeout = new SuspicionTimeout(timing);
         this.listener = listener;
@@ -76,7 +76,7 @@
     private void apply(GossipUpdate update, long nowUs) {
         Member subject = update.subject();
         if (subject.name().equals(self.name())) {
-            local.onUpdate(update);
+            localMember.onUpdate(update);
             return;
         }
         Peer peer = peers.get(subject.name());
@@ -103,8 +103,8 @@
     }
 
     private void applyToOtherStart(Peer peer, GossipUpdate update, long nowUs) {
-        boolean later = update.subject().start() > peer.member().start();
-        if (later && !isNameStillHeld(peer, update, nowUs)) {
+        boolean isLaterStart = update.subject().start() > peer.member().start();
+        if (isLaterStart && !isNameStillHeld(peer, update, nowUs)) {
             peer.replaceStart(update.subject());
             changeState(peer, update, nowUs);
         }
@@ -114,12 +114,12 @@
      * Whether the holder keeps its name against a later start. While the holder is alive, a later start at another
      * address is not a restart but a second process of the same name.
      */
-    private boolean isNameStillHeld(Peer holder, GossipUpdate later, long nowUs) {
-        boolean elsewhere = !later.subject().address().equals(holder.address());
+    private boolean isNameStillHeld(Peer holder, GossipUpdate laterUpdate, long nowUs) {
+        boolean isAtOtherAddress = !laterUpdate.subject().address().equals(holder.address());
         long roundUs = timing.probePeriodUs() * Math.max(1, peers.presentCount());
         boolean hasContact =
                 holder.hasState(State.ALIVE) && nowUs - holder.lastContactUs() < NAME_HELD_PROBE_ROUNDS * roundUs;
-        return elsewhere && hasContact && later.state() != State.LEFT;
+        return isAtOtherAddress && hasContact && laterUpdate.state() != State.LEFT;
     }
 
     private static boolean supersedes(GossipUpdate update, Peer peer) {
@@ -160,8 +160,8 @@
     void tick(long nowUs) {
         for (Peer peer : peers.snapshot()) {
             if (peer.hasState(State.SUSPECT) && nowUs >= suspicionTimeout.deadlineUs(peer, peers.presentCount())) {
-                GossipUpdate death = new GossipUpdate(peer.member(), peer.incarnation(), State.DEAD, self.name());
-                changeState(peer, death, nowUs);
+                GossipUpdate deathUpdate = new GossipUpdate(peer.member(), peer.incarnation(), State.DEAD, self.name());
+                changeState(peer, deathUpdate, nowUs);
             } else if (!peer.isPresent() && nowUs - peer.stateSinceUs() > timing.retentionUs()) {
                 peers.remove(peer);
                 gossip.remove(peer.member().name());
--- a/src/main/java/hopdrum/fleet/view/SuspicionTimeout.java
+++ b/src/main/java/hopdrum/fleet/view/SuspicionTimeout.java
@@ -18,11 +18,11 @@
      */
     long deadlineUs(Peer suspect, int presentPeers) {
         int confirmers = Math.min(Peer.MAX_CONFIRMATIONS, presentPeers - 1);
-        double confirmed = confirmers <= 0
+        double confirmedFraction = confirmers <= 0
                 ? 1
                 : Math.log(Math.min(confirmers, suspect.confirmations()) + 1) / Math.log(confirmers + 1);
-        long max = timing.maxSuspicionUs();
-        long min = timing.minSuspicionUs();
-        return suspect.stateSinceUs() + Math.max(min, (long) (max - confirmed * (max - min)));
+        long maxUs = timing.maxSuspicionUs();
+        long minUs = timing.minSuspicionUs();
+        return suspect.stateSinceUs() + Math.max(minUs, (long) (maxUs - confirmedFraction * (maxUs - minUs)));
     }
 }
--- a/src/main/java/hopdrum/fleet/view/SwimMessenger.java
+++ b/src/main/java/hopdrum/fleet/view/SwimMessenger.java
@@ -16,15 +16,15 @@
 
     private final MessageSender sender;
     private final PeerTable peers;
-    private final LocalMember local;
+    private final LocalMember localMember;
     private final GossipQueue gossip;
     private View view = View.NONE;
     private long lastSequence;
 
-    SwimMessenger(MessageSender sender, PeerTable peers, LocalMember local, GossipQueue gossip) {
+    SwimMessenger(MessageSender sender, PeerTable peers, LocalMember localMember, GossipQueue gossip) {
         this.sender = sender;
         this.peers = peers;
-        this.local = local;
+        this.localMember = localMember;
         this.gossip = gossip;
     }
 
@@ -80,9 +80,9 @@
      */
     void exchangeFullState(String address, boolean answer) {
         List<GossipUpdate> updates = new ArrayList<>();
-        updates.add(local.toUpdate());
+        updates.add(localMember.toUpdate());
         for (Peer peer : peers.all()) {
-            updates.add(peer.toUpdate(local.name()));
+            updates.add(peer.toUpdate(localMember.name()));
         }
         sender.send(address, new Message.FullStateExchange(answer, view.era(), view.number(), updates));
     }
--- a/src/main/java/hopdrum/fleet/view/ViewConsensus.java
+++ b/src/main/java/hopdrum/fleet/view/ViewConsensus.java
@@ -134,8 +134,10 @@
 
     /** Handles the messages that this member has sent to itself, once the message that caused them has been handled. */
     private void handleSelfMessages(long nowUs) {
-        for (Message own = sender.pollSelfMessage(); own != null; own = sender.pollSelfMessage()) {
-            onPaxosMessage(self, own, nowUs);
+        for (Message selfMessage = sender.pollSelfMessage();
+                selfMessage != null;
+                selfMessage = sender.pollSelfMessage()) {
+            onPaxosMessage(self, selfMessage, nowUs);
         }
     }
 
