--- a/src/main/java/hopdrum/fleet/view/Acceptor.java
+++ b/src/main/java/hopdrum/fleet/view/Acceptor.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 
 /**
- * The Paxos acceptor for the view that follows the settled one. A promise or an acceptance binds it at once, and is sent
- * only when it is durable, so that a restart cannot forget a vote. The write is asynchronous: a slow disk does not block
- * the member.
+ * The Paxos acceptor for the successor of the settled view. A promise or an acceptance is binding at once, but is sent
+ * only when it is durable, so that no vote is lost in a restart. Writes are asynchronous, so that a slow disk does not
+ * block the member.
  */
 final class Acceptor {
     private final Member self;
@@ -18,11 +18,15 @@
     private final ConsensusSender sender;
     private final ShardAssigner shardAssigner;
     private final ConsensusLog log;
-    private Ballot promised;
-    private Ballot acceptedBallot; // null if nothing is accepted
-    private View acceptedView;
+    private Ballot promisedBallot;
+    private Ballot acceptedBallot; // null if no view has been accepted
+    private View acceptedView; // null if no view has been accepted
 
-    /** @param restored what was durable before this start; null if nothing was */
+    /**
+     * Restores the votes cast before this start.
+     *
+     * @param restored the state restored from the store; null if there is none
+     */
     Acceptor(
             Member self,
             DurableState restored,
@@ -35,42 +39,46 @@
         this.sender = sender;
         this.shardAssigner = shardAssigner;
         this.log = log;
-        this.promised = restored == null || restored.promised() == null ? Ballot.NONE : restored.promised();
+        this.promisedBallot = restored == null || restored.promised() == null ? Ballot.NONE : restored.promised();
         this.acceptedBallot = restored == null ? null : restored.acceptedIn();
         this.acceptedView = restored == null ? null : restored.accepted();
     }
 
-    /** Whether this member has voted for a successor of the settled view: it then no longer counts as holding that one. */
+    /**
+     * Whether this member has accepted a successor of the settled view. If so, this member no longer renews leases on
+     * the settled view.
+     */
     boolean hasAccepted() {
         return acceptedBallot != null;
     }
 
-    /** The highest round that this acceptor has promised. */
+    /** Returns the round of the highest promised ballot. */
     long promisedRound() {
-        return promised.round();
+        return promisedBallot.round();
     }
 
     /**
-     * Answers a prepare on the settled view with a promise, or by naming the higher ballot that was promised.
+     * Answers a prepare for the successor of the settled view with a promise, or with the higher ballot that was
+     * promised.
      *
-     * @return whether it was promised
+     * @return whether the ballot was promised
      */
     boolean onPrepare(View view, Member from, Message.Prepare prepare) {
         if (isPreempted(prepare.ballot())) {
-            sender.send(from, new Message.Preempted(prepare.era(), prepare.number(), promised));
+            sender.send(from, new Message.Preempted(prepare.era(), prepare.number(), promisedBallot));
             return false;
         }
         Message promise =
                 new Message.Promise(prepare.era(), prepare.number(), prepare.ballot(), acceptedBallot, acceptedView);
-        promised = prepare.ballot();
+        promisedBallot = prepare.ballot();
         persist(view, () -> sender.send(from, promise));
         return true;
     }
 
-    /** Accepts a proposal, unless a higher ballot was promised or its shard assignment breaks the rule. */
+    /** Accepts a proposal, unless a higher ballot was promised or its shard assignment violates the assignment rule. */
     void onAccept(View view, Member from, Message.Accept accept) {
         if (isPreempted(accept.ballot())) {
-            sender.send(from, new Message.Preempted(accept.era(), accept.number(), promised));
+            sender.send(from, new Message.Preempted(accept.era(), accept.number(), promisedBallot));
             return;
         }
         View proposed = accept.view();
@@ -79,7 +87,7 @@
             log.rejected(accept.era(), proposed, violation.get());
             return;
         }
-        promised = accept.ballot();
+        promisedBallot = accept.ballot();
         acceptedBallot = accept.ballot();
         acceptedView = proposed;
         persist(view, () -> {
@@ -89,19 +97,23 @@
     }
 
     private boolean isPreempted(Ballot ballot) {
-        return ballot.compareTo(promised) < 0;
+        return ballot.compareTo(promisedBallot) < 0;
     }
 
-    /** A view has been settled. No vote depends on this write: a restart that has lost it requests the view again. */
+    /**
+     * Discards the votes on a view that has been settled. No vote depends on this write: if it is lost in a restart,
+     * the member requests the settled view again.
+     */
     void reset(View settled) {
-        promised = Ballot.NONE;
+        promisedBallot = Ballot.NONE;
         acceptedBallot = null;
         acceptedView = null;
         persist(settled, () -> {});
     }
 
     private void persist(View view, Runnable continuation) {
-        DurableState state = new DurableState(self.voter(), self.start(), view, promised, acceptedBallot, acceptedView);
+        DurableState state =
+                new DurableState(self.voter(), self.start(), view, promisedBallot, acceptedBallot, acceptedView);
         writer.write(state, continuation);
     }
 }
--- a/src/main/java/hopdrum/fleet/view/ConsensusSender.java
+++ b/src/main/java/hopdrum/fleet/view/ConsensusSender.java
@@ -7,13 +7,14 @@
 import java.util.List;
 
 /**
- * Sends the messages of consensus. Those to this member itself are queued and handled after the present message,
+ * Sends the messages of consensus. Messages to this member itself are queued and handled after the current message,
  * which avoids reentrant calls.
  */
 final class ConsensusSender {
     private final Member self;
     private final MessageSender sender;
-    private final Deque<Message> toSelf = new ArrayDeque<>(); // emptied at the end of each call into ViewConsensus
+    private final Deque<Message> selfMessages =
+            new ArrayDeque<>(); // emptied at the end of each call into ViewConsensus
 
     ConsensusSender(Member self, MessageSender sender) {
         this.self = self;
@@ -22,13 +23,13 @@
 
     void send(Member recipient, Message message) {
         if (recipient.name().equals(self.name())) {
-            toSelf.add(message);
+            selfMessages.add(message);
         } else {
             sendToPeer(recipient, message);
         }
     }
 
-    /** To a member that is known to be another than this one, though it may share its name. */
+    /** Sends a message to a process that is known not to be this one, although it may have the same name. */
     void sendToPeer(Member recipient, Message message) {
         sender.send(recipient.address(), message);
     }
@@ -39,8 +40,8 @@
         }
     }
 
-    /** The next message to this member itself; null if there is none. */
-    Message pollOwn() {
-        return toSelf.poll();
+    /** Removes and returns the next message to this member itself; null if there is none. */
+    Message pollSelfMessage() {
+        return selfMessages.poll();
     }
 }
--- a/src/main/java/hopdrum/fleet/view/SuspicionTimeout.java
+++ b/src/main/java/hopdrum/fleet/view/SuspicionTimeout.java
@@ -1,6 +1,9 @@
 package hopdrum.fleet.view;
 
-/** Lifeguard's dynamic suspicion timeout: it shrinks, by the logarithm, from the longest to the least as others confirm. */
+/**
+ * Lifeguard's dynamic suspicion timeout, which shrinks logarithmically from its maximum to its minimum as other members
+ * confirm the suspicion.
+ */
 final class SuspicionTimeout {
     private final FleetTiming timing;
 
@@ -9,17 +12,17 @@
     }
 
     /**
-     * When the suspect is to be declared dead unless it refutes.
+     * Returns when the suspect is to be declared dead unless it refutes, microseconds.
      *
-     * @param presentPeers how many peers are present, the suspect among them
+     * @param presentPeers the number of peers present, including the suspect
      */
     long deadlineUs(Peer suspect, int presentPeers) {
         int confirmers = Math.min(Peer.MAX_CONFIRMATIONS, presentPeers - 1);
-        double confirmed = confirmers <= 0
+        double confirmedFraction = confirmers <= 0
                 ? 1
                 : Math.log(Math.min(confirmers, suspect.confirmations()) + 1) / Math.log(confirmers + 1);
-        long max = timing.maxSuspicionUs();
-        long min = timing.minSuspicionUs();
-        return suspect.stateSinceUs() + Math.max(min, (long) (max - confirmed * (max - min)));
+        long maxUs = timing.maxSuspicionUs();
+        long minUs = timing.minSuspicionUs();
+        return suspect.stateSinceUs() + Math.max(minUs, (long) (maxUs - confirmedFraction * (maxUs - minUs)));
     }
 }
