--- a/src/main/java/hopdrum/host/CreditGossip.java
+++ b/src/main/java/hopdrum/host/CreditGossip.java
@@ -3,15 +3,17 @@
 import java.nio.ByteBuffer;
 
 /**
- * What a gateway tells others of a customer. On the wire 9 bytes, big-endian: customer 5, credit 4 as a float.
+ * A message that tells other gateways the remaining units of a customer. The encoded message has 9 bytes in big-endian
+ * order: the customer's key in 5 bytes and the remaining units as a 4-byte float.
  *
  * @param customer the customer's key
- * @param remainingUnits the units that its store still holds, as read from the counter
+ * @param remainingUnits the units that the customer had left when the counter was last read; negative if the customer
+ *     is beyond its quota
  */
 public record CreditGossip(long customer, double remainingUnits) {
     private static final int BYTES = 9;
 
-    /** The message as it goes to other gateways. */
+    /** Returns the encoded message as it is sent to other gateways. */
     public byte[] encode() {
         return ByteBuffer.allocate(BYTES)
                 .put((byte) (customer >> 32))
@@ -20,7 +22,7 @@
                 .array();
     }
 
-    /** The content of a message; null for one that is not of this kind. */
+    /** Decodes a message; returns null if its length is wrong or its units are not a finite number. */
     public static CreditGossip decode(byte[] message) {
         if (message.length != BYTES) {
             return null;
--- a/src/main/java/hopdrum/host/CustomerOwner.java
+++ b/src/main/java/hopdrum/host/CustomerOwner.java
@@ -1,35 +1,45 @@
 package hopdrum.host;
 
 /**
- * Who may act for a customer, as partners have settled: this tier, a partner's tier, or nobody that is known here.
+ * The tier that may act for a customer, as the partners have agreed: this tier, a partner's tier, or none that is known
+ * here.
  *
- * @param tier the number of the partner's tier that is to be asked; 0 for this tier, and where nobody is known
- * @param retryAfterUs where nobody is known, microseconds after which somebody may be; else 0
+ * @param tier the number of the partner's tier that requests are forwarded to; 0 for this tier and for an unknown owner
+ * @param retryAfterUs for an unknown owner, the microseconds after which the owner may be known; otherwise 0
  */
 public record CustomerOwner(int tier, long retryAfterUs) {
-    /** This gateway may act for the customer; always so where there are no partners. */
+    /** The owner is this tier; always the case where there are no partners. */
     public static final CustomerOwner THIS_TIER = new CustomerOwner(0, 0);
 
-    private static final int CACHED = 16; // owners are looked up for each request: no garbage in a usual federation
-    private static final CustomerOwner[] PARTNERS = new CustomerOwner[CACHED];
+    // The owner is looked up for each request; cached instances avoid garbage in a federation of usual size.
+    private static final int CACHED_TIERS = 16;
+    private static final CustomerOwner[] PARTNER_OWNERS = new CustomerOwner[CACHED_TIERS];
 
     static {
-        for (int tier = 0; tier < CACHED; tier++) {
-            PARTNERS[tier] = new CustomerOwner(tier, 0);
+        for (int tier = 0; tier < CACHED_TIERS; tier++) {
+            PARTNER_OWNERS[tier] = new CustomerOwner(tier, 0);
         }
     }
 
-    /** A partner's front doors are to be asked; its tier's number is above 0. */
+    /**
+     * Returns the owner for a partner's tier, to whose front doors requests are forwarded.
+     *
+     * @param tier the number of the partner's tier, above 0
+     */
     public static CustomerOwner partner(int tier) {
-        return tier < CACHED ? PARTNERS[tier] : new CustomerOwner(tier, 0);
+        return tier < CACHED_TIERS ? PARTNER_OWNERS[tier] : new CustomerOwner(tier, 0);
     }
 
-    /** Nobody that is known here may act for the customer, for about so many microseconds; above 0. */
+    /**
+     * Returns an unknown owner: no tier that is known here may act for the customer.
+     *
+     * @param retryAfterUs microseconds after which the owner may be known, above 0
+     */
     public static CustomerOwner unknown(long retryAfterUs) {
         return new CustomerOwner(0, retryAfterUs);
     }
 
-    /** True if a partner's front doors are to be asked. */
+    /** Returns true if requests are to be forwarded to a partner's front doors. */
     public boolean isPartner() {
         return tier > 0;
     }
--- a/src/main/java/hopdrum/host/Host.java
+++ b/src/main/java/hopdrum/host/Host.java
@@ -1,68 +1,83 @@
 package hopdrum.host;
 
 /**
- * What the decision module may ask of the front door that it runs in. Called on the module's one thread, from inside the
- * module's events; each call takes effect at {@link #nowUs()}.
+ * The operations that the front door offers to the policy. The policy calls them on its one thread while it handles an
+ * event; each call takes effect at {@link #nowUs()}.
  */
 public interface Host {
-    /** The clock, in microseconds from an origin of the host's own; it stands still during an event. */
+    /**
+     * Returns the current time in microseconds since an origin of the host's choice; constant while an event is
+     * handled.
+     */
     long nowUs();
 
     /**
-     * Forwards a request to a backend; attempts of one request are numbered 0, 1, 2 ... in the order started.
+     * Forwards a request to a backend. The attempts of a request are numbered 0, 1, 2 ... in the order in which they
+     * start.
      *
      * @param request the front door's number of the request
-     * @param backend as listed, {@link Endpoint#backend()}
-     * @param timeOutUs after which nobody waits for its answer any more
-     * @param beginWithinUs within which its first byte has to leave; one that cannot begin by then never ran
+     * @param backend the backend's number, {@link Endpoint#backendId()}
+     * @param timeOutUs microseconds after which the attempt's answer is no longer awaited
+     * @param beginWithinUs microseconds within which the attempt's first byte has to be sent; an attempt that cannot
+     *     begin by then has not run
      */
     void startAttempt(long request, long backend, long timeOutUs, long beginWithinUs);
 
-    /** Gives up on an attempt; its end is still reported. */
+    /** Cancels an attempt; its end is still reported. */
     void cancelAttempt(long request, int attempt);
 
-    /** Final answer: the client's retry is harmless. A time of 0 names no time to come back. */
+    /**
+     * Gives the final answer that the request was rejected: a retry by the client is harmless.
+     *
+     * @param retryAfterUs microseconds after which the client should retry; 0 to name no time
+     */
     void reject(long request, long retryAfterUs);
 
-    /** Final answer that promises nothing: the request may have run. */
+    /** Gives the final answer that the request was aborted: it may have run. */
     void abort(long request);
 
     /**
-     * Calls the counter service: adds units, which may be negative, to a name, and reads the total.
+     * Calls the counter service, which adds units to the total of a name and answers with the new total.
      *
-     * @param timeToLiveUs how long the counter keeps the name
+     * @param units the units to add; may be negative
+     * @param timeToLiveUs how long the counter keeps the name, in microseconds
      */
     void addToCounter(long name, double units, long timeToLiveUs);
 
-    /** Sends a short message to another gateway, by its number; it may come late or never. */
+    /** Sends a short message to another gateway by its number; the message may arrive late or never. */
     void sendToPeer(int gateway, byte[] message);
 
-    /** Asks for one wake-up after so many microseconds; it takes the place of one asked for earlier. */
+    /** Schedules the one wake-up after a delay in microseconds; replaces a wake-up that was scheduled before. */
     void scheduleWakeUp(long delayUs);
 
-    /** Who shares the quotas of this tier's customers, as a fleet has settled; null where there is no fleet. */
+    /**
+     * Returns the lease on the quotas of this tier's customers, as the fleet has agreed; null where there is no fleet.
+     */
     default QuotaLease quotaLease() {
         return null;
     }
 
-    /** How far zones are, as a fleet has measured; null where there is no fleet, or its map is not to be trusted. */
+    /**
+     * Returns the network latencies to the zones, as the fleet has measured them; null where there is no fleet or its
+     * latency map cannot be trusted.
+     */
     default ZoneLatencies zoneLatencies() {
         return null;
     }
 
-    /** Who may act for the customer of this request, as partners have settled. */
+    /** Returns the tier that may act for the customer of a request, as the partners have agreed. */
     default CustomerOwner customerOwner(long request, long customer) {
         return CustomerOwner.THIS_TIER;
     }
 
     /**
-     * How long this tier has been this customer's owner without a break, in microseconds, as far as is known; longer than
-     * any quota takes to refill where there are no partners.
+     * Returns the microseconds for which this tier is known to have owned the customer without a break; where there are
+     * no partners, longer than any quota takes to refill.
      */
     default long ownershipAgeUs(long customer) {
         return Long.MAX_VALUE / 2;
     }
 
-    /** Asks for the endpoint list, where it has to be asked for. */
+    /** Requests the endpoint list, where discovery does not push it. */
     void pollEndpointList();
 }
--- a/src/main/java/hopdrum/host/Method.java
+++ b/src/main/java/hopdrum/host/Method.java
@@ -1,14 +1,15 @@
 package hopdrum.host;
 
 /**
- * A method's settings.
+ * The settings of a method.
  *
- * @param softDeadlineUs the latency objective: an answer within it has its whole utility
- * @param deadlineUs how long clients wait in all
+ * @param softDeadlineUs the latency objective in microseconds: an answer within it has its full utility
+ * @param deadlineUs how long clients wait in total, in microseconds
  * @param retrySafety whether an attempt that may have run may be repeated
- * @param deduplicationScope the backends that drop each other's repeats, if it is deduplicated
- * @param deduplicationWindowUs how long they remember an attempt, if it is deduplicated; else 0
- * @param lateUtility what an answer after the soft deadline is worth, from 0 to 1
+ * @param deduplicationScope the backends that detect each other's repeated attempts, if the method is deduplicated
+ * @param deduplicationWindowUs how long those backends remember an attempt, in microseconds; 0 if the method is not
+ *     deduplicated
+ * @param lateUtility the utility of an answer after the soft deadline, from 0 to 1
  * @param streaming whether answers are streams
  */
 public record Method(
@@ -26,7 +27,7 @@
         NON_IDEMPOTENT
     }
 
-    /** The backends that drop each other's repeats of a deduplicated request. */
+    /** The backends that detect each other's repeated attempts of a deduplicated request. */
     public enum DeduplicationScope {
         ALL,
         ZONE,
--- a/src/main/java/hopdrum/host/Outcome.java
+++ b/src/main/java/hopdrum/host/Outcome.java
@@ -1,8 +1,8 @@
 package hopdrum.host;
 
 /**
- * How an attempt, a health check or a call on the counter ended. UNREADABLE: an answer came that cannot be read; what was
- * asked for has run, and whoever was asked is no worse than others.
+ * How an attempt, a health check or a call on the counter ended. UNREADABLE means that an answer arrived which cannot
+ * be parsed: the operation has run, and the outcome does not count against the server.
  */
 public enum Outcome {
     OK,
--- a/src/main/java/hopdrum/host/QuotaLease.java
+++ b/src/main/java/hopdrum/host/QuotaLease.java
@@ -4,28 +4,31 @@
 import java.util.List;
 
 /**
- * Which gateways share the quotas of this tier's customers, as settled; never changed once it is handed out.
+ * The gateways that share the quotas of this tier's customers, as the fleet has agreed. Not modified after it is
+ * published.
  *
- * @param untilUs the end of the lease, in {@link Host#nowUs()}; in the past where this gateway may act on nothing
- * @param views the settled view and those before it of which others may still act: gateways by number
+ * @param untilUs the end of the lease on the clock of {@link Host#nowUs()}; in the past if this gateway holds no valid
+ *     lease
+ * @param views the agreed view and the earlier views on which other gateways may still act; each is a set of gateway
+ *     numbers
  */
 public record QuotaLease(long untilUs, List<BitSet> views) {
     /**
-     * The most gateways of a customer that any of the views has.
+     * Returns the largest number of a customer's gateways that any of the views contains; at least 1.
      *
-     * @param firstGateway the customer's first gateway
-     * @param gateways how many in a row, counted round, serve it
-     * @param allGateways how many there are in the tier
+     * @param firstGateway the number of the customer's first gateway
+     * @param gateways the number of consecutive gateways, modulo the size of the tier, that serve the customer
+     * @param allGateways the number of gateways in the tier
      */
     public int maxGatewaysSharing(int firstGateway, int gateways, int allGateways) {
-        int most = 1;
+        int max = 1;
         for (BitSet view : views) {
             int count = 0;
             for (int i = 0; i < gateways; i++) {
                 count += view.get((firstGateway + i) % allGateways) ? 1 : 0;
             }
-            most = Math.max(most, count);
+            max = Math.max(max, count);
         }
-        return most;
+        return max;
     }
 }
--- a/src/main/java/hopdrum/host/SettingsReader.java
+++ b/src/main/java/hopdrum/host/SettingsReader.java
@@ -8,64 +8,65 @@
 import java.util.function.Function;
 
 /**
- * Reads the operators' settings, given as pairs of path and value, into {@link Settings}: the one place that knows their
- * keys. Keys that it does not know are skipped.
+ * Reads the operators' settings, given as a map from path to value, into {@link Settings}. This is the only class that
+ * knows the keys of the settings. Unknown keys are ignored.
  */
 public final class SettingsReader {
-    private static final Map<String, RetrySafety> RETRY_SAFETY = Map.of(
+    private static final Map<String, RetrySafety> RETRY_SAFETY_BY_NAME = Map.of(
             "retryable", RetrySafety.IDEMPOTENT,
             "dedup", RetrySafety.DEDUPLICATED,
             "fragile", RetrySafety.NON_IDEMPOTENT);
-    private static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPE = Map.of(
+    private static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPE_BY_NAME = Map.of(
             "all", DeduplicationScope.ALL,
             "zone", DeduplicationScope.ZONE,
             "cell", DeduplicationScope.CELL);
-    private static final Map<String, Boolean> FLAG = Map.of("true", true, "false", false);
+    private static final Map<String, Boolean> FLAG_BY_NAME = Map.of("true", true, "false", false);
 
-    private final Map<String, String> pairs;
+    private final Map<String, String> valueByPath;
 
-    private SettingsReader(Map<String, String> pairs) {
-        this.pairs = pairs;
+    private SettingsReader(Map<String, String> valueByPath) {
+        this.valueByPath = valueByPath;
     }
 
     /**
-     * Reads settings.
+     * Reads the settings.
      *
-     * @throws IllegalArgumentException with a message that names the key which is missing or cannot be read
+     * @param valueByPath the values by path
+     * @throws IllegalArgumentException if a key is missing or its value cannot be read; the message names the key
      */
-    public static Settings read(Map<String, String> pairs) {
-        return new SettingsReader(pairs).settings();
+    public static Settings read(Map<String, String> valueByPath) {
+        return new SettingsReader(valueByPath).readSettings();
     }
 
-    private Settings settings() {
-        List<Method> methods = list("Lanes.", number("Lanes.count"), this::method);
-        List<Plan> plans = list("Packages.", number("Packages.count", 0), this::plan);
-        String weights = pairs.getOrDefault("Weights", "none");
+    private Settings readSettings() {
+        List<Method> methods = readList("Lanes.", readNumber("Lanes.count"), this::readMethod);
+        List<Plan> plans = readList("Packages.", readNumber("Packages.count", 0), this::readPlan);
+        String weights = valueByPath.getOrDefault("Weights", "none");
         return new Settings(
-                (int) whole("NInstances"),
-                (int) whole("Ordinal"),
-                whole("TickUs"),
+                (int) readWholeNumber("NInstances"),
+                (int) readWholeNumber("Ordinal"),
+                readWholeNumber("TickUs"),
                 methods,
                 plans,
-                flag("FamilyInfo.MayCount"),
-                (long) number("FamilyInfo.CountWaitUs", 0),
-                flag("Bounds.Peers"),
-                flag("FamilyInfo.Settles"),
-                (int) whole("Bounds.AttemptsCap"),
-                flag("Bounds.Cancel"),
-                flag("Bounds.RetryAfter"),
-                (long) number("Bounds.MaxRetryAfterUs", 0),
-                flag("Bounds.SecondCopies"),
-                pairs.getOrDefault("RegistryMode", "push").equals("ask"),
+                readFlag("FamilyInfo.MayCount"),
+                (long) readNumber("FamilyInfo.CountWaitUs", 0),
+                readFlag("Bounds.Peers"),
+                readFlag("FamilyInfo.Settles"),
+                (int) readWholeNumber("Bounds.AttemptsCap"),
+                readFlag("Bounds.Cancel"),
+                readFlag("Bounds.RetryAfter"),
+                (long) readNumber("Bounds.MaxRetryAfterUs", 0),
+                readFlag("Bounds.SecondCopies"),
+                valueByPath.getOrDefault("RegistryMode", "push").equals("ask"),
                 weights.equals("nominal") || weights.equals("rough"),
-                List.of(pairs.getOrDefault("Report.Fields", "").split(",")),
-                number("Rules.ColdFrom"),
-                whole("Rules.WarmAfterUs"),
-                number("Rules.OverloadFactor"),
-                whole("Rules.FallUs"));
+                List.of(valueByPath.getOrDefault("Report.Fields", "").split(",")),
+                readNumber("Rules.ColdFrom"),
+                readWholeNumber("Rules.WarmAfterUs"),
+                readNumber("Rules.OverloadFactor"),
+                readWholeNumber("Rules.FallUs"));
     }
 
-    private static <T> List<T> list(String path, double count, Function<String, T> readEntry) {
+    private static <T> List<T> readList(String path, double count, Function<String, T> readEntry) {
         List<T> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             entries.add(readEntry.apply(path + i + "."));
@@ -73,63 +74,63 @@
         return entries;
     }
 
-    private Method method(String path) {
-        RetrySafety retrySafety = choice(path + "Effect", RETRY_SAFETY);
+    private Method readMethod(String path) {
+        RetrySafety retrySafety = readChoice(path + "Effect", RETRY_SAFETY_BY_NAME);
         boolean deduplicated = retrySafety == RetrySafety.DEDUPLICATED;
         return new Method(
-                whole(path + "AimUs"),
-                whole(path + "GiveUpUs"),
+                readWholeNumber(path + "AimUs"),
+                readWholeNumber(path + "GiveUpUs"),
                 retrySafety,
-                deduplicated ? choice(path + "Group", DEDUPLICATION_SCOPE) : DeduplicationScope.ALL,
-                deduplicated ? whole(path + "WindowUs") : 0,
-                number(path + "LateWorth", 0),
-                flag(path + "Stream"));
+                deduplicated ? readChoice(path + "Group", DEDUPLICATION_SCOPE_BY_NAME) : DeduplicationScope.ALL,
+                deduplicated ? readWholeNumber(path + "WindowUs") : 0,
+                readNumber(path + "LateWorth", 0),
+                readFlag(path + "Stream"));
     }
 
-    private Plan plan(String path) {
+    private Plan readPlan(String path) {
         return new Plan(
-                number(path + "PerSecond", 0),
-                number(path + "Burst", 0),
-                (int) number(path + "Concurrency", 0),
-                number(path + "CapRate", 0),
-                number(path + "CeilingBurst", 0),
-                number(path + "CapSlack", 0));
+                readNumber(path + "PerSecond", 0),
+                readNumber(path + "Burst", 0),
+                (int) readNumber(path + "Concurrency", 0),
+                readNumber(path + "CapRate", 0),
+                readNumber(path + "CeilingBurst", 0),
+                readNumber(path + "CapSlack", 0));
     }
 
-    private String required(String key) {
-        String value = pairs.get(key);
+    private String requiredValue(String key) {
+        String value = valueByPath.get(key);
         if (value == null) {
             throw new IllegalArgumentException("settings lack " + key);
         }
         return value;
     }
 
-    private double number(String key) {
-        String value = required(key);
+    private double readNumber(String key) {
+        String value = requiredValue(key);
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("settings: " + key + " is no number: " + value, e);
+            throw new IllegalArgumentException("settings: " + key + " is not a number: " + value, e);
         }
     }
 
-    private double number(String key, double absent) {
-        return pairs.containsKey(key) ? number(key) : absent;
+    private double readNumber(String key, double defaultValue) {
+        return valueByPath.containsKey(key) ? readNumber(key) : defaultValue;
     }
 
-    private long whole(String key) {
-        return (long) number(key);
+    private long readWholeNumber(String key) {
+        return (long) readNumber(key);
     }
 
-    private boolean flag(String key) {
-        return pairs.containsKey(key) && choice(key, FLAG);
+    private boolean readFlag(String key) {
+        return valueByPath.containsKey(key) && readChoice(key, FLAG_BY_NAME);
     }
 
-    private <T> T choice(String key, Map<String, T> choices) {
-        String value = required(key);
+    private <T> T readChoice(String key, Map<String, T> choices) {
+        String value = requiredValue(key);
         T choice = choices.get(value);
         if (choice == null) {
-            throw new IllegalArgumentException("settings: " + key + " is not known: " + value);
+            throw new IllegalArgumentException("settings: " + key + " has an unknown value: " + value);
         }
         return choice;
     }
--- a/src/main/java/hopdrum/host/ShardOwnership.java
+++ b/src/main/java/hopdrum/host/ShardOwnership.java
@@ -1,26 +1,29 @@
 package hopdrum.host;
 
-/** Who owns the shards that customers fall into, as partners have settled. Immutable; any thread may read it. */
+/** The owners of the shards that customers belong to, as the partners have agreed. Immutable and thread-safe. */
 public interface ShardOwnership {
     /**
-     * Who may act for a customer.
+     * Returns the tier that may act for a customer.
      *
      * @param customer the customer's key
-     * @param forwarded whether a partner's front door has forwarded the request to here: then it goes no further, and the
-     *     answer is never a partner
-     * @param nowUs as {@link Host#nowUs()}
+     * @param forwarded whether a partner's front door has forwarded the request to this one; such a request is not
+     *     forwarded again, and the owner returned is never a partner
+     * @param nowUs the current time, as {@link Host#nowUs()}
      */
     CustomerOwner owner(long customer, boolean forwarded, long nowUs);
 
-    /** How long this gateway's operator has owned the customer's shard without a break, as far as is known here. */
+    /**
+     * Returns the microseconds for which this gateway's operator is known here to have owned the customer's shard
+     * without a break.
+     */
     long ownershipAgeUs(long customer, long nowUs);
 
     /**
      * A front door of a partner's tier.
      *
-     * @param name its own name, and its incarnation's
-     * @param site where it stands
-     * @param address a numeric address and a port, where it takes requests
+     * @param name the name of the front door and of its incarnation
+     * @param site the site of the front door
+     * @param address the numeric address and the port at which the front door takes requests
      */
     record PartnerEndpoint(String name, String site, String address) {}
 }
--- a/src/main/java/hopdrum/host/ZoneLatencies.java
+++ b/src/main/java/hopdrum/host/ZoneLatencies.java
@@ -1,20 +1,24 @@
 package hopdrum.host;
 
-/** How far the zones that backends stand in are from this gateway, as a fleet has measured. Immutable. */
+/** The network latencies from this gateway to the zones of the backends, as the fleet has measured them. Immutable. */
 public final class ZoneLatencies {
-    private final long[] roundTripUs;
+    private final long[] extraRoundTripUs;
 
     /**
-     * Round trips by zone, in the order of the settings' zones.
+     * Creates the latencies by zone, in the order of the zones in the settings.
      *
-     * @param roundTripUs microseconds that a round trip takes beyond the nearest zone's; copied
+     * @param extraRoundTripUs microseconds by which a round trip to each zone exceeds one within this gateway's own
+     *     site; copied
      */
-    public ZoneLatencies(long[] roundTripUs) {
-        this.roundTripUs = roundTripUs.clone();
+    public ZoneLatencies(long[] extraRoundTripUs) {
+        this.extraRoundTripUs = extraRoundTripUs.clone();
     }
 
-    /** The round trip to a zone in microseconds; 0 for a zone that is not known. */
-    public long roundTripUs(int zone) {
-        return zone >= 0 && zone < roundTripUs.length ? roundTripUs[zone] : 0;
+    /**
+     * Returns the microseconds by which a round trip to a zone exceeds one within this gateway's own site; 0 for an
+     * unknown zone.
+     */
+    public long extraRoundTripUs(int zone) {
+        return zone >= 0 && zone < extraRoundTripUs.length ? extraRoundTripUs[zone] : 0;
     }
 }
--- a/src/main/java/hopdrum/host/package-info.java
+++ b/src/main/java/hopdrum/host/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What the decision module and the front door that it runs in say to each other: the settings, the events' values and
- * {@link hopdrum.host.Host}, the calls back. Values only; no decisions and no I/O. Times are microseconds.
+ * The interface between the policy and the front door that it runs in: the settings, the values of events, and {@link
+ * hopdrum.host.Host}, through which the policy acts. This package contains no decisions and no I/O. Times are in
+ * microseconds.
  */
 package hopdrum.host;
--- a/src/main/java/hopdrum/policy/Attempt.java
+++ b/src/main/java/hopdrum/policy/Attempt.java
@@ -6,9 +6,11 @@
 final class Attempt {
     final Backend backend;
     final long sentAtUs;
-    final int number; // in the request's order, from 0
+    // The number of the attempt within its request, from 0 in the order in which attempts start.
+    final int number;
     boolean inFlight = true;
-    boolean neverRan; // for certain: another attempt is harmless
+    // True if the attempt certainly did not run, so that another attempt is harmless.
+    boolean neverRan;
 
     Attempt(Backend backend, long sentAtUs, int number) {
         this.backend = backend;
--- a/src/main/java/hopdrum/policy/Request.java
+++ b/src/main/java/hopdrum/policy/Request.java
@@ -2,27 +2,29 @@
 
 import hopdrum.host.Outcome;
 
-/** The handle of one client request, on which the front door reports what becomes of its attempts. One thread only. */
+/**
+ * The handle of a client's request, through which the front door reports the events of its attempts. Not thread-safe.
+ */
 public interface Request {
     /**
-     * An attempt has ended. Does nothing for an attempt that has ended already.
+     * Reports the end of an attempt. Does nothing if the attempt has already ended.
      *
-     * @param number the attempt's number, in the order started, from 0
-     * @param outcome how it ended
-     * @param tookUs microseconds from its start, the network included
-     * @param clientAnswered whether the client has its answer, by this attempt or earlier
-     * @param settledUnits the units that it used by the backend's account; 0 if that is not told
-     * @param report the backend's load report, by the settings' fields; empty without one
+     * @param number the number of the attempt, from 0 in the order in which attempts start
+     * @param outcome how the attempt ended
+     * @param tookUs microseconds from the start of the attempt, including the network
+     * @param clientAnswered whether the client has its answer, by this attempt or an earlier one
+     * @param settledUnits the units that the request used as the backend reports them; 0 if the backend does not
+     * @param report the backend's load report, with the fields that the settings name; empty if there is none
      */
     void attemptEnded(
             int number, Outcome outcome, long tookUs, boolean clientAnswered, int settledUnits, float[] report);
 
-    /** The answer of an attempt has begun as a stream: from here on it belongs to the client. */
+    /** Reports that the answer of an attempt has begun as a stream, which from here on is left to the client. */
     void streamStarted(int attempt);
 
-    /** The client has left: no answer is owed any more. */
+    /** Reports that the client has left: no answer is owed any more. */
     void clientLeft();
 
-    /** True once nothing more will come of this request. */
+    /** Returns true once the request has its final answer, or its client has left, and no attempt is in flight. */
     boolean isFinished();
 }
--- a/src/main/java/hopdrum/policy/RetryBudget.java
+++ b/src/main/java/hopdrum/policy/RetryBudget.java
@@ -1,21 +1,21 @@
 package hopdrum.policy;
 
-/** Bounds the attempts sent after one that may have run: each request earns a part of one. */
+/** Limits the attempts that are sent after one that may have run: each request earns a fraction of a retry. */
 final class RetryBudget {
     private static final double RETRIES_PER_REQUEST = 0.1;
-    private static final double MOST_RETRIES = 15;
+    private static final double MAX_RETRIES = 15;
 
-    private double retries = MOST_RETRIES;
+    private double availableRetries = MAX_RETRIES;
 
-    void earn() {
-        retries = Math.min(MOST_RETRIES, retries + RETRIES_PER_REQUEST);
+    void recordRequest() {
+        availableRetries = Math.min(MAX_RETRIES, availableRetries + RETRIES_PER_REQUEST);
     }
 
-    boolean allows() {
-        return retries >= 1;
+    boolean allowsRetry() {
+        return availableRetries >= 1;
     }
 
-    void spend() {
-        retries -= 1;
+    void spendRetry() {
+        availableRetries -= 1;
     }
 }
--- a/src/main/java/hopdrum/policy/TrackedRequest.java
+++ b/src/main/java/hopdrum/policy/TrackedRequest.java
@@ -13,12 +13,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The state of one request, and which further attempts and which final answer are safe for it. */
+/** The state of one request, and the rules that say which further attempts and which final answer are safe for it. */
 final class TrackedRequest implements Request, RoutableRequest, QuotaRequest {
-    /** The tier of this gateway's own backends; others are partners'. */
+    /** The number of the tier of this gateway's own backends; other tiers are those of partners. */
     static final int OWN_TIER = 0;
 
-    /** How far a request has come; a request only goes forward. */
+    /** The stages of a request, in the order in which a request passes through them. */
     enum Stage {
         NEW,
         AWAITING_COUNTER,
@@ -27,15 +27,21 @@
         DONE
     }
 
-    /** What is done on the events of a request. */
+    /** Receives the events of a request. */
     interface Listener {
-        /** It may take its next step: NEW asks for admission, QUEUED waits for a backend. */
-        void ready(TrackedRequest request);
-
-        /** It is beyond its customer's quota. */
-        void rejected(TrackedRequest request, long retryAfterUs);
-
-        /** As {@link Request#attemptEnded}, for an attempt that was in flight. */
+        /**
+         * The request may take its next step: in stage NEW it needs admission, in stage QUEUED it waits for a backend.
+         */
+        void nextStageReady(TrackedRequest request);
+
+        /**
+         * The request is beyond its customer's quota.
+         *
+         * @param retryAfterUs microseconds after which the client should retry
+         */
+        void admissionRejected(TrackedRequest request, long retryAfterUs);
+
+        /** An attempt that was in flight has ended; the parameters are those of {@link Request#attemptEnded}. */
         void attemptEnded(
                 TrackedRequest request,
                 Attempt attempt,
@@ -45,19 +51,22 @@
                 int settledUnits,
                 float[] report);
 
-        /** Its client has left before its final answer. */
+        /** The client has left before the final answer of its request. */
         void clientLeft(TrackedRequest request);
     }
 
     final long id;
-    final long order; // in which requests came in
+    // The number of the request in the order of arrival.
+    final long arrivalNumber;
     final CustomerQuota customer;
     final long softDeadlineAtUs;
-    final long startByUs; // later it is not likely to meet its soft deadline
+    // A request that starts later is not likely to meet its soft deadline.
+    final long latestStartAtUs;
     final long giveUpAtUs;
     final List<Attempt> attempts = new ArrayList<>(1);
     int attemptsInFlight;
-    int tier = -1; // whose backends may run it; before it is admitted, nobody's
+    // The number of the tier whose backends may run the request; -1 before the request is admitted.
+    int tier = -1;
     Stage stage = Stage.NEW;
     boolean streaming;
     private final PolicyContext context;
@@ -71,7 +80,7 @@
             PolicyContext context,
             Listener listener,
             long id,
-            long order,
+            long arrivalNumber,
             MethodStats methodStats,
             CustomerQuota customer,
             double units,
@@ -79,17 +88,17 @@
         this.context = context;
         this.listener = listener;
         this.id = id;
-        this.order = order;
+        this.arrivalNumber = arrivalNumber;
         this.methodStats = methodStats;
         this.customer = customer;
         this.units = units;
         Method method = methodStats.method();
-        long marginUs = 2 * context.settings().tickUs() + 1_000;
+        long marginUs = 2 * context.settings().clockGranularityUs() + 1_000;
         long nowUs = context.nowUs();
         long deadlineAtUs = nowUs + remainingUs;
         this.softDeadlineAtUs =
-                Math.min(deadlineAtUs, nowUs + method.softDeadlineUs() - methodStats.elapsedUs(remainingUs));
-        this.startByUs = softDeadlineAtUs - methodStats.usualUs();
+                Math.min(deadlineAtUs, nowUs + method.softDeadlineUs() - methodStats.clientElapsedUs(remainingUs));
+        this.latestStartAtUs = softDeadlineAtUs - methodStats.typicalResponseTimeUs();
         this.giveUpAtUs = (method.lateUtility() > 0 ? deadlineAtUs : softDeadlineAtUs) - marginUs;
     }
 
@@ -127,12 +136,12 @@
         return isDone() && attemptsInFlight == 0;
     }
 
-    /** True once it has its final answer, or its client has left. */
+    /** Returns true once the request has its final answer or its client has left. */
     boolean isDone() {
         return stage == Stage.DONE;
     }
 
-    // ---- As its quota sees it ----
+    // ---- QuotaRequest ----
 
     @Override
     public double units() {
@@ -163,20 +172,20 @@
     public void admit() {
         admitted = true;
         stage = Stage.QUEUED;
-        listener.ready(this);
+        listener.nextStageReady(this);
     }
 
     @Override
     public void reject(long retryAfterUs) {
-        listener.rejected(this, retryAfterUs);
+        listener.admissionRejected(this, retryAfterUs);
     }
 
     @Override
     public void retryAdmission() {
-        listener.ready(this);
+        listener.nextStageReady(this);
     }
 
-    // ---- As the choice of a backend sees it ----
+    // ---- RoutableRequest ----
 
     @Override
     public MethodStats methodStats() {
@@ -190,13 +199,13 @@
 
     @Override
     public boolean mayRunOn(Backend backend) {
-        Attempt first = firstThatMayHaveRun();
+        Attempt first = firstAttemptThatMayHaveRun();
         Method method = methodStats.method();
         if (first == null || method.retrySafety() == Method.RetrySafety.IDEMPOTENT) {
             return true;
         }
         return method.retrySafety() == Method.RetrySafety.DEDUPLICATED
-                && context.nowUs() < retryByUs()
+                && context.nowUs() < retryDeadlineAtUs()
                 && switch (method.deduplicationScope()) {
                     case ALL -> true;
                     case ZONE ->
@@ -227,13 +236,14 @@
     }
 
     @Override
-    public boolean wouldMissSoftDeadline(long roundTripUs) {
-        return roundTripUs > 0 && context.nowUs() + roundTripUs + methodStats.usualUs() > softDeadlineAtUs;
+    public boolean wouldMissSoftDeadline(long extraRoundTripUs) {
+        return extraRoundTripUs > 0
+                && context.nowUs() + extraRoundTripUs + methodStats.typicalResponseTimeUs() > softDeadlineAtUs;
     }
 
-    // ---- What is safe ----
+    // ---- Safety of further attempts and answers ----
 
-    private Attempt firstThatMayHaveRun() {
+    private Attempt firstAttemptThatMayHaveRun() {
         for (Attempt attempt : attempts) {
             if (!attempt.neverRan) {
                 return attempt;
@@ -242,45 +252,52 @@
         return null;
     }
 
-    boolean isTooLate() {
-        return methodStats.method().lateUtility() <= 0 && context.nowUs() > startByUs;
+    boolean isTooLateToStart() {
+        return methodStats.method().lateUtility() <= 0 && context.nowUs() > latestStartAtUs;
     }
 
-    /** True where nobody would be served by another attempt any more. */
-    boolean isPastUse() {
+    /** Returns true if an answer would come too late to have any utility. */
+    boolean isAnswerWorthless() {
         return softDeadlineAtUs <= context.nowUs() && methodStats.method().lateUtility() <= 0;
     }
 
-    /** A rejection tells the client that its retry is harmless: so only where it is. */
+    /**
+     * Returns true if a retry by the client is harmless. A rejection tells the client so, hence the request may be
+     * rejected only in this case.
+     */
     boolean isClientRetryHarmless() {
         Method method = methodStats.method();
-        return firstThatMayHaveRun() == null
+        return firstAttemptThatMayHaveRun() == null
                 || method.retrySafety() == Method.RetrySafety.IDEMPOTENT
                 || (method.retrySafety() == Method.RetrySafety.DEDUPLICATED
                         && method.deduplicationScope() == Method.DeduplicationScope.ALL);
     }
 
-    /** Whether its method and the limit on attempts allow one more; a partner retries by itself, and counts each. */
+    /**
+     * Returns true if the method and the limit on attempts allow another attempt. After an attempt that may have run at
+     * a partner there is none: the partner retries by itself and counts each request.
+     */
     boolean mayRetry() {
         Settings settings = context.settings();
         return attempts.size() < settings.maxAttempts()
-                && (firstThatMayHaveRun() == null
+                && (firstAttemptThatMayHaveRun() == null
                         || (tier == OWN_TIER
                                 && methodStats.method().retrySafety() != Method.RetrySafety.NON_IDEMPOTENT));
     }
 
     /**
-     * The time by which a further attempt has to begin, however late its connection is: backends may run a deduplicated
-     * request anew after it. Microseconds; the end of time where there is no such limit.
+     * Returns the time by which a further attempt has to begin, however late its connection is established, in
+     * microseconds of the host's clock: after it, backends may run a deduplicated request again. {@link Long#MAX_VALUE}
+     * if there is no such limit.
      */
-    long retryByUs() {
-        Attempt first = firstThatMayHaveRun();
+    long retryDeadlineAtUs() {
+        Attempt first = firstAttemptThatMayHaveRun();
         Method method = methodStats.method();
         boolean windowed = first != null && method.retrySafety() == Method.RetrySafety.DEDUPLICATED;
         return windowed
                 ? first.sentAtUs
                         + method.deduplicationWindowUs()
-                        - 2 * context.settings().tickUs()
+                        - 2 * context.settings().clockGranularityUs()
                 : Long.MAX_VALUE;
     }
 }
--- a/src/main/java/hopdrum/policy/backends/Backend.java
+++ b/src/main/java/hopdrum/policy/backends/Backend.java
@@ -7,31 +7,36 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One listed backend, from one start of it to the next: its limits, its health and what it has answered of late. */
+/** One listed backend from one start to the next: its limits, its health and its recent answers. */
 public final class Backend {
     private static final double THROUGHPUT_WINDOW_US = 3e6;
     private static final double SLOWNESS_WEIGHT = 0.12;
-    private static final double MOST_SLOWNESS = 8;
+    private static final double MAX_SLOWNESS = 8;
     private static final double SLOWNESS_HALF_LIFE_S = 5;
-    private static final double MOST_ERRORS_IN_SCORE = 0.9;
-    private static final long LOAD_REPORT_KEPT_US = 1_000_000;
-    private static final double PROBATION_ENDS_BELOW = 3; // times the mean
+    private static final double MAX_ERROR_RATE_IN_SCORE = 0.9;
+    private static final long LOAD_REPORT_RETENTION_US = 1_000_000;
+    // An answer in less than this many times the mean response time ends a probation.
+    private static final double PROBATION_END_FACTOR = 3;
 
     private final PolicyContext context;
     private final Endpoint endpoint;
     private final ConcurrencyLimit limit;
     private final OutlierDetector outlierDetector = new OutlierDetector();
     private final SlowStart slowStart;
-    private final Map<Plan, Long> avoidedUntilUs = new HashMap<>(2); // an entry a plan
+    // At most one entry per plan.
+    private final Map<Plan, Long> avoidedUntilUs = new HashMap<>(2);
     private boolean ready;
     private int inFlight;
-    private double answeredCores; // work answered here of late
+    // The work answered recently, in cores; decays over the throughput window.
+    private double answeredCores;
     private long answeredCoresAtUs;
-    private double slowness = 1; // its response times against its peers'
+    // The backend's response times relative to the mean over all backends of the tier; 1 is the mean.
+    private double slowness = 1;
     private long slownessAtUs;
     private long lastAnswerUs;
-    private double queueLength; // as last reported
-    private long queueLengthAtUs = PolicyContext.NEVER;
+    // The queue length in the last load report.
+    private double queueLength;
+    private long queueLengthAtUs = PolicyContext.DISTANT_PAST_US;
 
     Backend(PolicyContext context, Endpoint endpoint) {
         this.context = context;
@@ -42,23 +47,26 @@
         this.lastAnswerUs = context.nowUs();
     }
 
-    /** Its entry in the endpoint list. */
+    /** Returns the entry of the backend in the endpoint list. */
     public Endpoint endpoint() {
         return endpoint;
     }
 
-    /** True of the same backend, which may have restarted between. */
+    /** Returns true if the other object stands for the same backend, possibly before or after a restart. */
     public boolean isSameAs(Backend other) {
-        return endpoint.backend() == other.endpoint.backend();
+        return endpoint.backendId() == other.endpoint.backendId();
     }
 
-    /** The network round trip to it in microseconds; 0 without a map. Its response times are judged without it. */
-    public long roundTripUs() {
+    /**
+     * Returns the microseconds by which the network round trip to the backend exceeds one within this gateway's site; 0
+     * without a latency map. Response times are compared without it.
+     */
+    public long extraRoundTripUs() {
         ZoneLatencies latencies = context.host().zoneLatencies();
-        return latencies == null ? 0 : latencies.roundTripUs(endpoint.zone());
+        return latencies == null ? 0 : latencies.extraRoundTripUs(endpoint.zone());
     }
 
-    /** True unless it left the list of ready backends or is ejected. */
+    /** Returns true if the backend is listed as ready and is not ejected. */
     public boolean isUsable() {
         return ready && !outlierDetector.isEjected(context.nowUs());
     }
@@ -84,26 +92,29 @@
     }
 
     boolean hasCapacity() {
-        return isUsable() && inFlight < (outlierDetector.isOnProbation() ? 1 : limit.current());
+        return isUsable() && inFlight < (outlierDetector.isOnProbation() ? 1 : limit.currentLimit());
     }
 
-    /** Lower is better: what is in flight and queued, weighed by how slow and how faulty it is. */
+    /**
+     * Returns the score of the backend, lower is better: its attempts in flight and queued, weighted by its slowness
+     * and its error rate.
+     */
     double score() {
         double idleS = (context.nowUs() - slownessAtUs) / 1e6;
-        double slow = 1 + (slowness - 1) * Math.pow(0.5, idleS / SLOWNESS_HALF_LIFE_S);
-        double queued = context.nowUs() - queueLengthAtUs < LOAD_REPORT_KEPT_US ? queueLength / 2 : 0;
+        double currentSlowness = 1 + (slowness - 1) * Math.pow(0.5, idleS / SLOWNESS_HALF_LIFE_S);
+        double queued = context.nowUs() - queueLengthAtUs < LOAD_REPORT_RETENTION_US ? queueLength / 2 : 0;
         return (inFlight + 1 + queued)
-                * slow
-                / Math.pow(1 - Math.min(MOST_ERRORS_IN_SCORE, outlierDetector.errorRate()), 2);
+                * currentSlowness
+                / Math.pow(1 - Math.min(MAX_ERROR_RATE_IN_SCORE, outlierDetector.errorRate()), 2);
     }
 
-    /** Work answered of late, in cores. */
+    /** Returns the work answered recently, in cores. */
     double answeredCores() {
         return answeredCores * Math.exp((answeredCoresAtUs - context.nowUs()) / THROUGHPUT_WINDOW_US);
     }
 
     boolean isAvoidedFor(Plan plan) {
-        return context.nowUs() < avoidedUntilUs.getOrDefault(plan, PolicyContext.NEVER);
+        return context.nowUs() < avoidedUntilUs.getOrDefault(plan, PolicyContext.DISTANT_PAST_US);
     }
 
     void avoidFor(Plan plan, long untilUs) {
@@ -112,14 +123,14 @@
 
     void attemptStarted(MethodStats stats) {
         inFlight++;
-        slowStart.attemptStarted(stats.leastMeanUs());
+        slowStart.attemptStarted(stats.minMeanUs());
     }
 
     void attemptEnded() {
         inFlight--;
     }
 
-    /** True if it has answered nothing since a time in microseconds. */
+    /** Returns true if the backend has answered nothing since a time in microseconds. */
     boolean isSilentSince(long sinceUs) {
         return lastAnswerUs < sinceUs;
     }
@@ -128,39 +139,42 @@
         lastAnswerUs = context.nowUs();
     }
 
-    void succeeded(MethodStats stats, long tookUs) {
+    void attemptSucceeded(MethodStats stats, long tookUs) {
         markAnswered();
-        answeredCores = answeredCores() + stats.leastMeanUs() / THROUGHPUT_WINDOW_US;
+        answeredCores = answeredCores() + stats.minMeanUs() / THROUGHPUT_WINDOW_US;
         answeredCoresAtUs = context.nowUs();
-        outlierDetector.recordSuccess(tookUs < PROBATION_ENDS_BELOW * stats.meanUs(), slowness);
-        compare(stats, tookUs);
-        limit.answered((double) tookUs / stats.method().softDeadlineUs(), inFlight);
+        outlierDetector.recordSuccess(tookUs < PROBATION_END_FACTOR * stats.meanUs(), slowness);
+        updateSlowness(stats, tookUs);
+        limit.attemptAnswered((double) tookUs / stats.method().softDeadlineUs(), inFlight);
     }
 
-    /** An answer that nobody could wait for shows as much as a late one: the limit is too high. */
-    void late() {
-        limit.late();
+    /** Records an answer that came too late or not at all: like a late answer, it shows that the limit is too high. */
+    void attemptLate() {
+        limit.attemptLate();
     }
 
-    /** Fast failures look like free capacity: errors lower the limit. True if it should be ejected. */
-    boolean failed() {
-        limit.failed();
+    /**
+     * Records a failed attempt and lowers the limit, since fast failures look like free capacity. Returns true if the
+     * backend should be ejected.
+     */
+    boolean attemptFailed() {
+        limit.attemptFailed();
         return outlierDetector.recordError();
     }
 
-    /** Takes a response time against the mean of its method over all backends. */
-    void compare(MethodStats stats, long tookUs) {
-        slowness += SLOWNESS_WEIGHT * (Math.min(MOST_SLOWNESS, tookUs / stats.meanUs()) - slowness);
+    /** Updates the slowness with a response time, relative to the mean of its method over all backends. */
+    void updateSlowness(MethodStats stats, long tookUs) {
+        slowness += SLOWNESS_WEIGHT * (Math.min(MAX_SLOWNESS, tookUs / stats.meanUs()) - slowness);
         slownessAtUs = context.nowUs();
     }
 
-    /** Ejects it; returns until when, in microseconds. */
+    /** Ejects the backend; returns the end of the ejection in microseconds. */
     long eject() {
-        limit.reset();
+        limit.resetToMinimum();
         return outlierDetector.eject(context.nowUs());
     }
 
-    void reportedQueueLength(double length) {
+    void recordQueueLength(double length) {
         queueLength = length;
         queueLengthAtUs = context.nowUs();
     }
--- a/src/main/java/hopdrum/policy/backends/BackendTier.java
+++ b/src/main/java/hopdrum/policy/backends/BackendTier.java
@@ -10,12 +10,12 @@
 import java.util.Map;
 
 /**
- * The backends of one tier as this gateway knows them: takes in the endpoint list and the outcome of each attempt, and
- * picks the backend of the next.
+ * The backends of one tier as this gateway knows them. Applies updates of the endpoint list and the outcome of each
+ * attempt, and picks the backend of the next attempt.
  */
 public final class BackendTier {
-    /** A fraction of the soft deadline: a backend that is full says so sooner. */
-    private static final double QUICK_REJECTION = 0.05;
+    /** A fraction of the soft deadline: a backend that rejects for lack of capacity does so sooner. */
+    private static final double QUICK_REJECTION_FRACTION = 0.05;
 
     private static final double SCORE_NOISE = 0.02;
     private static final double LAST_RESORT_FACTOR = 1000;
@@ -24,10 +24,11 @@
     private final Settings settings;
     private final Runnable onCapacity;
     private final int queueLengthField;
-    private final Map<Long, Backend> backends = new LinkedHashMap<>(); // emptied by updates of the endpoint list
+    // A backend is removed by an update of the endpoint list.
+    private final Map<Long, Backend> backends = new LinkedHashMap<>();
     private final GatewayConcurrencyLimit gatewayLimit = new GatewayConcurrencyLimit();
 
-    /** A tier without backends; {@code onCapacity} runs when an ejection has ended. */
+    /** Creates a tier without backends; {@code onCapacity} runs when an ejection has ended. */
     public BackendTier(PolicyContext context, Runnable onCapacity) {
         this.context = context;
         this.settings = context.settings();
@@ -37,37 +38,40 @@
 
     // ---- The endpoint list ----
 
-    /** Takes in an update; one that is not incremental drops the backends that it does not hold. */
+    /**
+     * Applies an update of the endpoint list; an update that is not incremental removes the backends that it does not
+     * contain.
+     */
     public void endpointsUpdated(Endpoint.UpdateKind kind, List<Endpoint> endpoints) {
-        int before = backends.size();
+        int backendsBefore = backends.size();
         if (kind != Endpoint.UpdateKind.INCREMENTAL) {
             backends.values().forEach(backend -> backend.setReady(false));
         }
         for (Endpoint endpoint : endpoints) {
-            Backend backend = backends.computeIfAbsent(endpoint.backend(), id -> new Backend(context, endpoint));
+            Backend backend = backends.computeIfAbsent(endpoint.backendId(), id -> new Backend(context, endpoint));
             if (backend.endpoint().startedAtUs() != endpoint.startedAtUs()) {
                 backend = new Backend(context, endpoint);
-                backends.put(endpoint.backend(), backend);
+                backends.put(endpoint.backendId(), backend);
             }
             backend.setReady(endpoint.state() == Endpoint.State.READY);
         }
         backends.values().removeIf(backend -> !backend.isReady());
-        gatewayLimit.resize(before, backends.size(), settings.gatewayCount());
+        gatewayLimit.resize(backendsBefore, backends.size(), settings.gatewayCount());
     }
 
     // ---- The pick ----
 
-    /** Whether this gateway may have one attempt more in flight, over all backends. */
+    /** Returns true if this gateway may have another attempt in flight, over all backends. */
     public boolean hasCapacity() {
         return gatewayLimit.allows(inFlight());
     }
 
-    /** True if backends are listed and none of them may run the request's next attempt. */
+    /** Returns true if backends are listed and none of them may run the next attempt of the request. */
     public boolean isBarredEverywhere(RoutableRequest request) {
         return !backends.isEmpty() && backends.values().stream().noneMatch(request::mayRunOn);
     }
 
-    /** The best backend for the request's next attempt, or null if none can take it now. */
+    /** Returns the best backend for the next attempt of the request; null if none can take the attempt now. */
     public Backend pick(RoutableRequest request) {
         MethodStats stats = request.methodStats();
         Backend best = null;
@@ -77,10 +81,11 @@
                 continue;
             }
             boolean lastResort = request.hasTried(backend) || backend.isAvoidedFor(request.plan());
-            long roundTripUs = backend.roundTripUs();
+            long extraRoundTripUs = backend.extraRoundTripUs();
             double score = backend.score() * (1 + SCORE_NOISE * context.nextRandom());
-            score += roundTripUs / stats.leastMeanUs(); // near ones first, farther ones as the queue there grows
-            score *= lastResort || request.wouldMissSoftDeadline(roundTripUs) ? LAST_RESORT_FACTOR : 1;
+            // Prefers near backends, and farther ones as the queues of the near ones grow.
+            score += extraRoundTripUs / stats.minMeanUs();
+            score *= lastResort || request.wouldMissSoftDeadline(extraRoundTripUs) ? LAST_RESORT_FACTOR : 1;
             if (score < bestScore) {
                 bestScore = score;
                 best = backend;
@@ -95,14 +100,17 @@
         }
         SlowStart slowStart = backend.slowStart();
         if (!slowStart.isActive()) {
-            slowStart.clear();
+            slowStart.forgetAttempts();
             return true;
         }
-        return slowStart.allows(stats.leastMeanUs(), warmCores(backend));
+        return slowStart.allowsAttempt(stats.minMeanUs(), warmBackendCores(backend));
     }
 
-    /** Cores' worth of work that a warm backend of this one's size is seen to take; never under one core. */
-    private double warmCores(Backend cold) {
+    /**
+     * Returns the work, in cores, that a warm backend of the same size is seen to take from all gateways; at least one
+     * core.
+     */
+    private double warmBackendCores(Backend cold) {
         double cores = 0;
         double size = 0;
         for (Backend backend : backends.values()) {
@@ -118,7 +126,10 @@
         return settings.weightIsCapacity() ? backend.endpoint().weight() : 1;
     }
 
-    /** Limited over all backends: of many gateways each has far less than one attempt a backend in flight. */
+    /**
+     * Returns the attempts in flight over all usable backends. They are limited together because in a tier of many
+     * gateways each has far less than one attempt in flight per backend.
+     */
     private int inFlight() {
         int sum = 0;
         for (Backend backend : backends.values()) {
@@ -127,55 +138,58 @@
         return sum;
     }
 
-    // ---- What becomes of attempts ----
+    // ---- Outcomes of attempts ----
 
-    /** An attempt is on its way to a backend of this tier. */
+    /** Records that an attempt was sent to a backend of this tier. */
     public void attemptStarted(Backend backend, MethodStats stats) {
         backend.attemptStarted(stats);
     }
 
     /**
-     * An attempt has ended.
+     * Records the end of an attempt.
      *
-     * @param tookUs microseconds that it took, without the network round trip
-     * @param report the backend's load report, by the settings' fields; empty without one
+     * @param tookUs the duration of the attempt in microseconds, without the network round trip
+     * @param report the backend's load report, with the fields that the settings name; empty if there is none
      */
     public void attemptEnded(
             Backend backend, MethodStats stats, Plan plan, Outcome outcome, long tookUs, float[] report) {
         backend.attemptEnded();
         if (queueLengthField >= 0 && queueLengthField < report.length) {
-            backend.reportedQueueLength(report[queueLengthField]);
+            backend.recordQueueLength(report[queueLengthField]);
         }
         switch (outcome) {
             case OK -> {
-                stats.learn(tookUs);
-                backend.succeeded(stats, tookUs);
+                stats.recordResponseTime(tookUs);
+                backend.attemptSucceeded(stats, tookUs);
                 adjustGatewayLimit((double) tookUs / stats.method().softDeadlineUs());
             }
-            case AT_CAPACITY -> rejected(backend, stats, plan, tookUs);
+            case AT_CAPACITY -> attemptRejected(backend, stats, plan, tookUs);
             case ERROR -> {
                 backend.markAnswered();
-                failed(backend);
+                attemptFailed(backend);
             }
-            case CONNECT_FAILED, RESET -> failed(backend);
-            case TIMED_OUT -> tookTooLong(backend, stats, tookUs);
+            case CONNECT_FAILED, RESET -> attemptFailed(backend);
+            case TIMED_OUT -> attemptTookTooLong(backend, stats, tookUs);
             default -> {
-                // says nothing of the backend
+                // The outcome tells nothing about the backend.
             }
         }
     }
 
-    /** An attempt is given up on, or its answer came too late, after so many microseconds. */
-    public void tookTooLong(Backend backend, MethodStats stats, long tookUs) {
-        backend.late();
+    /** Records an attempt that was given up on, or whose answer came too late, after the given microseconds. */
+    public void attemptTookTooLong(Backend backend, MethodStats stats, long tookUs) {
+        backend.attemptLate();
         if (tookUs > stats.meanUs()) {
             adjustGatewayLimit(1);
-            stats.learn(tookUs);
-            backend.compare(stats, tookUs);
+            stats.recordResponseTime(tookUs);
+            backend.updateSlowness(stats, tookUs);
         }
     }
 
-    /** An attempt sent at this time is past its patience: suspicious where nothing was answered since. */
+    /**
+     * Records that an attempt sent at the given time is overdue. This makes the backend suspect if it has answered
+     * nothing since.
+     */
     public void attemptOverdue(Backend backend, long sentAtUs) {
         if (backend.isSilentSince(sentAtUs) && backend.outlierDetector().recordSuspicion()) {
             eject(backend);
@@ -183,25 +197,26 @@
     }
 
     /**
-     * Guards against a backend that rejects one plan though it has capacity: one that is full says so at once. Harm: a
-     * backend that is full and slow to say so keeps its limit.
+     * Handles a rejection for lack of capacity. A quick rejection counts as a failure, since a backend that is full
+     * says so at once. A slow one shows that the backend rejects one plan although it has capacity, so only that plan
+     * avoids the backend. The drawback is that a backend which is full and slow to say so keeps its limit.
      */
-    private void rejected(Backend backend, MethodStats stats, Plan plan, long tookUs) {
+    private void attemptRejected(Backend backend, MethodStats stats, Plan plan, long tookUs) {
         backend.markAnswered();
-        if (tookUs < QUICK_REJECTION * stats.method().softDeadlineUs()) {
-            failed(backend);
+        if (tookUs < QUICK_REJECTION_FRACTION * stats.method().softDeadlineUs()) {
+            attemptFailed(backend);
         } else {
-            backend.avoidFor(plan, context.nowUs() + OutlierDetector.LONGEST_EJECTION_US);
+            backend.avoidFor(plan, context.nowUs() + OutlierDetector.MAX_EJECTION_US);
         }
     }
 
-    private void failed(Backend backend) {
-        if (backend.failed()) {
+    private void attemptFailed(Backend backend) {
+        if (backend.attemptFailed()) {
             eject(backend);
         }
     }
 
-    /** Never ejects all: at least half of the ready ones stay. */
+    /** Ejects a backend, if at least half of the listed backends stay usable. */
     private void eject(Backend backend) {
         long unusable =
                 backends.values().stream().filter(other -> !other.isUsable()).count();
@@ -211,8 +226,8 @@
     }
 
     private void adjustGatewayLimit(double fractionOfSoftDeadline) {
-        if (GatewayConcurrencyLimit.isSignal(fractionOfSoftDeadline)) {
-            gatewayLimit.answered(fractionOfSoftDeadline, inFlight(), backends.size());
+        if (GatewayConcurrencyLimit.mayChangeLimit(fractionOfSoftDeadline)) {
+            gatewayLimit.attemptAnswered(fractionOfSoftDeadline, inFlight(), backends.size());
         }
     }
 }
--- a/src/main/java/hopdrum/policy/backends/FrequentValueTracker.java
+++ b/src/main/java/hopdrum/policy/backends/FrequentValueTracker.java
@@ -1,6 +1,6 @@
 package hopdrum.policy.backends;
 
-/** Finds the most frequent of the values recorded, in constant memory: the summary of Misra and Gries (1982). */
+/** Finds the most frequent of the recorded values in constant memory, with the summary of Misra and Gries (1982). */
 final class FrequentValueTracker {
     private static final int CAPACITY = 8;
 
@@ -8,12 +8,12 @@
     private final long[] values = new long[CAPACITY];
     private final int[] counts = new int[CAPACITY];
 
-    /** Values that differ by less than the tolerance are the same. */
+    /** Creates a tracker that takes values as equal if they differ by less than the tolerance. */
     FrequentValueTracker(long tolerance) {
         this.tolerance = tolerance;
     }
 
-    /** Counts a value; true if none has been more frequent so far. */
+    /** Records a value; returns true if no other value has been more frequent so far. */
     boolean recordIsMostFrequent(long value) {
         int mostFrequent = 0;
         int match = -1;
--- a/src/main/java/hopdrum/policy/backends/OutlierDetector.java
+++ b/src/main/java/hopdrum/policy/backends/OutlierDetector.java
@@ -2,23 +2,26 @@
 
 import hopdrum.policy.context.PolicyContext;
 
-/** The faults of one backend, and whether it is ejected for them. The tier decides whether an ejection is allowed. */
+/**
+ * Tracks the faults of one backend and whether it is ejected for them. The tier decides whether an ejection is allowed.
+ */
 final class OutlierDetector {
-    static final long LONGEST_EJECTION_US = 8_000_000;
+    static final long MAX_EJECTION_US = 8_000_000;
 
     private static final long FIRST_EJECTION_US = 1_000_000;
     private static final double ERROR_WEIGHT = 0.15;
     private static final double ERROR_DECAY = 0.85;
-    private static final double MOST_ERRORS = 0.5;
-    private static final int MOST_CONSECUTIVE_ERRORS = 3;
-    private static final int MOST_SUSPICIONS = 2;
-    private static final double SOUND_ERROR_RATE = 0.05;
-    private static final double SOUND_SLOWNESS = 1.5;
+    private static final double MAX_ERROR_RATE = 0.5;
+    private static final int MAX_CONSECUTIVE_ERRORS = 3;
+    private static final int MAX_SUSPICIONS = 2;
+    private static final double HEALTHY_ERROR_RATE = 0.05;
+    private static final double HEALTHY_SLOWNESS = 1.5;
 
-    private double errorRate; // of late attempts
+    // The error rate of recent attempts, from 0 to 1.
+    private double errorRate;
     private int consecutiveErrors;
     private int suspicions;
-    private long ejectedUntilUs = PolicyContext.NEVER;
+    private long ejectedUntilUs = PolicyContext.DISTANT_PAST_US;
     private long nextEjectionUs = FIRST_EJECTION_US;
     private boolean onProbation;
 
@@ -26,7 +29,7 @@
         return nowUs < ejectedUntilUs;
     }
 
-    /** After an ejection, until an answer in good time: one attempt at a time. */
+    /** Returns true after an ejection until an answer comes in good time; until then, one attempt at a time is sent. */
     boolean isOnProbation() {
         return onProbation;
     }
@@ -36,10 +39,10 @@
     }
 
     /**
-     * Takes in an answer.
+     * Records a successful answer.
      *
-     * @param inGoodTime whether it ends a probation
-     * @param slowness the backend's response times against its peers', before this answer
+     * @param inGoodTime whether the answer ends a probation
+     * @param slowness the backend's response times relative to those of its peers, before this answer
      */
     void recordSuccess(boolean inGoodTime, double slowness) {
         suspicions = 0;
@@ -48,28 +51,31 @@
         if (inGoodTime) {
             onProbation = false;
         }
-        if (!onProbation && errorRate < SOUND_ERROR_RATE && slowness < SOUND_SLOWNESS) {
+        if (!onProbation && errorRate < HEALTHY_ERROR_RATE && slowness < HEALTHY_SLOWNESS) {
             nextEjectionUs = FIRST_EJECTION_US;
         }
     }
 
-    /** Takes in a fault; true if the backend should be ejected for it. */
+    /** Records an error; returns true if the backend should be ejected. */
     boolean recordError() {
         errorRate += ERROR_WEIGHT * (1 - errorRate);
         consecutiveErrors++;
-        return consecutiveErrors >= MOST_CONSECUTIVE_ERRORS || errorRate > MOST_ERRORS || onProbation;
+        return consecutiveErrors >= MAX_CONSECUTIVE_ERRORS || errorRate > MAX_ERROR_RATE || onProbation;
     }
 
-    /** Takes in an attempt that is overdue while nothing else was answered; true if the backend should be ejected. */
+    /**
+     * Records an attempt that is overdue while no other attempt was answered; returns true if the backend should be
+     * ejected.
+     */
     boolean recordSuspicion() {
         suspicions++;
-        return suspicions >= MOST_SUSPICIONS;
+        return suspicions >= MAX_SUSPICIONS;
     }
 
-    /** Ejects the backend, each time for twice as long; returns until when. */
+    /** Ejects the backend, each time for twice as long; returns the end of the ejection in microseconds. */
     long eject(long nowUs) {
         ejectedUntilUs = nowUs + nextEjectionUs;
-        nextEjectionUs = Math.min(LONGEST_EJECTION_US, nextEjectionUs * 2);
+        nextEjectionUs = Math.min(MAX_EJECTION_US, nextEjectionUs * 2);
         onProbation = true;
         suspicions = 1;
         return ejectedUntilUs;
--- a/src/main/java/hopdrum/policy/backends/RoutableRequest.java
+++ b/src/main/java/hopdrum/policy/backends/RoutableRequest.java
@@ -2,23 +2,26 @@
 
 import hopdrum.host.Plan;
 
-/** What the choice of a backend asks of a request. */
+/** The view of a request that the choice of a backend has. */
 public interface RoutableRequest {
-    /** What is learned of its method. */
+    /** Returns the statistics of the method of the request. */
     MethodStats methodStats();
 
-    /** The plan of its customer. */
+    /** Returns the plan of the customer. */
     Plan plan();
 
-    /** False where an attempt that may have run forbids another on this backend. */
+    /** Returns false if an earlier attempt that may have run forbids another attempt on this backend. */
     boolean mayRunOn(Backend backend);
 
-    /** True if an attempt of it, ended or not, went to this backend. */
+    /** Returns true if an attempt of the request, ended or not, went to this backend. */
     boolean hasTried(Backend backend);
 
-    /** True if an attempt of it is in flight at this backend. */
+    /** Returns true if an attempt of the request is in flight at this backend. */
     boolean isInFlightAt(Backend backend);
 
-    /** True if a network round trip of so many microseconds would make its answer miss the soft deadline. */
-    boolean wouldMissSoftDeadline(long roundTripUs);
+    /**
+     * Returns true if the given additional network round trip in microseconds would make the answer miss the soft
+     * deadline.
+     */
+    boolean wouldMissSoftDeadline(long extraRoundTripUs);
 }
--- a/src/main/java/hopdrum/policy/backends/package-info.java
+++ b/src/main/java/hopdrum/policy/backends/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The choice of a backend: the endpoint list, concurrency limits, outlier ejection, slow start and what is learned of
- * response times. Knows nothing of quotas or of the request's life cycle.
+ * The choice of a backend: the endpoint list, concurrency limits, outlier ejection, slow start and learned response
+ * times. Independent of quotas and of the life cycle of requests.
  */
 package hopdrum.policy.backends;
--- a/src/main/java/hopdrum/policy/context/PolicyContext.java
+++ b/src/main/java/hopdrum/policy/context/PolicyContext.java
@@ -5,19 +5,19 @@
 import java.util.SplittableRandom;
 
 /**
- * What the classes that decide for one gateway share. There is one context for each {@code Policy}, used by its one
- * thread; all randomness comes from its one generator, so a run is repeated by its seed and its events.
+ * The state that the policy classes of one gateway share. There is one context for each {@code Policy}, used by its one
+ * thread. All random numbers come from its one generator, so a run can be repeated from its seed and its events.
  */
 public final class PolicyContext {
-    /** A time before all others, in microseconds; half of the range, so that differences don't overflow. */
-    public static final long NEVER = Long.MIN_VALUE / 2;
+    /** A time before all others, in microseconds; half of the minimum, so that differences do not overflow. */
+    public static final long DISTANT_PAST_US = Long.MIN_VALUE / 2;
 
     private final Settings settings;
     private final Host host;
     private final SplittableRandom random;
     private final Timers timers;
 
-    /** A context with its own generator and timers; {@code seed} starts the generator. */
+    /** Creates a context with its own random number generator and timers; {@code seed} seeds the generator. */
     public PolicyContext(Settings settings, long seed, Host host) {
         this.settings = settings;
         this.host = host;
@@ -25,37 +25,40 @@
         this.timers = new Timers(host);
     }
 
-    /** The deployment's settings. */
+    /** Returns the settings of the deployment. */
     public Settings settings() {
         return settings;
     }
 
-    /** The front door that carries out what is decided. */
+    /** Returns the front door that carries out the decisions. */
     public Host host() {
         return host;
     }
 
-    /** The host's clock in microseconds; it stands still during an event. */
+    /** Returns the current time of the host's clock in microseconds; constant while an event is handled. */
     public long nowUs() {
         return host.nowUs();
     }
 
-    /** The next number of the generator, uniform in [0, 1). */
+    /** Returns the next random number, uniform in [0, 1). */
     public double nextRandom() {
         return random.nextDouble();
     }
 
-    /** Runs an action at a time in microseconds of the host's clock, or as soon after as the host calls. */
+    /**
+     * Schedules an action for a time in microseconds of the host's clock; the action runs in the first wake-up at or
+     * after that time.
+     */
     public void schedule(long atUs, Runnable action) {
         timers.schedule(atUs, action);
     }
 
-    /** Runs the actions that are due; false where an earlier wake-up has run them. */
+    /** Runs the actions that are due; returns false if an earlier wake-up has already run them. */
     public boolean runDueTimers() {
         return timers.runDue();
     }
 
-    /** Asks the host for a wake-up at the earliest timer. To be called at the end of each event. */
+    /** Schedules a wake-up with the host for the earliest timer. Called at the end of each event. */
     public void armTimers() {
         timers.arm();
     }
--- a/src/main/java/hopdrum/policy/context/Timers.java
+++ b/src/main/java/hopdrum/policy/context/Timers.java
@@ -4,26 +4,27 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** The actions due later: one wake-up is asked of the host at a time, that of the earliest. */
+/** Schedules actions for later times, using a single wake-up of the host at the time of the earliest action. */
 final class Timers {
-    private record Timer(long atUs, long order, Runnable action) {}
+    private record Timer(long atUs, long sequenceNumber, Runnable action) {}
 
     private final Host host;
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>( // emptied as they come due
-            Comparator.comparingLong(Timer::atUs).thenComparingLong(Timer::order));
-    private long scheduled;
+    // Each timer is removed when it is due.
+    private final PriorityQueue<Timer> timers =
+            new PriorityQueue<>(Comparator.comparingLong(Timer::atUs).thenComparingLong(Timer::sequenceNumber));
+    private long timersScheduled;
     private long wakeUpAtUs = Long.MAX_VALUE;
 
     Timers(Host host) {
         this.host = host;
     }
 
-    /** Actions of the same time run in the order in which they were scheduled. */
+    /** Schedules an action; actions due at the same time run in the order in which they were scheduled. */
     void schedule(long atUs, Runnable action) {
-        timers.add(new Timer(atUs, scheduled++, action));
+        timers.add(new Timer(atUs, timersScheduled++, action));
     }
 
-    /** Runs what is due; false where an earlier wake-up has done this one's work. */
+    /** Runs the actions that are due; returns false if an earlier wake-up has already run them. */
     boolean runDue() {
         if (host.nowUs() < wakeUpAtUs) {
             return false;
@@ -35,7 +36,7 @@
         return true;
     }
 
-    /** Asks for a wake-up at the earliest time, unless it has been asked for. */
+    /** Schedules a wake-up for the earliest action, unless an earlier or equal one is already scheduled. */
     void arm() {
         if (!timers.isEmpty() && timers.peek().atUs < wakeUpAtUs) {
             wakeUpAtUs = timers.peek().atUs;
--- a/src/main/java/hopdrum/policy/context/package-info.java
+++ b/src/main/java/hopdrum/policy/context/package-info.java
@@ -1,2 +1,4 @@
-/** What the classes that decide for one gateway share: settings, host, clock, timers and the source of randomness. */
+/**
+ * The state that the policy classes of one gateway share: settings, host, clock, timers and the source of randomness.
+ */
 package hopdrum.policy.context;
--- a/src/main/java/hopdrum/policy/package-info.java
+++ b/src/main/java/hopdrum/policy/package-info.java
@@ -1,5 +1,6 @@
 /**
- * All decisions of one gateway: admission, queueing, the choice of a backend, retries, and what each final answer may
- * promise. {@link hopdrum.policy.Policy} is the entry; nothing here does I/O or reads a clock but by the host.
+ * The decisions of one gateway: admission, queueing, the choice of a backend, retries, and what each final answer may
+ * promise. {@link hopdrum.policy.Policy} is the entry point. This package does I/O and reads the clock only through its
+ * host.
  */
 package hopdrum.policy;
--- a/src/main/java/hopdrum/policy/quota/CounterCall.java
+++ b/src/main/java/hopdrum/policy/quota/CounterCall.java
@@ -1,29 +1,36 @@
 package hopdrum.policy.quota;
 
-/** One call on the counter, from when it is made until its answer. */
+/** One call on the counter, from its start until its answer. */
 final class CounterCall {
     final long name;
     final double units;
     final long sentAtUs;
 
-    /** The request that waits for it; null for units that are given back or trimmed. */
+    /** The request that waits for the answer; null for a call that returns units or trims excess units. */
     final QuotaRequest request;
 
-    /** Units above a full burst that it trims, and what should remain then. */
-    final double excess;
+    /** The units above a full burst that this call trims; 0 for other calls. */
+    final double excessUnits;
 
-    final double remainingAfter;
+    /** The units that should remain after a call that trims excess units. */
+    final double expectedRemaining;
 
-    /** Answered, or silent past the time-out. */
+    /** True once the call was answered or has timed out. */
     boolean settled;
 
-    CounterCall(long name, double units, long sentAtUs, QuotaRequest request, double excess, double remainingAfter) {
+    CounterCall(
+            long name,
+            double units,
+            long sentAtUs,
+            QuotaRequest request,
+            double excessUnits,
+            double expectedRemaining) {
         this.name = name;
         this.units = units;
         this.sentAtUs = sentAtUs;
         this.request = request;
-        this.excess = excess;
-        this.remainingAfter = remainingAfter;
+        this.excessUnits = excessUnits;
+        this.expectedRemaining = expectedRemaining;
     }
 
     boolean isAwaitedByRequest() {
--- a/src/main/java/hopdrum/policy/quota/CounterName.java
+++ b/src/main/java/hopdrum/policy/quota/CounterName.java
@@ -1,8 +1,8 @@
 package hopdrum.policy.quota;
 
 /**
- * Names on the counter: the number of the epoch and the customer's key. An epoch is the longest time that the counter
- * keeps a name. Epochs turn at another time for each customer, so that turns are never all at once.
+ * Encodes names on the counter: the number of an epoch and the customer's key. An epoch is as long as the counter keeps
+ * a name. Epochs begin at a different time for each customer, so that new names are not all created at once.
  */
 final class CounterName {
     static final long EPOCH_US = 60_000_000;
@@ -11,20 +11,20 @@
 
     private CounterName() {}
 
-    static long at(long nowUs, long customer) {
-        return ((nowUs + stagger(customer)) / EPOCH_US) << CUSTOMER_BITS | customer;
+    static long nameAt(long nowUs, long customer) {
+        return ((nowUs + epochOffsetUs(customer)) / EPOCH_US) << CUSTOMER_BITS | customer;
     }
 
     static long customerOf(long name) {
         return name & ((1L << CUSTOMER_BITS) - 1);
     }
 
-    /** The time since the epoch of a customer's name began, in microseconds. */
+    /** Returns the microseconds since the epoch of a name began for its customer. */
     static long ageUs(long name, long nowUs, long customer) {
-        return nowUs + stagger(customer) - (name >>> CUSTOMER_BITS) * EPOCH_US;
+        return nowUs + epochOffsetUs(customer) - (name >>> CUSTOMER_BITS) * EPOCH_US;
     }
 
-    private static long stagger(long customer) {
+    private static long epochOffsetUs(long customer) {
         return Long.remainderUnsigned(customer * 0x9E3779B97F4A7C15L, EPOCH_US);
     }
 }
--- a/src/main/java/hopdrum/policy/quota/CounterPacer.java
+++ b/src/main/java/hopdrum/policy/quota/CounterPacer.java
@@ -4,27 +4,36 @@
 import hopdrum.policy.context.PolicyContext;
 
 /**
- * The pace of this gateway's calls on the counter. Guards a counter that is crowded, slow, rejecting or dead: a call lost
- * lowers the pace, answers raise it, as in TCP; it ends when calls are far fewer than it allows.
+ * Limits the rate of this gateway's calls on the counter. This protects a counter that is overloaded, slow, rejecting
+ * or dead: as in TCP, a lost call lowers the rate limit and answers raise it. The limit is lifted once calls are far
+ * fewer than it allows.
  */
 final class CounterPacer {
     private static final double UNLIMITED = Double.MAX_VALUE;
-    private static final double LEAST_PACE = 60; // calls a second, by all gateways, to a dead counter
-    private static final double LOSS_FACTOR = 0.85; // for a call lost
-    private static final double GAIN = 0.03; // for a call answered, times the seconds without loss
-    private static final double RECOVERY_S = 5; // without loss, before the pace may end
-    private static final double QUICK_ANSWER_DIVISOR = 6.0; // of the counter's limit: a quick answer takes less
-    private static final double BURST_DIVISOR = 10; // of the pace: so many calls may be made at once
+    // Calls per second of all gateways together to a counter that answers none.
+    private static final double MIN_TOTAL_RATE = 60;
+    // Factor that a lost call applies to the rate limit.
+    private static final double LOSS_FACTOR = 0.85;
+    // Relative growth of the rate limit for an answered call, multiplied by one plus the seconds without a loss.
+    private static final double INCREASE_FACTOR = 0.03;
+    // Seconds without a loss before the rate limit may be lifted.
+    private static final double RECOVERY_S = 5;
+    // An answer is quick if it takes less than this part of the counter's own time limit.
+    private static final double QUICK_ANSWER_DIVISOR = 6.0;
+    // The calls that may be made at once are the rate limit divided by this.
+    private static final double BURST_DIVISOR = 10;
 
     private final PolicyContext context;
     private final Settings settings;
     private final CounterResponseTimes responseTimes;
     private final long startedAtUs;
-    private double pace = UNLIMITED; // calls a second
-    private double knownGoodPace;
-    private double allowance = 1; // calls that may be made now
-    private long allowanceAtUs;
-    private double callRate; // calls a second, over the last second or so
+    private double rateLimit = UNLIMITED; // calls per second
+    private double lastGoodRate;
+    // The calls that may be made now, as in a token bucket.
+    private double tokens = 1;
+    private long tokensAtUs;
+    // Calls per second over about the last second.
+    private double recentCallRate;
     private long lastCallUs;
     private long lastLossUs;
     private boolean answeredSinceLoss;
@@ -36,16 +45,19 @@
         this.startedAtUs = context.nowUs();
     }
 
-    /** While it is paced, the buckets admit what they can, and calls go to what they would reject. */
+    /**
+     * Returns true while calls are limited: then leaky buckets admit what they can, and calls are spent on what the
+     * buckets would reject.
+     */
     boolean isPaced() {
-        return pace < UNLIMITED;
+        return rateLimit < UNLIMITED;
     }
 
     boolean callsAreScarce() {
-        return isPaced() && allowance < 2;
+        return isPaced() && tokens < 2;
     }
 
-    /** Whether a call may be made now. */
+    /** Returns true if a call may be made now. */
     boolean mayCall() {
         if (!settings.counterAvailable()) {
             return false;
@@ -54,56 +66,59 @@
             return true;
         }
         long nowUs = context.nowUs();
-        allowance = Math.min(Math.max(1, pace / BURST_DIVISOR), allowance + pace * (nowUs - allowanceAtUs) / 1e6);
-        allowanceAtUs = nowUs;
-        return allowance >= 1;
+        tokens = Math.min(Math.max(1, rateLimit / BURST_DIVISOR), tokens + rateLimit * (nowUs - tokensAtUs) / 1e6);
+        tokensAtUs = nowUs;
+        return tokens >= 1;
     }
 
-    void called() {
+    void callMade() {
         long nowUs = context.nowUs();
-        callRate = callRate * Math.exp((lastCallUs - nowUs) / 1e6) + 1;
+        recentCallRate = recentCallRate * Math.exp((lastCallUs - nowUs) / 1e6) + 1;
         lastCallUs = nowUs;
-        allowance -= 1;
+        tokens -= 1;
     }
 
-    private double callRateNow() {
+    private double currentCallRate() {
         long nowUs = context.nowUs();
-        double seen = 1 - Math.exp((startedAtUs - nowUs - 1) / 1e6); // of a full window, just after a start
-        return callRate * Math.exp((lastCallUs - nowUs) / 1e6) / seen;
+        // The part of a full window that has passed, less than 1 just after a start.
+        double seenFraction = 1 - Math.exp((startedAtUs - nowUs - 1) / 1e6);
+        return recentCallRate * Math.exp((lastCallUs - nowUs) / 1e6) / seenFraction;
     }
 
-    /** A call was answered; the response times have it already. */
-    void answered(long tookUs) {
+    /** Records the answer to a call. {@link CounterResponseTimes} must have recorded it before. */
+    void callAnswered(long tookUs) {
         answeredSinceLoss = true;
         if (!isPaced()) {
             return;
         }
         double sinceLossS = (context.nowUs() - lastLossUs) / 1e6;
-        if (pace < knownGoodPace) {
-            pace = Math.min(knownGoodPace, pace * 2);
-        } else if (tookUs - responseTimes.leastUs() < settings.counterTimeoutUs() / QUICK_ANSWER_DIVISOR
-                && allowance < 2) {
-            pace *= 1 + GAIN * (1 + sinceLossS);
+        if (rateLimit < lastGoodRate) {
+            rateLimit = Math.min(lastGoodRate, rateLimit * 2);
+        } else if (tookUs - responseTimes.recentMinUs() < settings.counterTimeoutUs() / QUICK_ANSWER_DIVISOR
+                && tokens < 2) {
+            rateLimit *= 1 + INCREASE_FACTOR * (1 + sinceLossS);
         }
-        if (sinceLossS > RECOVERY_S && pace > 1.5 * callRateNow()) {
-            pace = UNLIMITED;
-            knownGoodPace = 0;
+        if (sinceLossS > RECOVERY_S && rateLimit > 1.5 * currentCallRate()) {
+            rateLimit = UNLIMITED;
+            lastGoodRate = 0;
         }
     }
 
-    /** A call was rejected or never answered. Calls lost within one time-out are one loss. */
-    void lost() {
+    /** Records that a call was rejected or never answered. Calls lost within one time-out count as one loss. */
+    void callLost() {
         long nowUs = context.nowUs();
         if (isPaced() && nowUs - lastLossUs < responseTimes.timeOutUs()) {
             return;
         }
         if (!isPaced()) {
-            allowance = 0; // calls made before it was limited are no debt
+            // Calls made before the limit applied do not count against it.
+            tokens = 0;
         }
         if (answeredSinceLoss) {
-            knownGoodPace = (isPaced() ? pace : callRateNow()) * LOSS_FACTOR;
+            lastGoodRate = (isPaced() ? rateLimit : currentCallRate()) * LOSS_FACTOR;
         }
-        pace = Math.max(LEAST_PACE / settings.gatewayCount(), (isPaced() ? pace : callRateNow()) * LOSS_FACTOR);
+        rateLimit = Math.max(
+                MIN_TOTAL_RATE / settings.gatewayCount(), (isPaced() ? rateLimit : currentCallRate()) * LOSS_FACTOR);
         answeredSinceLoss = false;
         lastLossUs = nowUs;
     }
--- a/src/main/java/hopdrum/policy/quota/CounterService.java
+++ b/src/main/java/hopdrum/policy/quota/CounterService.java
@@ -2,16 +2,20 @@
 
 import hopdrum.policy.context.PolicyContext;
 
-/** What all customers of one gateway share of the counter: its response times, the pace of calls, the pool of debts. */
+/**
+ * The state of the counter that all customers of one gateway share: its response times, the rate limit on calls, and
+ * the pool of units that are not counted yet.
+ */
 final class CounterService {
-    /** Requests of others that a call stands for at most, over its own. */
-    private static final double MOST_POOLED = 2;
+    /** The most units of other customers that a call may add, as a multiple of its own units. */
+    private static final double MAX_POOLED_RATIO = 2;
 
     final CounterResponseTimes responseTimes;
     final CounterPacer pacer;
     final long startedAtUs;
     private final PolicyContext context;
-    private double uncountedUnits; // admitted by shares that hold no request, and in no count yet
+    // Units that were admitted by shares of less than one request and are in no count yet.
+    private double uncountedUnits;
 
     CounterService(PolicyContext context) {
         this.context = context;
@@ -20,25 +24,25 @@
         this.pacer = new CounterPacer(context, responseTimes);
     }
 
-    /** Sends an add; the answer comes to {@code QuotaTable}. */
-    void add(long name, double units) {
-        pacer.called();
+    /** Adds units to a name on the counter; the answer arrives at {@code QuotaTable}. */
+    void addUnits(long name, double units) {
+        pacer.callMade();
         context.host().addToCounter(name, units, CounterName.EPOCH_US);
     }
 
-    /** True where an answer came within the last second. */
+    /** Returns true if an answer came within the last second. */
     boolean isAnswering() {
-        return responseTimes.silentForUs() < CounterResponseTimes.OUTAGE_US;
+        return responseTimes.timeSinceLastAnswerUs() < CounterResponseTimes.OUTAGE_US;
     }
 
-    void poolUncounted(double units) {
+    void poolUncountedUnits(double units) {
         uncountedUnits += units;
     }
 
-    /** Takes from the pool what a call for so many units may add for others. */
-    double takeUncounted(double units) {
-        double others = Math.min(uncountedUnits, MOST_POOLED * units);
-        uncountedUnits -= others;
-        return others;
+    /** Takes from the pool the units of other customers that a call for the given units may add. */
+    double takeUncountedUnits(double units) {
+        double unitsOfOthers = Math.min(uncountedUnits, MAX_POOLED_RATIO * units);
+        uncountedUnits -= unitsOfOthers;
+        return unitsOfOthers;
     }
 }
--- a/src/main/java/hopdrum/policy/quota/CreditEstimate.java
+++ b/src/main/java/hopdrum/policy/quota/CreditEstimate.java
@@ -4,14 +4,17 @@
 import hopdrum.host.Plan;
 import hopdrum.policy.context.PolicyContext;
 
-/** What this gateway knows of a customer's remaining units: as last read, less what it admitted since, and refilled. */
+/**
+ * This gateway's estimate of a customer's remaining units: the last reading, less the units admitted since, plus the
+ * refill.
+ */
 final class CreditEstimate {
     private final PolicyContext context;
     private final Host host;
     private final long customer;
     private final Plan plan;
     private double units = -1;
-    private long atUs = PolicyContext.NEVER;
+    private long atUs = PolicyContext.DISTANT_PAST_US;
 
     CreditEstimate(PolicyContext context, long customer, Plan plan) {
         this.context = context;
@@ -21,60 +24,69 @@
     }
 
     boolean isKnown() {
-        return atUs != PolicyContext.NEVER;
+        return atUs != PolicyContext.DISTANT_PAST_US;
     }
 
-    /** The units as last read, without the refill since. */
-    double unitsAsRead() {
+    /** Returns the last reading less the units spent since, without the refill since. */
+    double unitsWithoutRefill() {
         return units;
     }
 
-    double remaining() {
-        return Math.min(capacity(), units + plan.rate() * (context.nowUs() - atUs) / 1e6);
+    double remainingUnits() {
+        return Math.min(maxUnits(), units + plan.rate() * (context.nowUs() - atUs) / 1e6);
     }
 
-    void read(double remainingUnits) {
-        units = remainingUnits;
+    void recordReading(double unitsRead) {
+        units = unitsRead;
         atUs = context.nowUs();
     }
 
-    void spend(double spentUnits) {
+    void spendUnits(double spentUnits) {
         units -= spentUnits;
     }
 
-    /** Takes a peer's reading as an upper bound. Harm from a false one: it keeps a customer out for two bursts' refill. */
-    void limitTo(PeerReading reading) {
-        double atMost = Math.max(reading.remainingUnits(), -plan.burst());
-        if (isKnown() && remaining() <= atMost) {
+    /**
+     * Applies a peer's reading as an upper bound. A false reading can keep a customer out for the refill time of two
+     * bursts.
+     */
+    void applyUpperBound(PeerReading reading) {
+        double upperBound = Math.max(reading.remainingUnits(), -plan.burst());
+        if (isKnown() && remainingUnits() <= upperBound) {
             return;
         }
-        units = atMost;
+        units = upperBound;
         atUs = reading.atUs();
     }
 
     /**
-     * How long until the refill can have made room, in microseconds; 0 where there may be room. What was read bounds what
-     * remains: until then no call is needed.
+     * Returns the microseconds until the refill can have made room for the given units; 0 if there may be room now. The
+     * last reading is an upper bound of the remaining units, so no call is needed until then.
      */
     long refillWaitUs(double neededUnits) {
         if (!isKnown() || plan.rate() <= 0) {
             return 0;
         }
-        return Math.max(0, (long) ((neededUnits - remaining()) / plan.rate() * 1e6));
+        return Math.max(0, (long) ((neededUnits - remainingUnits()) / plan.rate() * 1e6));
     }
 
-    /** What remains by this gateway's memory; a ceiling may not be staked on an unknown past. */
-    double remembered() {
+    /**
+     * Returns the remaining units as this gateway remembers them. For a customer with a ceiling and an unknown past,
+     * returns only the units that cannot exceed the ceiling.
+     */
+    double rememberedUnits() {
         if (isKnown()) {
-            return remaining();
+            return remainingUnits();
         }
-        double spare = plan.ceilingBurst() - plan.burst() + plan.ceilingSlack();
-        return plan.ceilingRate() > 0 ? Math.max(0, Math.min(capacity(), spare)) : plan.burst();
+        double spareUnits = plan.ceilingBurst() - plan.burst() + plan.ceilingSlack();
+        return plan.ceilingRate() > 0 ? Math.max(0, Math.min(maxUnits(), spareUnits)) : plan.burst();
     }
 
-    /** The most that can remain: under a ceiling, what has refilled since the customer's shard came to this tier. */
-    double capacity() {
-        double refilled = plan.rate() * host.ownershipAgeUs(customer) / 1e6;
-        return plan.ceilingRate() > 0 ? Math.min(plan.burst(), refilled) : plan.burst();
+    /**
+     * Returns the most units that can remain; for a customer with a ceiling, only those refilled since its shard came
+     * to this tier.
+     */
+    double maxUnits() {
+        double refilledUnits = plan.rate() * host.ownershipAgeUs(customer) / 1e6;
+        return plan.ceilingRate() > 0 ? Math.min(plan.burst(), refilledUnits) : plan.burst();
     }
 }
--- a/src/main/java/hopdrum/policy/quota/CustomerQuota.java
+++ b/src/main/java/hopdrum/policy/quota/CustomerQuota.java
@@ -8,27 +8,38 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The quota of one customer at this gateway: its calls on the counter, the requests that wait for them, its debts. */
+/**
+ * The quota of one customer at this gateway: its calls on the counter, the requests that wait for them, and the units
+ * owed to the counter.
+ */
 public final class CustomerQuota {
-    private static final long LEAST_KEPT_US = 5_000_000;
-    private static final double LAZY_EXCESS = 0.25; // share of the burst left untrimmed, to save calls
-    private static final double OWN_UNITS_NOISE = 1e-3; // a total as near to a call's own units is its own alone
-    private static final double REPEATED_EXCESS = 0.9; // of an excess: it was trimmed twice
+    private static final long MIN_IDLE_RETENTION_US = 5_000_000;
+    // Excess units up to this fraction of the burst are left untrimmed, to save calls.
+    private static final double UNTRIMMED_BURST_FRACTION = 0.25;
+    // A total that differs by less from a call's own units contains that call alone.
+    private static final double OWN_UNITS_TOLERANCE = 1e-3;
+    // If the remaining units fall short by this fraction of the trimmed excess, another gateway has trimmed it too.
+    private static final double REPEATED_TRIM_FRACTION = 0.9;
 
     private final PolicyContext context;
     private final Settings settings;
     private final CounterService counter;
     private final long customer;
     private final Plan plan;
-    private final int firstGateway; // its gateways are so many in a row from this one
+    // The customer is served by the next field's number of consecutive gateways, of which this is the first.
+    private final int firstGateway;
     private final int gateways;
     private final CreditEstimate credit;
     private final FallbackBucket bucket;
-    private final Deque<CounterCall> calls = new ArrayDeque<>(2); // emptied by answers; each call gets one
-    private final Deque<QuotaRequest> waiting = new ArrayDeque<>(1); // emptied when a call is settled
-    private double owedUnits; // admitted, but not in the count yet
-    private long makerUntilUs = PolicyContext.NEVER; // until when the add of a new name's maker is awaited
-    private long nextRetryAtUs = PolicyContext.NEVER;
+    // Each call is removed by its answer.
+    private final Deque<CounterCall> calls = new ArrayDeque<>(2);
+    // Emptied when a call is settled.
+    private final Deque<QuotaRequest> waitingRequests = new ArrayDeque<>(1);
+    // Units that were admitted and are not in the count yet; negative if the count is too high.
+    private double owedUnits;
+    // The time until which the trimming call of a new name's creator is awaited.
+    private long awaitCreatorUntilUs = PolicyContext.DISTANT_PAST_US;
+    private long nextRetryAtUs = PolicyContext.DISTANT_PAST_US;
     private long lastUsedUs;
     private int openRequests;
 
@@ -45,18 +56,18 @@
         this.bucket = new FallbackBucket(context, counter, credit, plan, firstGateway, this.gateways);
     }
 
-    /** The customer's key. */
+    /** Returns the customer's key. */
     public long customer() {
         return customer;
     }
 
-    /** The customer's plan. */
+    /** Returns the customer's plan. */
     public Plan plan() {
         return plan;
     }
 
-    /** A request of it has come in: it is kept for a while. */
-    public void touch() {
+    /** Records that a request of the customer has arrived, which keeps this quota in memory for a while. */
+    public void markUsed() {
         lastUsedUs = context.nowUs();
     }
 
@@ -64,86 +75,101 @@
         double refillUs = plan.rate() > 0 ? plan.burst() / plan.rate() * 1e6 : 0;
         return calls.isEmpty()
                 && openRequests == 0
-                && context.nowUs() - lastUsedUs > Math.max(LEAST_KEPT_US, 2 * refillUs)
+                && context.nowUs() - lastUsedUs > Math.max(MIN_IDLE_RETENTION_US, 2 * refillUs)
                 && (!bucket.exists() || bucket.isFull());
     }
 
     // ---- Admission ----
 
-    /** True if its share of the plan's limit on open requests is used up. */
+    /** Returns true if this gateway's share of the plan's limit on open requests is used up. */
     public boolean isAtConcurrencyLimit() {
         return plan.concurrencyLimit() > 0 && openRequests >= Math.ceil((double) plan.concurrencyLimit() / gateways);
     }
 
-    /** How long it is surely beyond its quota for so many units, in microseconds; 0 where it may not be. */
+    /**
+     * Returns the microseconds for which the customer is certainly beyond its quota for the given units; 0 if it may be
+     * within.
+     */
     public long refillWaitUs(double units) {
         return credit.refillWaitUs(units);
     }
 
-    /** True if its share is less than a request: this gateway alone knows next to nothing of the customer. */
+    /**
+     * Returns true if this gateway's share of the burst is less than one request: then this gateway alone knows next to
+     * nothing of the customer's use.
+     */
     public boolean isShareBelowOneRequest() {
         return plan.burst() < gateways;
     }
 
-    /** True if its leaky bucket at this gateway holds so many units. */
+    /** Returns true if the customer's leaky bucket at this gateway holds the given units. */
     public boolean bucketHolds(double units) {
         return bucket.levelFor(units) >= units;
     }
 
     /**
-     * Guards the counter against a customer that comes all at once (traffic beyond its quota, clients that return
-     * together): no more calls are out than the credit known could admit, and one.
+     * Returns true if a request must wait for the answer to an outstanding call. This protects the counter against a
+     * customer whose requests come all at once (traffic beyond its quota, clients that return together): the
+     * outstanding calls ask for no more than the known credit, except that one call may always be made.
      */
     public boolean mustAwaitVerdict(QuotaRequest request) {
         if (!credit.isKnown()) {
             return false;
         }
-        double asked = 0;
+        double askedUnits = 0;
         for (CounterCall call : calls) {
-            asked += call.isAwaitedByRequest() ? call.request.units() : 0;
+            askedUnits += call.isAwaitedByRequest() ? call.request.units() : 0;
         }
-        return asked > 0 && asked + request.units() > credit.remaining();
+        return askedUnits > 0 && askedUnits + request.units() > credit.remainingUnits();
     }
 
-    /** Has a request wait for the answer to a call that is out. */
+    /** Queues a request until an outstanding call is answered. */
     public void awaitVerdict(QuotaRequest request) {
-        waiting.add(request);
+        waitingRequests.add(request);
     }
 
-    /** Names a time to come back, in microseconds from now: rejected clients return as the refill could serve them. */
+    /**
+     * Returns the microseconds after which a rejected client should retry: the clients of a customer are told to return
+     * at the pace of the refill.
+     *
+     * @param waitUs the microseconds until there may be room for the request
+     * @param units the units of the request
+     */
     public long retryAfterUs(long waitUs, double units) {
         long soonestUs = Math.max(context.nowUs() + waitUs, nextRetryAtUs);
         nextRetryAtUs = plan.rate() > 0 ? soonestUs + (long) (units / plan.rate() * 1e6) : soonestUs;
-        if (soonestUs > context.nowUs() + settings.maxRetryAfterUs()) { // cannot be named: spread over what can
+        // A time beyond the longest that may be named: spreads the clients over the upper half of that longest time.
+        if (soonestUs > context.nowUs() + settings.maxRetryAfterUs()) {
             nextRetryAtUs = soonestUs;
             return (long) (settings.maxRetryAfterUs() * (0.5 + 0.5 * context.nextRandom()));
         }
         return soonestUs - context.nowUs();
     }
 
-    /** Makes the call that asks the counter for a request's units and what is owed; its answer is the verdict. */
-    public void ask(QuotaRequest request) {
-        if (isShareBelowOneRequest()) { // for all such customers, whose own next call here may come in a minute
-            owedUnits += counter.takeUncounted(request.units());
+    /** Calls the counter for the units of a request and the units owed; the answer is the verdict on the request. */
+    public void callCounter(QuotaRequest request) {
+        // Adds uncounted units for all such customers, whose own next call from here may be a minute away.
+        if (isShareBelowOneRequest()) {
+            owedUnits += counter.takeUncountedUnits(request.units());
         }
         request.setChargedUnits(request.units());
         double units = request.chargedUnits() + owedUnits;
-        CounterCall call = add(CounterName.at(context.nowUs(), customer), units, request, 0, 0);
+        CounterCall call = addToCounter(CounterName.nameAt(context.nowUs(), customer), units, request, 0, 0);
         owedUnits = 0;
-        context.schedule(context.nowUs() + counter.responseTimes.timeOutUs(), () -> silent(call));
+        context.schedule(context.nowUs() + counter.responseTimes.timeOutUs(), () -> callTimedOut(call));
     }
 
-    /** The counter cannot be asked: the leaky bucket decides at once. */
+    /** Decides a request at once by the leaky bucket, since the counter cannot be called. */
     public void decideLocally(QuotaRequest request) {
         boolean charged = request.isAwaitingCounter();
         double units = request.units();
-        if (!bucket.take(units)) {
+        if (!bucket.takeUnits(units)) {
             request.reject(retryAfterUs(bucket.waitUs(units), units));
             return;
         }
-        credit.spend(units);
+        credit.spendUnits(units);
         if (!charged && counter.isAnswering() && isShareBelowOneRequest()) {
-            counter.poolUncounted(units);
+            counter.poolUncountedUnits(units);
         } else if (!charged) {
             request.setChargedUnits(units);
             owedUnits += units;
@@ -151,16 +177,20 @@
         request.admit();
     }
 
-    // ---- What becomes of admitted requests ----
+    // ---- Admitted requests ----
 
-    /** The first attempt of a request has been sent: it counts as open until it is closed. */
+    /** Records that the first attempt of a request was sent: the request counts as open until it is closed. */
     public void requestOpened() {
         openRequests++;
     }
 
-    /** A request has its final answer; units that it was charged and never used go back. */
+    /**
+     * Records that a request has its final answer; units that it was charged and never used are returned.
+     *
+     * @param opened whether an attempt of the request was sent
+     */
     public void requestClosed(QuotaRequest request, boolean opened) {
-        waiting.remove(request);
+        waitingRequests.remove(request);
         if (opened) {
             openRequests--;
         } else if (request.isAdmitted()) {
@@ -168,25 +198,26 @@
         }
     }
 
-    /** A request turned out to use more units than it was charged, or fewer. */
-    public void settle(double moreUnits) {
+    /** Charges units that a request used beyond those it was charged; negative if it used fewer. */
+    public void settleUnits(double moreUnits) {
         owedUnits += moreUnits;
     }
 
     // ---- The counter's answers ----
 
-    private CounterCall add(long name, double units, QuotaRequest request, double excess, double remainingAfter) {
-        CounterCall call = new CounterCall(name, units, context.nowUs(), request, excess, remainingAfter);
+    private CounterCall addToCounter(
+            long name, double units, QuotaRequest request, double excessUnits, double expectedRemaining) {
+        CounterCall call = new CounterCall(name, units, context.nowUs(), request, excessUnits, expectedRemaining);
         calls.add(call);
-        counter.add(name, units);
+        counter.addUnits(name, units);
         return call;
     }
 
-    private void giveBack(long name, double units) {
-        add(name, -units, null, 0, 0);
+    private void returnUnits(long name, double units) {
+        addToCounter(name, -units, null, 0, 0);
     }
 
-    /** Removes the longest outstanding call on a name; null if there is none. */
+    /** Removes and returns the oldest outstanding call on a name; null if there is none. */
     CounterCall takeCall(long name) {
         for (CounterCall call : calls) {
             if (call.name == name) {
@@ -197,91 +228,111 @@
         return null;
     }
 
-    /** A call was answered with the name's total after it. */
-    void answered(CounterCall call, double total) {
+    /**
+     * Handles the answer to a call.
+     *
+     * @param total the total of the name after the call
+     */
+    void callAnswered(CounterCall call, double total) {
         long epochAgeUs = CounterName.ageUs(call.name, context.nowUs(), customer);
         double remaining = plan.burst() + plan.rate() * epochAgeUs / 1e6 - total;
         QuotaRequest request = call.request;
         if (request == null) {
-            credit.read(remaining + undoneExcess(call, remaining));
+            credit.recordReading(remaining + undoRepeatedTrim(call, remaining));
             return;
         }
-        remaining -= trimmedExcess(call, total, remaining);
+        remaining -= trimExcess(call, total, remaining);
         if (!counter.pacer.isPaced()) {
             bucket.discard();
         }
-        if (!request.isAwaitingCounter()) { // answered late, decided by the leaky bucket meanwhile
+        // The request was decided by the leaky bucket before this late answer, or its client has left.
+        if (!request.isAwaitingCounter()) {
             if (!request.isAdmitted()) {
-                giveBack(call.name, request.chargedUnits());
+                returnUnits(call.name, request.chargedUnits());
             }
-            credit.read(remaining + (request.isAdmitted() ? 0 : request.chargedUnits()));
+            credit.recordReading(remaining + (request.isAdmitted() ? 0 : request.chargedUnits()));
         } else if (remaining >= 0) {
-            credit.read(remaining);
-            tellPeers();
+            credit.recordReading(remaining);
+            gossipToPeers();
             request.admit();
         } else {
-            // What buckets admitted beyond the quota took nothing from its store: no debt for later requests.
+            // Units that buckets admitted beyond the quota took nothing from the customer's credit, so later requests
+            // do not owe them.
             double charged = request.chargedUnits();
             double debt = Math.max(0, Math.min(call.units - charged, -remaining - charged));
-            credit.read(remaining + charged + debt);
-            add(call.name, -charged - debt, null, 0, 0);
-            tellPeers();
+            credit.recordReading(remaining + charged + debt);
+            addToCounter(call.name, -charged - debt, null, 0, 0);
+            gossipToPeers();
             request.reject(retryAfterUs(credit.refillWaitUs(request.units()), request.units()));
         }
-        while (!waiting.isEmpty() && !mustAwaitVerdict(waiting.peek())) {
-            waiting.poll().retryAdmission();
+        while (!waitingRequests.isEmpty() && !mustAwaitVerdict(waitingRequests.peek())) {
+            waitingRequests.poll().retryAdmission();
         }
     }
 
-    /** Two gateways may have trimmed the same excess: the one whose add came second takes it back. Returns how much. */
-    private double undoneExcess(CounterCall call, double remaining) {
-        if (call.excess >= 2 && call.remainingAfter - remaining >= REPEATED_EXCESS * call.excess) {
-            giveBack(call.name, call.excess);
-            return call.excess;
+    /**
+     * Takes back a trim that another gateway has made too; the gateway whose call came second does so. Returns the
+     * units taken back.
+     */
+    private double undoRepeatedTrim(CounterCall call, double remaining) {
+        if (call.excessUnits >= 2 && call.expectedRemaining - remaining >= REPEATED_TRIM_FRACTION * call.excessUnits) {
+            returnUnits(call.name, call.excessUnits);
+            return call.excessUnits;
         }
         return 0;
     }
 
     /**
-     * Units above the burst are trimmed by an add. The call that made the name (it reads its own units alone) restores
-     * what this gateway remembers as spent: after a flush, an empty return, an epoch's turn. Returns how much was trimmed.
+     * Trims the units above the burst by adding them to the count. The call that created the name, which reads only its
+     * own units, restores the units that this gateway remembers as spent: after the counter lost its data, after the
+     * return of a customer whose name had expired, and at the start of an epoch. Returns the units trimmed.
      */
-    private double trimmedExcess(CounterCall call, double total, double remaining) {
-        boolean isMaker = Math.abs(total - call.units) < OWN_UNITS_NOISE;
-        double before = isMaker ? credit.remembered() : credit.capacity();
-        double excess = remaining + call.units - before;
-        boolean isLarge = excess > (isMaker ? 0.5 : Math.max(1, plan.burst() * LAZY_EXCESS));
-        if (isLarge && (isMaker || !awaitsMaker(total < excess))) {
-            add(call.name, excess, null, excess, remaining - excess);
-            return excess;
+    private double trimExcess(CounterCall call, double total, double remaining) {
+        boolean isCreator = Math.abs(total - call.units) < OWN_UNITS_TOLERANCE;
+        double remainingBefore = isCreator ? credit.rememberedUnits() : credit.maxUnits();
+        double excessUnits = remaining + call.units - remainingBefore;
+        boolean isLarge = excessUnits > (isCreator ? 0.5 : Math.max(1, plan.burst() * UNTRIMMED_BURST_FRACTION));
+        if (isLarge && (isCreator || !awaitsCreator(total < excessUnits))) {
+            addToCounter(call.name, excessUnits, null, excessUnits, remaining - excessUnits);
+            return excessUnits;
         }
         return 0;
     }
 
     /**
-     * Guards against the excess of a new name (all that its epoch's age gives) trimmed by each gateway that reads it
-     * before its maker's add: a debt of minutes. Only if it stands is it another's to trim.
+     * Returns true if the excess of a new name, which is everything that the age of its epoch gives, should be left to
+     * the gateway that created the name. Without this, each gateway that reads the name before its creator has trimmed
+     * it would trim the excess too, a debt of minutes. Another gateway trims the excess only if it persists.
      */
-    private boolean awaitsMaker(boolean isNew) {
+    private boolean awaitsCreator(boolean isNew) {
         if (!isNew) {
-            makerUntilUs = PolicyContext.NEVER;
-        } else if (makerUntilUs == PolicyContext.NEVER) { // a call and an add: the counter's limit each; then in turn
-            makerUntilUs = context.nowUs() + (long) (settings.counterTimeoutUs() * (2 + 4 * context.nextRandom()));
+            awaitCreatorUntilUs = PolicyContext.DISTANT_PAST_US;
+        } else if (awaitCreatorUntilUs == PolicyContext.DISTANT_PAST_US) {
+            // Waits the counter's time limit once for the creator's call and once for its trim, then a random time so
+            // that gateways act one after another.
+            awaitCreatorUntilUs =
+                    context.nowUs() + (long) (settings.counterTimeoutUs() * (2 + 4 * context.nextRandom()));
         }
-        return isNew && context.nowUs() < makerUntilUs;
+        return isNew && context.nowUs() < awaitCreatorUntilUs;
     }
 
-    /** A call failed. One that was rejected was not added, nor was one that an outage took; a busy counter adds late. */
-    void failed(CounterCall call, Outcome outcome, boolean isAnswer) {
-        silent(call);
+    /**
+     * Handles a failed call. A call that was rejected or lost to an outage was not added to the count; a counter that
+     * is only busy adds it late.
+     *
+     * @param isAnswer whether the failure shows that the counter has handled the call
+     */
+    void callFailed(CounterCall call, Outcome outcome, boolean isAnswer) {
+        callTimedOut(call);
         boolean added =
                 isAnswer || (outcome == Outcome.TIMED_OUT && counter.responseTimes.hasAnsweredSince(call.sentAtUs));
-        owedUnits += added ? 0 : call.units - call.excess; // whoever reads the name next sees the excess
+        // The excess is not owed: the next gateway that reads the name sees it.
+        owedUnits += added ? 0 : call.units - call.excessUnits;
         owedUnits -= call.request != null && !call.request.isAdmitted() ? call.request.chargedUnits() : 0;
     }
 
-    /** No answer within the time-out: the bucket decides for the request, and for those that wait. */
-    private void silent(CounterCall call) {
+    /** Handles a call without an answer within its time-out: the bucket decides the request and those that wait. */
+    private void callTimedOut(CounterCall call) {
         if (call.settled) {
             return;
         }
@@ -289,40 +340,42 @@
         if (call.request != null && call.request.isAwaitingCounter()) {
             decideLocally(call.request);
         }
-        while (!waiting.isEmpty()) {
-            decideLocally(waiting.poll());
+        while (!waitingRequests.isEmpty()) {
+            decideLocally(waitingRequests.poll());
         }
     }
 
     /**
-     * After an outage each gateway owes the count only what its leaky bucket still lacks: the rest is refilled, and
-     * whoever reads the count first trims it to a full burst. All of it would be a debt.
+     * Reduces the units owed after an outage to those that this gateway's leaky bucket still lacks. The rest has
+     * refilled during the outage, and the first gateway that reads the count trims it to a full burst; adding all units
+     * owed would leave a debt.
      */
     void forgetRefilledDebt() {
         if (bucket.exists() && owedUnits > 0) {
-            owedUnits = Math.min(owedUnits, bucket.lacking());
+            owedUnits = Math.min(owedUnits, bucket.missingUnits());
         }
     }
 
-    // ---- Readings between gateways ----
+    // ---- Gossip between gateways ----
 
-    /** Takes a peer's reading as an upper bound of what remains. */
-    void limitTo(PeerReading reading) {
-        credit.limitTo(reading);
+    /** Applies a peer's reading as an upper bound of the remaining units. */
+    void applyUpperBound(PeerReading reading) {
+        credit.applyUpperBound(reading);
     }
 
     /**
-     * Guards the counter, while it is crowded, against customers at the end of their quota: one reading that leaves no
-     * room for a request serves all of the customer's gateways.
+     * Sends the last reading to the customer's other gateways if it leaves no room for a request and calls are limited.
+     * This protects an overloaded counter against customers at the end of their quota: one reading serves all of the
+     * customer's gateways.
      */
-    private void tellPeers() {
-        if (!counter.pacer.isPaced() || !settings.gossipAllowed() || credit.unitsAsRead() >= 1) {
+    private void gossipToPeers() {
+        if (!counter.pacer.isPaced() || !settings.gossipAllowed() || credit.unitsWithoutRefill() >= 1) {
             return;
         }
         for (int i = 0; i < gateways; i++) {
             int gateway = (firstGateway + i) % settings.gatewayCount();
             if (gateway != settings.ordinal()) {
-                context.host().sendToPeer(gateway, new CreditGossip(customer, credit.unitsAsRead()).encode());
+                context.host().sendToPeer(gateway, new CreditGossip(customer, credit.unitsWithoutRefill()).encode());
             }
         }
     }
--- a/src/main/java/hopdrum/policy/quota/FallbackBucket.java
+++ b/src/main/java/hopdrum/policy/quota/FallbackBucket.java
@@ -6,15 +6,18 @@
 import hopdrum.policy.context.PolicyContext;
 
 /**
- * The leaky bucket of one customer at this gateway, with this gateway's share of its rate and burst: decides while the
- * counter is silent or calls are scarce. Starts from what is known of the customer, and is discarded once the counter
- * answers.
+ * The leaky bucket of one customer at this gateway, with this gateway's share of the customer's rate and burst. It
+ * decides while the counter is silent or calls are scarce. The bucket starts from what is known of the customer and is
+ * discarded once the counter answers.
  */
 final class FallbackBucket {
-    private static final double FULL_AT_START = 0.75; // buckets that a gateway just started takes as full
-    private static final double MOST_BURSTS_AT_ONCE = 6; // that all of a customer's gateways may hold at the start
-    private static final double MOST_UNUSED = 0.6; // of the rate, by even shares where gateways are many
-    private static final double MOST_WAIT_US = 1e12;
+    // The probability that a bucket starts full at a gateway that has just started.
+    private static final double INITIAL_FULL_PROBABILITY = 0.75;
+    // The most bursts that the buckets of all of a customer's gateways may hold together at the start.
+    private static final double MAX_INITIAL_BURSTS = 6;
+    // The most of the rate that even shares leave unused where gateways are many.
+    private static final double MAX_UNUSED_FRACTION = 0.6;
+    private static final double MAX_WAIT_US = 1e12;
 
     private final PolicyContext context;
     private final Settings settings;
@@ -23,7 +26,8 @@
     private final Plan plan;
     private final int firstGateway;
     private final int gateways;
-    private double level = -1; // below 0: none
+    // The units held; below 0 if there is no bucket.
+    private double level = -1;
     private long levelAtUs;
 
     FallbackBucket(
@@ -54,8 +58,10 @@
         level = -1;
     }
 
-    /** This gateway's part of what is split: in a fleet as settled, and nothing where that may not be acted on. */
-    private double share() {
+    /**
+     * Returns this gateway's fraction of the quota; in a fleet by the agreed views, and 0 where the lease has ended.
+     */
+    private double shareFraction() {
         QuotaLease lease = context.host().quotaLease();
         if (lease == null) {
             return 1.0 / gateways;
@@ -65,47 +71,54 @@
                 : 0;
     }
 
-    /** One request at least: a smaller share would admit none. */
+    /** Returns the capacity, at least one request: a smaller share would admit none. */
     private double capacityFor(double units) {
-        double share = share();
+        double share = shareFraction();
         return share > 0 ? Math.max(units, plan.burst() * share) : 0;
     }
 
-    /** Its share of the rate, and of what the more gateways with less of the traffic leave unused. */
-    private double rate() {
-        double unused = context.host().quotaLease() != null ? 0 : MOST_UNUSED; // halves of a split keep the rate
+    /**
+     * Returns the refill rate in units per second: this gateway's share of the rate, plus a part of what other gateways
+     * leave unused if gateways are many and some have little traffic.
+     */
+    private double refillRate() {
+        // Without a surplus in a fleet, the two sides of a network partition together keep to the rate.
+        double unused = context.host().quotaLease() != null ? 0 : MAX_UNUSED_FRACTION;
         double gain = 1 + unused * Math.max(0, 1 - 4.0 / gateways);
-        double most = plan.ceilingRate() > 0 ? plan.ceilingRate() / plan.rate() - 1 : gain;
-        return Math.min(gain, most) * plan.rate() * share();
+        double maxGain = plan.ceilingRate() > 0 ? plan.ceilingRate() / plan.rate() - 1 : gain;
+        return Math.min(gain, maxGain) * plan.rate() * shareFraction();
     }
 
-    /** What it holds now, for a request of so many units; makes it if there is none. */
+    /** Returns the units held now, for a request of the given units; creates the bucket if there is none. */
     double levelFor(double units) {
         double capacity = capacityFor(units);
         if (level < 0) {
             level = capacity * initialFraction();
             levelAtUs = context.nowUs();
         }
-        return Math.min(capacity, level + rate() * (context.nowUs() - levelAtUs) / 1e6);
+        return Math.min(capacity, level + refillRate() * (context.nowUs() - levelAtUs) / 1e6);
     }
 
-    /** Full as the credit known, or full in a part of the cases; in fewer where no peer's reading would be told. */
+    /**
+     * Returns the initial level as a fraction of the capacity: the known credit, or else full with a probability, which
+     * is lower where no peer's reading would arrive.
+     */
     private double initialFraction() {
         double refilled = plan.rate() * (context.nowUs() - counter.startedAtUs) / 1e6 / plan.burst();
         if (credit.isKnown()) {
-            return Math.max(0, Math.min(1, credit.remaining() / plan.burst()));
+            return Math.max(0, Math.min(1, credit.remainingUnits() / plan.burst()));
         }
         if (context.host().quotaLease() != null) {
-            return Math.min(credit.capacity() / plan.burst(), refilled);
+            return Math.min(credit.maxUnits() / plan.burst(), refilled);
         }
-        boolean readingsAreTold = settings.gossipAllowed() && counter.isAnswering();
-        double part = readingsAreTold ? 1 : Math.min(1, MOST_BURSTS_AT_ONCE * plan.burst() / gateways);
-        double full = Math.max(FULL_AT_START, refilled) * part;
-        return context.nextRandom() < full ? 1 : 0;
+        boolean readingsAreGossiped = settings.gossipAllowed() && counter.isAnswering();
+        double fullFraction = readingsAreGossiped ? 1 : Math.min(1, MAX_INITIAL_BURSTS * plan.burst() / gateways);
+        double fullProbability = Math.max(INITIAL_FULL_PROBABILITY, refilled) * fullFraction;
+        return context.nextRandom() < fullProbability ? 1 : 0;
     }
 
-    /** Takes the units of a request, if it holds them. */
-    boolean take(double units) {
+    /** Takes the units of a request; returns false if the bucket does not hold them. */
+    boolean takeUnits(double units) {
         level = levelFor(units);
         levelAtUs = context.nowUs();
         if (level < units) {
@@ -115,13 +128,16 @@
         return true;
     }
 
-    /** How long until it holds so many units, in microseconds; to be asked after {@code take} has failed. */
+    /** Returns the microseconds until the bucket holds the given units; called after {@link #takeUnits} has failed. */
     long waitUs(double units) {
-        return (long) Math.min(MOST_WAIT_US, (units - level) / rate() * 1e6);
+        return (long) Math.min(MAX_WAIT_US, (units - level) / refillRate() * 1e6);
     }
 
-    /** What it lacks to be full: all that may still be owed after an outage, since the rest has refilled. */
-    double lacking() {
+    /**
+     * Returns the units that the bucket lacks to be full. Only these may still be owed after an outage, since the rest
+     * has refilled.
+     */
+    double missingUnits() {
         return Math.max(0, capacityFor(0) - levelFor(0));
     }
 }
--- a/src/main/java/hopdrum/policy/quota/PeerReading.java
+++ b/src/main/java/hopdrum/policy/quota/PeerReading.java
@@ -1,4 +1,9 @@
 package hopdrum.policy.quota;
 
-/** What another gateway has read of a customer's count: the units that remain, and when this gateway was told. */
+/**
+ * Another gateway's reading of a customer's count.
+ *
+ * @param remainingUnits the units that remain
+ * @param atUs when this gateway received the reading, in microseconds
+ */
 record PeerReading(double remainingUnits, long atUs) {}
--- a/src/main/java/hopdrum/policy/quota/QuotaRequest.java
+++ b/src/main/java/hopdrum/policy/quota/QuotaRequest.java
@@ -1,28 +1,32 @@
 package hopdrum.policy.quota;
 
-/** A request as its customer's quota sees it: asks for units, and is told the verdict. */
+/** The view of a request that its customer's quota has: the request needs units and receives a verdict. */
 public interface QuotaRequest {
-    /** The units that it asks for. */
+    /** Returns the units that the request needs. */
     double units();
 
-    /** The units that were charged for it; they go back if it never runs. */
+    /** Returns the units charged for the request; they are returned if the request never runs. */
     double chargedUnits();
 
-    /** Sets the units charged for it. */
+    /** Sets the units charged for the request. */
     void setChargedUnits(double units);
 
-    /** True while its own call on the counter is out. */
+    /** Returns true while the request waits for its own call on the counter. */
     boolean isAwaitingCounter();
 
-    /** True once it was admitted, also after its end. */
+    /** Returns true once the request was admitted, also after its end. */
     boolean isAdmitted();
 
-    /** The verdict: it has its units and goes on. */
+    /** Admits the request, which has its units. */
     void admit();
 
-    /** The verdict: it is beyond quota, and its client may come back after so many microseconds. */
+    /**
+     * Rejects the request, which is beyond its customer's quota.
+     *
+     * @param retryAfterUs microseconds after which the client should retry
+     */
     void reject(long retryAfterUs);
 
-    /** No verdict yet: its admission is to be tried again, now that a call it waited for is answered. */
+    /** Retries the admission of the request, since a call that it waited for was answered without a verdict on it. */
     void retryAdmission();
 }
--- a/src/main/java/hopdrum/policy/quota/QuotaTable.java
+++ b/src/main/java/hopdrum/policy/quota/QuotaTable.java
@@ -6,45 +6,59 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The quotas of all customers that this gateway serves of late, and the way of the counter's answers to them. */
+/** The quotas of all customers that this gateway has recently served; routes the counter's answers to them. */
 public final class QuotaTable {
-    private static final long PEER_READING_KEPT_US = 2_000_000;
+    private static final long PEER_READING_RETENTION_US = 2_000_000;
 
     private final PolicyContext context;
     private final CounterService counter;
-    private final Map<Long, CustomerQuota> customers = new LinkedHashMap<>(); // emptied by sweep() when idle
-    private final Map<Long, PeerReading> peerReadings = new LinkedHashMap<>(); // of customers not seen here; by sweep()
+    // An idle customer is removed by sweep().
+    private final Map<Long, CustomerQuota> customers = new LinkedHashMap<>();
+    // Readings of customers that are not served here yet; an old one is removed by sweep().
+    private final Map<Long, PeerReading> peerReadings = new LinkedHashMap<>();
 
-    /** A table without customers. */
+    /** Creates a table without customers. */
     public QuotaTable(PolicyContext context) {
         this.context = context;
         this.counter = new CounterService(context);
     }
 
-    /** The quota of a customer; kept from its first request on. Its gateways are so many in a row from the first. */
-    public CustomerQuota customer(long key, int plan, int firstGateway, int gateways) {
+    /**
+     * Returns the quota of a customer, created at the customer's first request.
+     *
+     * @param key the customer's key
+     * @param plan the index of the customer's plan in the settings
+     * @param firstGateway the number of the first gateway that serves this customer
+     * @param gateways the number of consecutive gateways that serve this customer
+     */
+    public CustomerQuota quotaOf(long key, int plan, int firstGateway, int gateways) {
         CustomerQuota customer = customers.computeIfAbsent(
                 key,
                 k -> new CustomerQuota(
                         context, counter, k, context.settings().plans().get(plan), firstGateway, gateways));
         PeerReading reading = peerReadings.remove(key);
         if (reading != null) {
-            customer.limitTo(reading);
+            customer.applyUpperBound(reading);
         }
         return customer;
     }
 
-    /** True while calls are paced and there is none to spare. */
+    /** Returns true while calls are limited and none can be spared. */
     public boolean areCallsScarce() {
         return counter.pacer.callsAreScarce();
     }
 
-    /** True if a call may be made now. */
+    /** Returns true if a call may be made now. */
     public boolean mayCallCounter() {
         return counter.pacer.mayCall();
     }
 
-    /** A call on the counter has ended; true if it was one of this gateway's. */
+    /**
+     * Handles the end of a call on the counter; returns true if the call was made by a customer in this table.
+     *
+     * @param total the total of the name after the call, if the outcome is OK
+     * @param tookUs the duration of the call in microseconds
+     */
     public boolean counterAnswered(long name, Outcome outcome, double total, long tookUs) {
         CustomerQuota customer = customers.get(CounterName.customerOf(name));
         CounterCall call = customer == null ? null : customer.takeCall(name);
@@ -53,24 +67,28 @@
         }
         if (outcome == Outcome.OK) {
             call.settled = true;
-            if (counter.responseTimes.silentForUs() > CounterResponseTimes.OUTAGE_US) {
+            if (counter.responseTimes.timeSinceLastAnswerUs() > CounterResponseTimes.OUTAGE_US) {
                 customers.values().forEach(CustomerQuota::forgetRefilledDebt);
             }
-            counter.responseTimes.answered(tookUs);
-            counter.pacer.answered(tookUs);
-            customer.answered(call, total);
+            counter.responseTimes.recordAnswer(tookUs);
+            counter.pacer.callAnswered(tookUs);
+            customer.callAnswered(call, total);
         } else {
             boolean isAnswer = outcome == Outcome.UNREADABLE || outcome == Outcome.RESET;
             boolean isBrokenConnection = outcome == Outcome.CONNECT_FAILED && counter.isAnswering();
-            if (!isAnswer && !isBrokenConnection) { // neither shows that the counter is crowded
-                counter.pacer.lost();
+            // Neither outcome shows that the counter is overloaded.
+            if (!isAnswer && !isBrokenConnection) {
+                counter.pacer.callLost();
             }
-            customer.failed(call, outcome, isAnswer);
+            customer.callFailed(call, outcome, isAnswer);
         }
         return true;
     }
 
-    /** Another gateway's reading; what is no reading, or leaves room for a request, is dropped. */
+    /**
+     * Handles a message with another gateway's reading; a malformed one, or one that leaves room for a request, is
+     * dropped.
+     */
     public void gossipReceived(byte[] message) {
         CreditGossip gossip = CreditGossip.decode(message);
         if (gossip == null || gossip.remainingUnits() >= 1) {
@@ -81,14 +99,14 @@
         if (customer == null) {
             peerReadings.put(gossip.customer(), reading);
         } else {
-            customer.limitTo(reading);
+            customer.applyUpperBound(reading);
         }
     }
 
-    /** Drops customers that are idle and peers' readings that are old. */
+    /** Removes idle customers and old readings of peers. */
     public void sweep() {
         long nowUs = context.nowUs();
-        peerReadings.values().removeIf(reading -> nowUs > reading.atUs() + PEER_READING_KEPT_US);
+        peerReadings.values().removeIf(reading -> nowUs > reading.atUs() + PEER_READING_RETENTION_US);
         customers.values().removeIf(CustomerQuota::isIdle);
     }
 }
--- a/src/main/java/hopdrum/policy/quota/package-info.java
+++ b/src/main/java/hopdrum/policy/quota/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The quota of customers: admission by one count for each customer on the counter service, the pace of calls to it, and
- * the split leaky bucket that decides while it is silent or crowded. Knows nothing of backends.
+ * Customer quotas: admission by one count per customer on the counter service, the rate limit on calls to the counter,
+ * and the leaky buckets, split between gateways, that decide while the counter is silent or overloaded. Independent of
+ * backends.
  */
 package hopdrum.policy.quota;
