--- a/src/main/java/hopdrum/FleetServer.java
+++ b/src/main/java/hopdrum/FleetServer.java
@@ -12,40 +12,43 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** A front door as one of a fleet. A plain serve loads nothing of this. */
+/**
+ * Runs a front door as a member of a fleet. {@code serve} without a fleet file loads no class that is used only here.
+ */
 final class FleetServer {
     private FleetServer() {}
 
-    /** Runs until SIGTERM; returns the process's exit code. */
+    /** Runs the front door until SIGTERM; returns the exit code of the process. */
     static int serve(String configFile, String fleetFile) {
         FleetFile file;
         AgreementTerms terms;
-        long termsMs;
+        long termsModifiedAtMs;
         try {
             file = FleetFile.read(Path.of(fleetFile));
-            termsMs = file.terms() == null ? 0 : file.terms().toFile().lastModified(); // before it is read
+            // The modification time is taken before the file is read, so that a later change is noticed.
+            termsModifiedAtMs = file.terms() == null ? 0 : file.terms().toFile().lastModified();
             terms = file.terms() == null ? AgreementTerms.NONE : TermsFile.read(file.terms());
         } catch (InvalidFileException | IllegalArgumentException e) {
-            System.err.println("hopdrum serve: the fleet's file cannot be used\n" + e.getMessage());
+            System.err.println("hopdrum serve: the fleet file cannot be used\n" + e.getMessage());
             return 1;
         }
         return Server.serve(configFile, (config, loop) -> {
             Fleet fleet = Fleet.start(
-                    file, terms, termsMs, config.settings().ordinal(), config.seed(), loop.monotonicOffsetUs());
+                    file, terms, termsModifiedAtMs, config.settings().ordinal(), config.seed(), loop.monotonicOffsetUs());
             fleet.setBackendZones(config.zones());
             return new FleetCompanion(fleet, loop);
         });
     }
 
-    /** The fleet's runtime, which follows the lifecycle of its front door. */
+    /** The fleet's runtime, which follows the life cycle of its front door. */
     private record FleetCompanion(Fleet fleet, EventLoop loop) implements Companion {
         @Override
-        public void frontDoorStarted(FrontDoor door) {
-            door.setFleetSuppliers(fleet, fleet::zoneLatencies);
+        public void frontDoorStarted(FrontDoor frontDoor) {
+            frontDoor.setFleetSuppliers(fleet, fleet::zoneLatencies);
             if (fleet.sharesCustomers()) {
-                door.setShardOwnershipSupplier(fleet::shards);
+                frontDoor.setShardOwnershipSupplier(fleet::shards);
                 fleet.setPartnerEndpointListener(
-                        (tier, there) -> loop.execute(() -> door.updatePartnerEndpoints(tier, there)));
+                        (tier, endpoints) -> loop.execute(() -> frontDoor.updatePartnerEndpoints(tier, endpoints)));
             }
         }
 
--- a/src/main/java/hopdrum/Main.java
+++ b/src/main/java/hopdrum/Main.java
@@ -7,13 +7,13 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** The command line. */
+/** The entry point of the program, which runs the commands of the command line. */
 public final class Main {
     private static final String USAGE = """
             usage: hopdrum serve       (a front door on sockets, as LB_CONFIG describes)
-                   hopdrum serve --fleet FILE   (the same as one of a fleet, as FILE describes)
-                   hopdrum train       (start and end among nobody; the build makes its class archive so)
-                   hopdrum benchlink   (decide on the bench's wire, standard input to output)""";
+                   hopdrum serve --fleet FILE   (a front door as a member of the fleet that FILE describes)
+                   hopdrum train       (start and stop without traffic; the build records its class archive this way)
+                   hopdrum benchlink   (make decisions for the bench, by its protocol on standard input and output)""";
     private static final int FAILURE = 1;
     private static final int WRONG_ARGUMENTS = 2;
 
@@ -27,7 +27,8 @@
      */
     public static void main(String[] args) {
         int exitCode = run(args);
-        // Leaving main() ends the process by itself, and after SIGTERM an exit from here would wait for its own hook.
+        // Returning from main() ends the process. After SIGTERM the shutdown hook waits for this thread, so a call of
+        // System.exit() here, which waits for the hook, would never return.
         if (exitCode != 0) {
             System.exit(exitCode);
         }
--- a/src/main/java/hopdrum/benchlink/ActionType.java
+++ b/src/main/java/hopdrum/benchlink/ActionType.java
@@ -1,6 +1,8 @@
 package hopdrum.benchlink;
 
-/** The actions that a gateway writes, with their codes on the wire and the sizes of their records in bytes. */
+/**
+ * The actions that a gateway writes, with their codes in the bench's protocol and the sizes of their records in bytes.
+ */
 enum ActionType {
     START_ATTEMPT(80, 17),
     REJECT(81, 13),
@@ -13,7 +15,7 @@
     ADD_TO_COUNTER(92, 21);
 
     final byte code;
-    /** Code, instance number and fields, without the content of a field of variable length. */
+    /** The size of the code, the instance number and the fields, without the content of a field of variable length. */
     final int size;
 
     ActionType(int code, int size) {
--- a/src/main/java/hopdrum/benchlink/BenchLink.java
+++ b/src/main/java/hopdrum/benchlink/BenchLink.java
@@ -11,10 +11,11 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads the bench's batches, hands each event to its instance, and writes one reply per batch. */
+/** Reads batches of events from the bench, passes each event to its instance, and writes one reply per batch. */
 public final class BenchLink {
     private static final int LENGTH_BYTES = 4;
-    private static final int MIN_FRAME_BYTES = 16; // the header alone
+    // A frame that consists of the header only.
+    private static final int MIN_FRAME_BYTES = 16;
     private static final int MAX_FRAME_BYTES = 1 << 30;
 
     private final DataInputStream in;
@@ -23,10 +24,10 @@
     private final Map<Integer, GatewayInstance> instances = new HashMap<>();
 
     /**
-     * A link on two streams, which it does not close.
+     * Creates a link on two streams, which it does not close.
      *
-     * @param in the bench's frames
-     * @param out where replies are written; flushed after each
+     * @param in the frames of the bench
+     * @param out the stream for the replies; flushed after each reply
      */
     public BenchLink(InputStream in, OutputStream out) {
         this.in = new DataInputStream(in);
@@ -36,8 +37,8 @@
     /**
      * Handles batches until the input ends between two frames.
      *
-     * @throws IOException if a stream fails or a frame is malformed; the message names the frame, and the record and its
-     *     byte position where there is one
+     * @throws IOException if a stream fails or a frame is malformed; for a malformed frame the message names the frame
+     *     and, if there is one, the record and its byte position
      */
     public void run() throws IOException {
         for (long frame = 0; ; frame++) {
@@ -70,7 +71,7 @@
         }
     }
 
-    /** The next frame after its length, or null at the end of input. */
+    /** Reads the next frame and returns its content after the length; null at the end of the input. */
     private ByteBuffer readFrame(long frame) throws IOException {
         byte[] length = in.readNBytes(LENGTH_BYTES);
         if (length.length == 0) {
@@ -81,7 +82,7 @@
         }
         int size = ByteBuffer.wrap(length).order(ByteOrder.LITTLE_ENDIAN).getInt();
         if (size < MIN_FRAME_BYTES || size > MAX_FRAME_BYTES) {
-            throw new IOException("frame " + frame + ": a length of " + (size & 0xffffffffL) + " is not possible");
+            throw new IOException("frame " + frame + ": invalid length " + (size & 0xffffffffL) + " bytes");
         }
         byte[] body = in.readNBytes(size - LENGTH_BYTES);
         if (body.length < size - LENGTH_BYTES) {
@@ -101,7 +102,8 @@
         if (event == EventType.INSTANCE_ATTACHED) {
             instances.put(number, new GatewayInstance(number, writer));
         }
-        // An event for an instance that is not attached is read to its end by one that decides nothing.
+        // An event for an instance that is not attached is parsed to its end by a new instance without a policy, which
+        // ignores it.
         GatewayInstance instance = instances.get(number);
         (instance == null ? new GatewayInstance(number, writer) : instance).handle(event, batch, nowUs);
     }
--- a/src/main/java/hopdrum/benchlink/EventType.java
+++ b/src/main/java/hopdrum/benchlink/EventType.java
@@ -1,6 +1,6 @@
 package hopdrum.benchlink;
 
-/** The events that the bench sends, in the order of their codes on the wire, which leave no gap. */
+/** The events that the bench sends, in the order of their codes in its protocol, which are consecutive. */
 enum EventType {
     REQUEST_RECEIVED,
     INSTANCE_STOPPED,
@@ -17,7 +17,11 @@
     private static final int FIRST_CODE = 16;
     private static final EventType[] BY_CODE = values();
 
-    /** The event of a code, 0 to 255. */
+    /**
+     * Returns the event of a code from 0 to 255.
+     *
+     * @throws MalformedRecordException if no event has this code
+     */
     static EventType of(int code) throws MalformedRecordException {
         int index = code - FIRST_CODE;
         if (index < 0 || index >= BY_CODE.length) {
--- a/src/main/java/hopdrum/benchlink/GatewayInstance.java
+++ b/src/main/java/hopdrum/benchlink/GatewayInstance.java
@@ -14,15 +14,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** One gateway of the bench: turns its events into calls on its Policy, and the Policy's calls into action records. */
+/**
+ * One gateway of the bench: translates events into calls on its {@link Policy}, and the policy's calls into action
+ * records.
+ */
 final class GatewayInstance implements Host {
     private static final float[] NO_REPORT = {};
     private static final int MAX_FAULT_BYTES = 0xffff;
 
     private final int number;
     private final RecordWriter writer;
-    private final Map<Long, Request> openRpcs = new HashMap<>(); // by request id; removed once the RPC is over
-    private Policy policy; // null before the instance is attached, and after a fault
+    // By request id; a request is removed once it is finished.
+    private final Map<Long, Request> openRequests = new HashMap<>();
+    // Null before the instance is attached and after a fault.
+    private Policy policy;
     private long nowUs;
 
     GatewayInstance(int number, RecordWriter writer) {
@@ -31,11 +36,12 @@
     }
 
     /**
-     * Handles one event. A fault of this program's own ends the instance and is reported on the wire.
+     * Handles one event. An exception in this program ends the instance and is reported to the bench.
      *
-     * @param in at the field after the instance's number; read to the end of the record
-     * @param clockUs the batch's time
+     * @param in the record, at the field after the instance's number; read to the end of the record
+     * @param clockUs the time of the batch in microseconds
      * @throws BufferUnderflowException if the record runs past the frame's end
+     * @throws MalformedRecordException if a field has a value that the protocol does not allow
      */
     void handle(EventType event, ByteBuffer in, long clockUs) throws MalformedRecordException {
         nowUs = clockUs;
@@ -51,7 +57,8 @@
                 case GOSSIP_RECEIVED -> gossipReceived(in);
                 case INSTANCE_ATTACHED -> attach(in);
                 case STREAM_STARTED -> streamStarted(in);
-                case INSTANCE_STOPPED -> throw new IllegalArgumentException("a stop is the link's to handle");
+                case INSTANCE_STOPPED ->
+                    throw new IllegalArgumentException("INSTANCE_STOPPED must be handled by BenchLink");
             }
         } catch (BufferUnderflowException e) {
             throw e;
@@ -82,17 +89,20 @@
         double units = in.getFloat();
         int method = in.getShort() & 0xffff;
         int plan = in.getShort() & 0xffff;
-        in.get(); // flags: a client's repeat, a write
+        // Flags for a client's retry and for a write; not used.
+        in.get();
         int gateways = (int) in.getFloat();
-        long leftUs = readUnsignedInt(in);
+        long remainingUs = readUnsignedInt(in);
         if (policy != null) {
-            Request rpc = policy.requestReceived(id, method, customer, plan, units, firstGateway, gateways, leftUs);
-            keepWhileOpen(id, rpc);
+            Request request =
+                    policy.requestReceived(id, method, customer, plan, units, firstGateway, gateways, remainingUs);
+            trackWhileOpen(id, request);
         }
     }
 
     private void timerDue(ByteBuffer in) {
-        in.getInt(); // the timer's key: a Policy has one wake-up only
+        // The timer's key; a policy has only one wake-up.
+        in.getInt();
         if (policy != null) {
             policy.wakeUp();
         }
@@ -110,43 +120,45 @@
 
     private void clientLeft(ByteBuffer in) {
         long id = readUnsignedInt(in);
-        Request rpc = openRpcs.get(id);
-        if (rpc != null) {
-            rpc.clientLeft();
-            keepWhileOpen(id, rpc);
+        Request request = openRequests.get(id);
+        if (request != null) {
+            request.clientLeft();
+            trackWhileOpen(id, request);
         }
     }
 
     private void attemptEnded(ByteBuffer in) throws MalformedRecordException {
         long id = readUnsignedInt(in);
         int attempt = in.getShort() & 0xffff;
-        in.getInt(); // the backend
+        in.getInt(); // backend
         Outcome outcome = readOutcome(in);
         long tookUs = readUnsignedInt(in);
-        boolean over = in.get() != 0;
-        in.getShort(); // the customer's metered usage
-        int settled = in.getShort() & 0xffff;
+        boolean clientAnswered = in.get() != 0;
+        // The customer's metered use; not used.
+        in.getShort();
+        int settledUnits = in.getShort() & 0xffff;
         float[] report = readReport(in);
-        Request rpc = openRpcs.get(id);
-        if (rpc != null) {
-            rpc.attemptEnded(attempt, outcome, tookUs, over, settled, report);
-            keepWhileOpen(id, rpc);
+        Request request = openRequests.get(id);
+        if (request != null) {
+            request.attemptEnded(attempt, outcome, tookUs, clientAnswered, settledUnits, report);
+            trackWhileOpen(id, request);
         }
     }
 
     private void streamStarted(ByteBuffer in) {
         long id = readUnsignedInt(in);
         int attempt = in.getShort() & 0xffff;
-        in.getInt(); // the backend
-        in.getInt(); // its latency
-        Request rpc = openRpcs.get(id);
-        if (rpc != null) {
-            rpc.streamStarted(attempt);
+        in.getInt(); // backend
+        in.getInt(); // latency
+        Request request = openRequests.get(id);
+        if (request != null) {
+            request.streamStarted(attempt);
         }
     }
 
     private void endpointsUpdated(ByteBuffer in) throws MalformedRecordException {
-        in.getLong(); // the list's version: lists arrive in sequence
+        // The version of the list; lists arrive in order.
+        in.getLong();
         int form = in.get();
         long count = readUnsignedInt(in);
         List<Endpoint> endpoints = new ArrayList<>();
@@ -158,7 +170,7 @@
             case 1 -> Endpoint.UpdateKind.INCREMENTAL;
             case 2 -> Endpoint.UpdateKind.CACHED;
             case 4 -> Endpoint.UpdateKind.COMPLETE;
-            default -> throw new MalformedRecordException("unknown form " + form + " of a list");
+            default -> throw new MalformedRecordException("unknown form " + form + " of an endpoint list");
         };
         if (policy != null) {
             policy.endpointsUpdated(0, kind, endpoints);
@@ -182,35 +194,39 @@
         return new Endpoint(backend, zone, kind, cell, state, weight, startedAtUs);
     }
 
-    /** A Policy asks for no health checks; the record is read to its end all the same. */
+    /** Reads the record of a health check to its end and ignores it: a policy requests no health checks. */
     private void skipHealthCheck(ByteBuffer in) throws MalformedRecordException {
         readOutcome(in);
-        in.getInt(); // the backend
-        in.getInt(); // its latency
+        in.getInt(); // backend
+        in.getInt(); // latency
         readReport(in);
     }
 
     private void gossipReceived(ByteBuffer in) {
-        in.getShort(); // the sender's number
+        // The number of the sender; not used.
+        in.getShort();
         byte[] message = readBytes(in, in.getShort() & 0xffff);
         if (policy != null) {
             policy.gossipReceived(message);
         }
     }
 
-    private void keepWhileOpen(long id, Request rpc) {
-        if (rpc.isFinished()) {
-            openRpcs.remove(id);
+    private void trackWhileOpen(long id, Request request) {
+        if (request.isFinished()) {
+            openRequests.remove(id);
         } else {
-            openRpcs.put(id, rpc);
+            openRequests.put(id, request);
         }
     }
 
-    /** An RPC answered upon a counter's reply or a timer is over at once, unless attempts are still in flight. */
-    private void removeIfOver(long id) {
-        Request rpc = openRpcs.get(id);
-        if (rpc != null && rpc.isFinished()) {
-            openRpcs.remove(id);
+    /**
+     * Removes a request that is finished. A request that is answered after a counter's reply or a timer is finished at
+     * once, unless attempts are still in flight.
+     */
+    private void removeIfFinished(long id) {
+        Request request = openRequests.get(id);
+        if (request != null && request.isFinished()) {
+            openRequests.remove(id);
         }
     }
 
@@ -269,28 +285,30 @@
     }
 
     @Override
-    public void startAttempt(long rpc, long backend, long timeOutUs, long beginWithinUs) {
+    public void startAttempt(long request, long backend, long timeOutUs, long beginWithinUs) {
         writer.startRecord(ActionType.START_ATTEMPT, number)
-                .putInt((int) rpc)
+                .putInt((int) request)
                 .putInt((int) timeOutUs)
                 .putInt((int) backend);
     }
 
     @Override
-    public void cancelAttempt(long rpc, int attempt) {
-        writer.startRecord(ActionType.CANCEL_ATTEMPT, number).putInt((int) rpc).putShort((short) attempt);
+    public void cancelAttempt(long request, int attempt) {
+        writer.startRecord(ActionType.CANCEL_ATTEMPT, number)
+                .putInt((int) request)
+                .putShort((short) attempt);
     }
 
     @Override
-    public void reject(long rpc, long retryAfterUs) {
-        writer.startRecord(ActionType.REJECT, number).putInt((int) rpc).putInt((int) retryAfterUs);
-        removeIfOver(rpc);
+    public void reject(long request, long retryAfterUs) {
+        writer.startRecord(ActionType.REJECT, number).putInt((int) request).putInt((int) retryAfterUs);
+        removeIfFinished(request);
     }
 
     @Override
-    public void abort(long rpc) {
-        writer.startRecord(ActionType.ABORT, number).putInt((int) rpc);
-        removeIfOver(rpc);
+    public void abort(long request) {
+        writer.startRecord(ActionType.ABORT, number).putInt((int) request);
+        removeIfFinished(request);
     }
 
     @Override
--- a/src/main/java/hopdrum/benchlink/MalformedRecordException.java
+++ b/src/main/java/hopdrum/benchlink/MalformedRecordException.java
@@ -1,6 +1,6 @@
 package hopdrum.benchlink;
 
-/** A record that the bench's protocol does not allow; the message says what is wrong with it. */
+/** Thrown for a record that the bench's protocol does not allow; the message says what is wrong with the record. */
 final class MalformedRecordException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/test/java/hopdrum/MainExitCodeTest.java
+++ b/src/test/java/hopdrum/MainExitCodeTest.java
@@ -18,9 +18,9 @@
 class MainExitCodeTest {
     private static final String USAGE = """
             usage: hopdrum serve       (a front door on sockets, as LB_CONFIG describes)
-                   hopdrum serve --fleet FILE   (the same as one of a fleet, as FILE describes)
-                   hopdrum train       (start and end among nobody; the build makes its class archive so)
-                   hopdrum benchlink   (decide on the bench's wire, standard input to output)
+                   hopdrum serve --fleet FILE   (a front door as a member of the fleet that FILE describes)
+                   hopdrum train       (start and stop without traffic; the build records its class archive this way)
+                   hopdrum benchlink   (make decisions for the bench, by its protocol on standard input and output)
             """;
 
     @TempDir
@@ -108,7 +108,7 @@
         assertThat(result.exitCode()).isEqualTo(1);
         assertThat(result.out()).isEmpty();
         List<String> lines = result.err().lines().toList();
-        assertThat(lines.get(0)).isEqualTo("hopdrum serve: the fleet's file cannot be used");
+        assertThat(lines.get(0)).isEqualTo("hopdrum serve: the fleet file cannot be used");
         assertThat(lines.subList(1, lines.size()))
                 .hasSizeGreaterThan(1)
                 .allSatisfy(line -> assertThat(line).startsWith(fleetFile + ":"));
