--- a/src/main/java/hopdrum/policy/backends/Backend.java
+++ b/src/main/java/hopdrum/policy/backends/Backend.java
@@ -148,7 +148,9 @@
         limit.attemptAnswered((double) tookUs / stats.method().softDeadlineUs(), inFlight);
     }
 
-    /** Records an answer that came too late or not at all: like a late answer, it shows that the limit is too high. */
+    /**
+     * Records an attempt whose answer is no longer awaited: like a late answer, it shows that the limit is too high.
+     */
     void attemptLate() {
         limit.attemptLate();
     }
--- a/src/main/java/hopdrum/policy/backends/BackendTier.java
+++ b/src/main/java/hopdrum/policy/backends/BackendTier.java
@@ -59,7 +59,7 @@
         gatewayLimit.resize(backendsBefore, backends.size(), settings.gatewayCount());
     }
 
-    // ---- The pick ----
+    // ---- The choice of a backend ----
 
     /** Returns true if this gateway may have another attempt in flight, over all backends. */
     public boolean hasCapacity() {
--- a/src/main/java/hopdrum/policy/quota/CustomerQuota.java
+++ b/src/main/java/hopdrum/policy/quota/CustomerQuota.java
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Returns true if this gateway's share of the burst is less than one request: then this gateway alone knows next to
-     * nothing of the customer's use.
+     * Returns true if this gateway's share of the burst is less than one request. This gateway alone then has almost no
+     * information about the customer's use.
      */
     public boolean isShareBelowOneRequest() {
         return plan.burst() < gateways;
@@ -203,7 +203,7 @@
         owedUnits += moreUnits;
     }
 
-    // ---- The counter's answers ----
+    // ---- Calls on the counter and their answers ----
 
     private CounterCall addToCounter(
             long name, double units, QuotaRequest request, double excessUnits, double expectedRemaining) {
@@ -300,9 +300,10 @@
     }
 
     /**
-     * Returns true if the excess of a new name, which is everything that the age of its epoch gives, should be left to
-     * the gateway that created the name. Without this, each gateway that reads the name before its creator has trimmed
-     * it would trim the excess too, a debt of minutes. Another gateway trims the excess only if it persists.
+     * Returns true if the excess of a new name should be left to the gateway that created the name. The excess of a new
+     * name is everything that the age of its epoch gives. Without this wait, each gateway that reads the name before
+     * its creator has trimmed the excess would trim it too, which leaves a debt of several minutes. Another gateway
+     * trims the excess only if it persists.
      */
     private boolean awaitsCreator(boolean isNew) {
         if (!isNew) {
--- a/src/test/java/hopdrum/ArchitectureTest.java
+++ b/src/test/java/hopdrum/ArchitectureTest.java
@@ -23,7 +23,7 @@
 import java.util.SplittableRandom;
 import java.util.regex.Pattern;
 
-/** The dependencies that docs/architecture.md allows, checked in the compiled classes of the product and the rig. */
+/** Checks the dependencies that docs/architecture.md allows, in the compiled classes of the product and the rig. */
 @AnalyzeClasses(packages = "hopdrum", importOptions = ArchitectureTest.ProductAndRig.class)
 class ArchitectureTest {
     private static final String POLICY = "hopdrum.policy..";
@@ -33,7 +33,10 @@
     private static final String BENCH_LINK = "hopdrum.benchlink..";
     private static final String CHECKER = "hopdrum.rig.check..";
 
-    /** The rig is compiled beside the tests; tests share the packages of what they test and are left out. */
+    /**
+     * Includes the product and the rig. The rig is compiled beside the tests; tests share the packages of what they
+     * test and are left out.
+     */
     static final class ProductAndRig implements ImportOption {
         private static final Pattern PRODUCT = Pattern.compile(".*/target/classes/.*");
         private static final Pattern RIG = Pattern.compile(".*/target/test-classes/hopdrum/rig/[a-z]+/.*");
@@ -44,7 +47,7 @@
         }
     }
 
-    // ---- The policy decides and does nothing else ----
+    // ---- The policy makes decisions only ----
 
     @ArchTest
     static void policyUsesNoInputOrOutput(JavaClasses classes) {
@@ -54,7 +57,7 @@
                 .should()
                 .dependOnClassesThat(resideInAnyPackage("java.io..", "java.net..", "javax.net..", "java.nio..")
                         .and(not(equivalentTo(ByteBuffer.class))))
-                .because("the host does all input and output for the policy");
+                .because("the host performs all input and output for the policy");
         rule.check(classes);
     }
 
@@ -68,7 +71,7 @@
                         .or(nameMatching(
                                 "java\\.lang\\.(Thread|ThreadGroup|ThreadLocal|Process|ProcessBuilder|Runtime)"))
                         .or(nameMatching("java\\.util\\.(Timer|TimerTask)")))
-                .because("the policy runs in its host's one thread");
+                .because("the policy runs on the one thread of its host");
         rule.check(classes);
     }
 
@@ -87,7 +90,7 @@
                 .orShould()
                 .dependOnClassesThat()
                 .haveNameMatching("java\\.util\\.(Date|Calendar|GregorianCalendar)")
-                .because("the host tells the policy the time, so that a simulated day is the same each time");
+                .because("the host supplies the time, so that a simulation can be repeated exactly");
         rule.check(classes);
     }
 
@@ -105,7 +108,7 @@
                 .orShould()
                 .dependOnClassesThat()
                 .haveNameMatching("java\\.util\\.Random|java\\.security\\.SecureRandom|java\\.util\\.UUID")
-                .because("the seed decides all that the policy draws");
+                .because("all random numbers of the policy come from its seed");
         rule.check(classes);
     }
 
@@ -126,7 +129,7 @@
         rule.check(classes);
     }
 
-    // ---- What may know of what ----
+    // ---- Dependencies between packages ----
 
     @ArchTest
     static void hostInterfaceDependsOnNothingElseOfHopdrum(JavaClasses classes) {
@@ -147,7 +150,7 @@
                 .dependOnClassesThat()
                 .resideInAPackage(FRONT_DOOR)
                 .because(
-                        "clients, backends, discovery and the counter are the front door's: the fleet uses no platform socket");
+                        "only the front door connects to clients, backends, discovery and the counter; the fleet uses no platform socket");
         rule.check(classes);
     }
 
@@ -179,7 +182,10 @@
         rule.check(classes);
     }
 
-    /** Each package is a slice, the command line's too, which a pattern of subpackages would leave out. */
+    /**
+     * Makes each package a slice of its own, including that of the command line, which a pattern of subpackages would
+     * leave out.
+     */
     private static final class Packages implements SliceAssignment {
         @Override
         public SliceIdentifier getIdentifierOf(JavaClass javaClass) {
@@ -194,7 +200,7 @@
         }
     }
 
-    /** Each top-level class of the policy, with its nested classes, is a slice of its own. */
+    /** Makes each top-level class of the policy, with its nested classes, a slice of its own. */
     private static final class PolicyClasses implements SliceAssignment {
         private static final DescribedPredicate<JavaClass> IN_POLICY = resideInAPackage(POLICY);
 
--- a/src/test/java/hopdrum/MainExitCodeTest.java
+++ b/src/test/java/hopdrum/MainExitCodeTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The process as a whole: what it says and its exit code where it is started wrongly. */
+/** Guards against a process that is started wrongly and ends without a message, or with the exit code of a success. */
 class MainExitCodeTest {
     private static final String USAGE = """
             usage: hopdrum serve       (a front door on sockets, as LB_CONFIG describes)
@@ -32,7 +32,7 @@
         return run(new byte[0], configFile, args);
     }
 
-    /** Runs the program until it ends; no configuration is named if the file is null. */
+    /** Runs the program until it ends; LB_CONFIG is not set if the configuration file is null. */
     private Result run(byte[] input, Path configFile, String... args) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
--- a/src/test/java/hopdrum/benchlink/BenchLinkTest.java
+++ b/src/test/java/hopdrum/benchlink/BenchLinkTest.java
@@ -9,6 +9,7 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
+/** Guards against records that are read past or short of their ends, and against malformed input without a message. */
 class BenchLinkTest {
     private static final String CLOCK = "5a5c800000000000";
 
--- a/src/test/java/hopdrum/policy/CounterPacingTest.java
+++ b/src/test/java/hopdrum/policy/CounterPacingTest.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A counter that is crowded, slow or silent: the pace of calls, and what is owed to it. */
+/**
+ * Guards against calls that overload a counter further while it is overloaded, slow or silent, and against units that
+ * are owed to it although the quota has refilled.
+ */
 class CounterPacingTest {
     private final FakeHost host = new FakeHost();
 
@@ -21,16 +24,16 @@
             host.policy.counterAnswered(host.lastCounterName(), Outcome.UNREADABLE, 0, 1_000);
         }
         assertThat(host.callsStartingWith("attempt"))
-                .as("admitted by the share of what is known")
+                .as("admitted by this gateway's share of the known credit")
                 .hasSizeGreaterThan(3);
         assertThat(host.callsStartingWith("add"))
-                .as("asked at each, and nothing owed")
+                .as("one call per request, and no units owed")
                 .hasSize(6)
                 .allMatch(a -> a.equals("add 1.0"));
     }
 
     @Test
-    void anOverloadedCounterIsCalledAtThePaceItAnswers() {
+    void anOverloadedCounterIsCalledAtTheRateAtWhichItAnswers() {
         host.start(3);
         int calls = 0;
         for (int i = 0; i < 500; i++) {
@@ -43,7 +46,7 @@
             host.advance(4_000);
         }
         assertThat(calls)
-                .as("2 s: a window at full pace, then five trials a second")
+                .as("in 2 s: a window without a rate limit, then five calls per second")
                 .isBetween(20, 80);
     }
 
@@ -60,14 +63,14 @@
             host.calls.clear();
             for (int i = 0; i < 100; i++) {
                 host.advance(10_000);
-                int asked = host.counterNames.size();
+                int callsBefore = host.counterNames.size();
                 host.policy.requestReceived(1000 + 100 * second + i, 0, 1000 + 100 * second + i, 0, 1, 0, 2, 7_500_000);
-                if (host.counterNames.size() > asked) {
+                if (host.counterNames.size() > callsBefore) {
                     host.policy.counterAnswered(host.lastCounterName(), Outcome.OK, host.totalFor(2), 1_000);
                 }
             }
             assertThat(host.callsStartingWith("add").size())
-                    .as("asked in second " + second)
+                    .as("calls in second " + second)
                     .isGreaterThan(90);
         }
     }
@@ -88,13 +91,17 @@
         assertThat(host.callsStartingWith("add")).hasSize(20);
     }
 
-    /** Calls are paced and few; returns how many requests of one customer were admitted up to its next call, with that one. */
+    /**
+     * Paces the calls down to a few. Returns how many requests of one customer were admitted up to its next call,
+     * including the request of that call.
+     */
     private int admittedWhilePaced() {
         host.gateways = 3;
         host.plan = new Plan(2, 30, 0, 0, 0, 0);
         host.start(2);
         host.receiveCounted(20);
-        for (int i = 0; i < 40; i++) { // another customer's calls are rejected but for the last: calls become few
+        // The calls of another customer are rejected except for the last, so that few calls are allowed.
+        for (int i = 0; i < 40; i++) {
             host.policy.requestReceived(100 + i, 0, 12, 0, 1, 0, 3, 7_500_000);
             host.policy.counterAnswered(host.lastCounterName(), i < 39 ? Outcome.AT_CAPACITY : Outcome.OK, 10, 1_000);
             host.advance(60_000);
@@ -105,40 +112,41 @@
             host.receive();
             admitted++;
         }
-        assertThat(admitted).as("some without a call").isGreaterThan(1);
+        assertThat(admitted).as("some requests are admitted without a call").isGreaterThan(1);
         return admitted;
     }
 
     @Test
-    void whatABucketAdmittedWhileCallsArePacedIsAddedByItsOwnCustomersNextCall() {
+    void unitsThatABucketAdmittedWhileCallsArePacedAreAddedByTheNextCallForTheSameCustomer() {
         int admitted = admittedWhilePaced();
         assertThat(host.callsStartingWith("add"))
-                .as("all of them, and no other's")
+                .as("the units of all admitted requests, and of no other customer")
                 .isEqualTo(List.of("add " + (double) admitted));
     }
 
     @Test
-    void whatBucketsAdmittedBeyondAQuotaIsNoDebtOfItsCount() {
+    void unitsThatBucketsAdmittedBeyondAQuotaAreNotOwedToTheCounter() {
         int admitted = admittedWhilePaced();
-        host.answerCounter(-admitted); // others have used all that the store held: none of these took anything from it
+        // Other gateways have used up the quota, so none of these requests took units from it.
+        host.answerCounter(-admitted);
         assertThat(host.callsStartingWith("add"))
                 .containsExactly("add " + (double) admitted, "add " + (double) -admitted);
         host.advance(600_000);
         host.calls.clear();
         host.receive();
         assertThat(host.callsStartingWith("reject"))
-                .as("a refill of 2 a second has made room")
+                .as("a refill of 2 units per second has made room")
                 .isEmpty();
     }
 
     @Test
-    void thePaceOfCallsRisesAgainWhereTheRoundTripToTheCounterIsLong() {
+    void theRateLimitOnCallsRisesAgainWhereTheRoundTripToTheCounterIsLong() {
         host.gateways = 8;
         host.start(3);
         for (int i = 0; i < 20; i++) {
             host.policy.requestReceived(i, 0, 500 + i, 0, 1, 0, 8, 7_500_000);
-            host.policy.counterAnswered(
-                    host.lastCounterName(), Outcome.AT_CAPACITY, 0, 20_000); // paced, to the least pace
+            // Lowers the rate limit to its minimum.
+            host.policy.counterAnswered(host.lastCounterName(), Outcome.AT_CAPACITY, 0, 20_000);
             host.advance(60_000);
         }
         for (int second = 0; second < 10; second++) {
@@ -147,14 +155,14 @@
                 int calls = host.counterNames.size();
                 host.policy.requestReceived(100 * second + i, 0, 1_000 + 100 * second + i, 0, 1, 0, 8, 7_500_000);
                 if (host.counterNames.size() > calls) {
-                    host.policy.counterAnswered(
-                            host.lastCounterName(), Outcome.OK, host.totalFor(3), 20_000); // as long as each takes
+                    // Each answer takes the full round trip.
+                    host.policy.counterAnswered(host.lastCounterName(), Outcome.OK, host.totalFor(3), 20_000);
                 }
                 host.advance(10_000);
             }
         }
         assertThat(host.callsStartingWith("add").size())
-                .as("asked in the last second, 7 or 8 at first")
+                .as("calls in the last second; 7 or 8 in the first")
                 .isGreaterThan(30);
     }
 
@@ -163,7 +171,8 @@
         host.start(3);
         host.advance(10_000_000);
         host.receiveCounted(4);
-        for (int i = 0; i < 20; i++) { // ten seconds without an answer, one unit admitted each second
+        // Ten seconds without an answer, in which one unit per second is admitted.
+        for (int i = 0; i < 20; i++) {
             host.receive();
             host.advance(500_000);
         }
--- a/src/test/java/hopdrum/policy/CreditGossipTest.java
+++ b/src/test/java/hopdrum/policy/CreditGossipTest.java
@@ -6,7 +6,10 @@
 import java.nio.ByteBuffer;
 import org.junit.jupiter.api.Test;
 
-/** Readings that gateways tell each other, true and false. */
+/**
+ * Guards the counter against calls for customers that another gateway has found beyond their quota, and customers
+ * against false gossip.
+ */
 class CreditGossipTest {
     private final FakeHost host = new FakeHost();
 
@@ -17,8 +20,8 @@
         host.advance(10_000_000);
         host.receiveCounted(2);
         host.receive();
-        host.policy.counterAnswered(
-                host.lastCounterName(), Outcome.AT_CAPACITY, 0, 300); // a call lost: paced from here on
+        // A lost call; calls are paced from here on.
+        host.policy.counterAnswered(host.lastCounterName(), Outcome.AT_CAPACITY, 0, 300);
         while (host.callsStartingWith("gossip").isEmpty() && host.clockUs < 200_000_000) {
             int calls = host.callsStartingWith("add").size();
             host.receive();
@@ -28,15 +31,15 @@
             host.advance(100_000);
         }
         assertThat(host.callsStartingWith("gossip"))
-                .as("of gateways 0 and 1, this being 0")
+                .as("the customer's gateways are 0 and 1, and this one is 0")
                 .containsExactly("gossip 1");
     }
 
-    private static byte[] gossip(long customer, float credit) {
+    private static byte[] gossip(long customer, float remainingUnits) {
         return ByteBuffer.allocate(9)
                 .put((byte) (customer >> 32))
                 .putInt((int) customer)
-                .putFloat(credit)
+                .putFloat(remainingUnits)
                 .array();
     }
 
@@ -53,16 +56,17 @@
                 .first()
                 .asString()
                 .endsWith(" for 1000000");
-        host.advance(1_000_000); // at 2 a second, a credit of -1 is one of 1 now
+        // At 2 units per second, a credit of -1 has become 1.
+        host.advance(1_000_000);
         host.receiveCounted(0);
         assertThat(host.callsStartingWith("add")).hasSize(1);
         assertThat(host.callsStartingWith("attempt"))
-                .as("no share holds it back any longer")
+                .as("no bucket share holds the request back any longer")
                 .hasSize(1);
     }
 
     @Test
-    void gossipOfACustomerNotSeenHereYetHoldsAtItsFirstRequest() {
+    void gossipAboutACustomerNotServedHereYetAppliesToItsFirstRequest() {
         host.gateways = 100;
         host.start(3);
         long customer = (1L << 33) - 2;
@@ -79,7 +83,7 @@
         host.policy.gossipReceived(gossip(11, Float.NEGATIVE_INFINITY));
         host.receiveWithinQuota();
         assertThat(host.callsStartingWith("attempt"))
-                .as("no number tells nothing")
+                .as("a value that is not a finite number is ignored")
                 .hasSize(1);
         host.policy.gossipReceived(gossip(11, -1e30f));
         host.advance(4_000_000);
@@ -88,7 +92,7 @@
     }
 
     @Test
-    void gossipOfMoreCreditThanIsKnownHereChangesNothing() {
+    void gossipOfMoreCreditThanIsKnownHereIsIgnored() {
         host.start(3);
         host.receiveCounted(-3);
         host.policy.gossipReceived(gossip(11, 0.9f));
--- a/src/test/java/hopdrum/policy/CustomerQuotaTest.java
+++ b/src/test/java/hopdrum/policy/CustomerQuotaTest.java
@@ -5,7 +5,10 @@
 import hopdrum.host.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of requests within a quota and beyond it. */
+/**
+ * Guards against requests that are admitted beyond a customer's quota, and against units that are charged for rejected
+ * ones.
+ */
 class CustomerQuotaTest {
     private final FakeHost host = new FakeHost().start(3);
 
@@ -29,7 +32,7 @@
         host.calls.clear();
         host.receive();
         assertThat(host.calls)
-                .as("the reading still stands: no call is needed")
+                .as("the last reading still applies: no call is needed")
                 .hasSize(1)
                 .first()
                 .asString()
@@ -61,7 +64,7 @@
             host.policy.counterAnswered(name, Outcome.OK, host.totalFor(-i), 30_000);
         }
         assertThat(host.callsStartingWith("add -1.0"))
-                .as("only what was not admitted goes back")
+                .as("only the units of requests that were not admitted are returned")
                 .isNotEmpty();
         assertThat(host.counterNames).containsOnly(name);
     }
@@ -85,7 +88,7 @@
             host.receive();
         }
         assertThat(host.callsStartingWith("add"))
-                .as("one call for the credit of 1.5, the rest wait")
+                .as("one call for the credit of 1.5; the other requests wait")
                 .hasSize(1);
         host.answerCounter(-0.5);
         assertThat(host.callsStartingWith("reject")).hasSize(5);
--- a/src/test/java/hopdrum/policy/DeadlineTest.java
+++ b/src/test/java/hopdrum/policy/DeadlineTest.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Requests that cannot meet their soft deadline, and those that no backend may run. */
+/**
+ * Guards against work whose answer would come too late, and against requests that wait although no backend may run
+ * them.
+ */
 class DeadlineTest {
     private final FakeHost host = new FakeHost();
 
@@ -23,13 +26,13 @@
         int rejected = host.callsStartingWith("reject").size();
         assertThat(rejected).isGreaterThan(4);
         assertThat(host.callsStartingWith("reject").get(0))
-                .as("says when to come back")
+                .as("names a retry-after time")
                 .doesNotEndWith(" for 0");
         assertThat(host.callsStartingWith("attempt").size() + rejected).isGreaterThanOrEqualTo(8);
         host.calls.clear();
         host.receiveWithinQuota();
         assertThat(host.callsStartingWith("add").get(0))
-                .as("units of work never sent ride back on the next call")
+                .as("the next call returns the units of requests that were never sent")
                 .startsWith("add -");
     }
 
@@ -38,19 +41,19 @@
         host.method = new Method(
                 2_000_000, 7_500_000, Method.RetrySafety.IDEMPOTENT, Method.DeduplicationScope.ALL, 0, 0.2, false);
         host.start(1);
-        List<Request> taken = new ArrayList<>();
+        List<Request> requests = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            taken.add(host.receiveWithinQuota());
+            requests.add(host.receiveWithinQuota());
         }
-        int sent = host.callsStartingWith("attempt").size();
+        int attempts = host.callsStartingWith("attempt").size();
         host.advance(1_990_000);
         assertThat(host.callsStartingWith("reject"))
-                .as("all that wait, but one")
-                .hasSize(8 - sent - 1);
-        host.endAttempt(taken.get(0), 0, Outcome.OK, 1_990_000);
+                .as("all waiting requests except one")
+                .hasSize(8 - attempts - 1);
+        host.endAttempt(requests.get(0), 0, Outcome.OK, 1_990_000);
         assertThat(host.callsStartingWith("attempt"))
-                .as("a place is free, and nobody else waits")
-                .hasSize(sent + 1);
+                .as("a backend has capacity, and no other request waits")
+                .hasSize(attempts + 1);
         assertThat(host.callsStartingWith("abort")).isEmpty();
     }
 
@@ -61,7 +64,8 @@
             host.serve(50_000);
         }
         host.calls.clear();
-        host.policy.requestReceived(99, 0, 11, 0, 1, 0, 2, 5_000_000); // 2.5 s of its client's 7.5 s are gone
+        // 2.5 s of the client's 7.5 s have passed.
+        host.policy.requestReceived(99, 0, 11, 0, 1, 0, 2, 5_000_000);
         assertThat(host.calls).containsExactly("reject 99 for 0");
     }
 
@@ -77,8 +81,8 @@
                 false);
         host.start(2);
         Request request = host.receiveWithinQuota();
-        long first = host.callsStartingWith("attempt").get(0).endsWith("to 1") ? 1 : 2;
-        host.updateEndpoint(first, Endpoint.State.GONE, 0);
+        long firstBackend = host.callsStartingWith("attempt").get(0).endsWith("to 1") ? 1 : 2;
+        host.updateEndpoint(firstBackend, Endpoint.State.GONE, 0);
         host.endAttempt(request, 0, Outcome.RESET, 1_000);
         assertThat(host.callsStartingWith("abort")).hasSize(1);
     }
--- a/src/test/java/hopdrum/policy/FakeHost.java
+++ b/src/test/java/hopdrum/policy/FakeHost.java
@@ -12,12 +12,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A host whose clock the test moves, and which records what the policy asks of it. */
+/** A host whose clock the test controls and which records the calls of the policy. */
 final class FakeHost implements Host {
     static final float[] NO_REPORT = {};
     final List<String> calls = new ArrayList<>();
     final List<Long> counterNames = new ArrayList<>();
-    final List<Long> beginWithinUs = new ArrayList<>(); // of each attempt
+    // By attempt, in the order in which attempts were started.
+    final List<Long> beginWithinUs = new ArrayList<>();
     Method method =
             new Method(2_000_000, 7_500_000, Method.RetrySafety.IDEMPOTENT, Method.DeduplicationScope.ALL, 0, 0, false);
     Plan plan = new Plan(2, 4, 0, 0, 0, 0);
@@ -26,8 +27,10 @@
     boolean hedgingAllowed = true;
     long clockUs = 90_000_000;
     Policy policy;
-    QuotaLease quotaLease; // null: no fleet
-    ZoneLatencies zoneLatencies; // null: no map
+    // Null without a fleet.
+    QuotaLease quotaLease;
+    // Null without a latency map.
+    ZoneLatencies zoneLatencies;
     CustomerOwner owner = CustomerOwner.THIS_TIER;
     long ownershipAgeUs = Long.MAX_VALUE / 2;
     private long wakeUpAtUs = Long.MAX_VALUE;
@@ -81,7 +84,7 @@
         return receiveCounted(2);
     }
 
-    /** Receives a request and has the counter answer its call with a total that leaves so many units. */
+    /** Receives a request and answers its call on the counter with a total that leaves the given units. */
     Request receiveCounted(double remaining) {
         Request request = receive();
         answerCounter(remaining);
@@ -99,22 +102,22 @@
     double totalFor(double remaining) {
         long epochUs = (lastCounterName() >>> 33) * 60_000_000;
         long customer = lastCounterName() & (1L << 33) - 1;
-        long sinceUs = clockUs + Long.remainderUnsigned(customer * 0x9E3779B97F4A7C15L, 60_000_000) - epochUs;
-        return plan.burst() + plan.rate() * sinceUs / 1e6 - remaining;
+        long epochAgeUs = clockUs + Long.remainderUnsigned(customer * 0x9E3779B97F4A7C15L, 60_000_000) - epochUs;
+        return plan.burst() + plan.rate() * epochAgeUs / 1e6 - remaining;
     }
 
     void endAttempt(Request request, int attempt, Outcome outcome, long tookUs) {
         request.attemptEnded(attempt, outcome, tookUs, outcome == Outcome.OK, 0, NO_REPORT);
     }
 
-    /** Receives a request within quota, whose first attempt is answered after so long. */
+    /** Receives a request within quota and answers its first attempt after the given time. */
     void serve(long tookUs) {
         endAttempt(receiveWithinQuota(), 0, Outcome.OK, tookUs);
     }
 
-    /** Lets time pass, with every wake-up that comes due. */
-    void advance(long us) {
-        long endUs = clockUs + us;
+    /** Advances the clock and runs every wake-up that becomes due. */
+    void advance(long durationUs) {
+        long endUs = clockUs + durationUs;
         while (wakeUpAtUs <= endUs) {
             clockUs = Math.max(clockUs, wakeUpAtUs);
             wakeUpAtUs = Long.MAX_VALUE;
--- a/src/test/java/hopdrum/policy/ForwardingRulesTest.java
+++ b/src/test/java/hopdrum/policy/ForwardingRulesTest.java
@@ -9,12 +9,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The rules that hold whatever fails: one final answer, no effect twice, drains, slow start, ceilings, limits. */
+/**
+ * Guards the rules that hold whatever fails: exactly one final answer, no unsafe repeat of a request, and respect for
+ * draining backends, slow start, ceilings and limits.
+ */
 class ForwardingRulesTest {
     private final FakeHost host = new FakeHost();
 
-    private void method(Method.RetrySafety repeat, Method.DeduplicationScope group) {
-        host.method = new Method(2_000_000, 7_500_000, repeat, group, 1_000_000, 0, false);
+    private void setMethod(Method.RetrySafety retrySafety, Method.DeduplicationScope scope) {
+        host.method = new Method(2_000_000, 7_500_000, retrySafety, scope, 1_000_000, 0, false);
     }
 
     @Test
@@ -30,7 +33,7 @@
 
     @Test
     void aNonIdempotentRequestThatMayHaveRunIsAbortedAndNeverRetried() {
-        method(Method.RetrySafety.NON_IDEMPOTENT, Method.DeduplicationScope.ALL);
+        setMethod(Method.RetrySafety.NON_IDEMPOTENT, Method.DeduplicationScope.ALL);
         host.start(3);
         Request request = host.receiveWithinQuota();
         host.endAttempt(request, 0, Outcome.ERROR, 5_000);
@@ -41,7 +44,7 @@
 
     @Test
     void aNonIdempotentRequestThatIsKnownNotToHaveRunMayBeRetried() {
-        method(Method.RetrySafety.NON_IDEMPOTENT, Method.DeduplicationScope.ALL);
+        setMethod(Method.RetrySafety.NON_IDEMPOTENT, Method.DeduplicationScope.ALL);
         host.start(3);
         host.endAttempt(host.receiveWithinQuota(), 0, Outcome.AT_CAPACITY, 5_000);
         assertThat(host.callsStartingWith("attempt 1 ")).hasSize(2);
@@ -49,7 +52,7 @@
 
     @Test
     void aDeduplicatedRequestStaysInTheCellOfItsFirstAttemptAndIsNeverRejected() {
-        method(Method.RetrySafety.DEDUPLICATED, Method.DeduplicationScope.CELL);
+        setMethod(Method.RetrySafety.DEDUPLICATED, Method.DeduplicationScope.CELL);
         host.start(4);
         Request request = host.receiveWithinQuota();
         for (int i = 0; i < 3; i++) {
@@ -66,7 +69,7 @@
 
     @Test
     void aDeduplicatedRequestIsNotRetriedOnceItsWindowHasPassed() {
-        method(Method.RetrySafety.DEDUPLICATED, Method.DeduplicationScope.ALL);
+        setMethod(Method.RetrySafety.DEDUPLICATED, Method.DeduplicationScope.ALL);
         host.start(4);
         Request request = host.receiveWithinQuota();
         host.advance(1_100_000);
@@ -79,15 +82,15 @@
     }
 
     @Test
-    void aRetrySaysByWhenItHasToBeginHoweverLateItsConnectionIs() {
-        method(Method.RetrySafety.DEDUPLICATED, Method.DeduplicationScope.ALL);
+    void aRetryCarriesTheTimeWithinWhichItHasToBeginHoweverLateItsConnectionIs() {
+        setMethod(Method.RetrySafety.DEDUPLICATED, Method.DeduplicationScope.ALL);
         host.start(4);
         Request request = host.receiveWithinQuota();
         host.advance(300_000);
         host.endAttempt(request, 0, Outcome.ERROR, 300_000);
         assertThat(host.callsStartingWith("attempt 1 ")).hasSize(2);
         assertThat(host.beginWithinUs.get(1))
-                .as("a window of 1 s, from the first")
+                .as("a window of 1 s from the first attempt")
                 .isBetween(600_000L, 700_000L);
     }
 
@@ -110,11 +113,12 @@
         Request request = host.receiveWithinQuota();
         host.advance(1_500_000);
         assertThat(host.callsStartingWith("cancel"))
-                .as("a long request is long elsewhere too")
+                .as("a long request would be as long at another backend")
                 .isEmpty();
         host.endAttempt(request, 0, Outcome.OK, 1_500_000);
         for (int i = 0; i < 6; i++) {
-            host.receiveWithinQuota(); // two for each backend; the second that is overdue ejects one
+            // Two requests for each backend; the second overdue one ejects a backend.
+            host.receiveWithinQuota();
         }
         host.advance(1_500_000);
         assertThat(host.callsStartingWith("cancel")).hasSize(1);
@@ -122,7 +126,7 @@
     }
 
     @Test
-    void aDrainingBackendGetsNothingNew() {
+    void aDrainingBackendGetsNoNewAttempts() {
         host.start(2);
         host.updateEndpoint(1, Endpoint.State.DRAINING, 0);
         for (int i = 0; i < 3; i++) {
@@ -132,7 +136,7 @@
     }
 
     @Test
-    void aBackendInSlowStartGetsThisGatewaysShareOfItsRampAlone() {
+    void aBackendInSlowStartGetsOnlyThisGatewaysShareOfWhatItCanTake() {
         host.start(0);
         host.updateEndpoint(1, Endpoint.State.READY, host.clockUs);
         for (int i = 0; i < 20; i++) {
@@ -142,20 +146,18 @@
             }
             host.advance(50_000);
         }
-        // 0.7 x 2 x a fifth of one core x 1.5 s, over two gateways: under one answer's time (250 ms) a window
+        // 0.7 x 2 x one fifth of one core x 1.5 s, over two gateways, is less than the time of one answer (250 ms) in a
+        // window.
         assertThat(host.callsStartingWith("attempt")).hasSizeBetween(1, 2);
     }
 
     @Test
-    void aRestartedGatewayDoesNotStakeACeilingOnWhatItDoesNotKnow() {
+    void aRestartedGatewayKeepsToTheCeilingOfACustomerWithAnUnknownPast() {
         host.plan = new Plan(2, 4, 0, 2.2, 4.4, 0.4);
         host.start(3);
         host.receive();
-        host.policy.counterAnswered(
-                host.lastCounterName(),
-                Outcome.OK,
-                1,
-                1_000); // its call made the name: a burst of 0.8 is all that the ceiling surely leaves
+        // The call created the name; a burst of 0.8 units is all that certainly keeps to the ceiling.
+        host.policy.counterAnswered(host.lastCounterName(), Outcome.OK, 1, 1_000);
         assertThat(host.callsStartingWith("reject 1")).hasSize(1);
     }
 
@@ -184,13 +186,16 @@
     @Test
     void unusualListsGatewayCountsAndMessagesAreTolerated() {
         host.start(2);
-        host.policy.endpointsUpdated(0, Endpoint.UpdateKind.COMPLETE, List.of()); // empty
+        // An empty list.
+        host.policy.endpointsUpdated(0, Endpoint.UpdateKind.COMPLETE, List.of());
         host.receiveWithinQuota();
         host.updateEndpoint(1, Endpoint.State.READY, 0);
-        host.updateEndpoint(1, Endpoint.State.READY, 0); // twice
+        // The same backend is listed twice.
+        host.updateEndpoint(1, Endpoint.State.READY, 0);
         host.policy.gossipReceived(new byte[3]);
         assertThat(host.callsStartingWith("attempt 1 ")).hasSize(1);
-        host.policy.requestReceived(50, 0, 12, 0, 1, 1, 9, 7_500_000); // more gateways in its set than there are
+        // The customer has more gateways than the tier.
+        host.policy.requestReceived(50, 0, 12, 0, 1, 1, 9, 7_500_000);
         host.policy.counterAnswered(host.lastCounterName(), Outcome.OK, 1, 1_000);
         assertThat(host.callsStartingWith("attempt 50 ")).hasSize(1);
     }
--- a/src/test/java/hopdrum/policy/OutlierEjectionTest.java
+++ b/src/test/java/hopdrum/policy/OutlierEjectionTest.java
@@ -7,7 +7,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Faulty backends: which are ejected, whose limit falls, which are nobody's fault. */
+/**
+ * Guards against traffic to faulty backends, and against ejecting or limiting backends for faults that are not theirs.
+ */
 class OutlierEjectionTest {
     private final FakeHost host = new FakeHost();
 
@@ -31,7 +33,7 @@
         }
         host.advance(500_000);
         assertThat(host.callsStartingWith("attempt"))
-                .as("hedged requests for what hangs")
+                .as("hedged requests for those that hang")
                 .hasSizeGreaterThan(6);
         host.calls.clear();
         for (int i = 0; i < 6; i++) {
@@ -60,7 +62,7 @@
     }
 
     @Test
-    void unreadableAnswersAreRetriedElsewhereAndCountAgainstNobody() {
+    void unreadableAnswersAreRetriedElsewhereAndCountAgainstNoBackend() {
         host.start(2);
         for (int i = 1; i <= 10; i++) {
             Request request = host.receiveWithinQuota();
@@ -84,8 +86,8 @@
         host.start(2);
         for (int i = 0; i < 20; i++) {
             Request request = host.receiveWithinQuota();
-            for (int c = 0; c < 3; c++) {
-                host.endAttempt(request, c, Outcome.ERROR, 1_000);
+            for (int attempt = 0; attempt < 3; attempt++) {
+                host.endAttempt(request, attempt, Outcome.ERROR, 1_000);
             }
             host.advance(100_000);
         }
@@ -95,7 +97,7 @@
     }
 
     @Test
-    void aBackendSlowToSayFullIsAvoidedForThatPlanAndKeepsItsLimit() {
+    void aBackendThatIsSlowToRejectIsAvoidedForThatPlanAndKeepsItsLimit() {
         host.start(2);
         Request request = host.receiveWithinQuota();
         String first = host.callsStartingWith("attempt 1 ").get(0).replaceAll(".* to ", " to ");
@@ -111,11 +113,11 @@
     @Test
     void lateAnswersLowerTheConcurrencyLimitSoThatQueuesDrain() {
         host.start(4);
-        List<Request> out = new ArrayList<>();
+        List<Request> requests = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            out.add(host.receiveWithinQuota());
+            requests.add(host.receiveWithinQuota());
         }
-        for (Request request : out) {
+        for (Request request : requests) {
             host.endAttempt(request, 0, Outcome.TIMED_OUT, 1_900_000);
         }
         host.calls.clear();
@@ -123,7 +125,7 @@
             host.receiveWithinQuota();
         }
         assertThat(host.callsStartingWith("attempt"))
-                .as("a first limit of 12, less 0.3 for each while half is in use")
+                .as("an initial limit of 12, reduced by 0.3 per late answer while half of it is in use")
                 .hasSizeBetween(8, 10);
     }
 }
--- a/src/test/java/hopdrum/policy/PartnerForwardingTest.java
+++ b/src/test/java/hopdrum/policy/PartnerForwardingTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of requests whose customers are another's: backends 1 and 2 are this tier's, doors 11 and 12 a partner's. */
+/**
+ * Guards against requests of a partner's customers being counted or run twice, or counted in the wrong tier. Backends 1
+ * and 2 belong to this tier; front doors 11 and 12 belong to a partner.
+ */
 class PartnerForwardingTest {
     private final FakeHost host = new FakeHost();
 
@@ -50,7 +53,8 @@
         Request request = host.receive();
         host.endAttempt(request, 0, Outcome.RESET, 5_000);
         assertThat(host.callsStartingWith("attempt")).hasSize(1);
-        assertThat(host.callsStartingWith("reject")).hasSize(1); // idempotent: the client may ask again
+        // The method is idempotent, so the client may retry.
+        assertThat(host.callsStartingWith("reject")).hasSize(1);
     }
 
     @Test
@@ -74,8 +78,8 @@
     @Test
     void aPartnersRejectionIsFinal() {
         Request request = host.receive();
-        request.attemptEnded(
-                0, Outcome.INVALID_REQUEST, 5_000, true, 0, FakeHost.NO_REPORT); // the client has it already
+        // The client already has the answer.
+        request.attemptEnded(0, Outcome.INVALID_REQUEST, 5_000, true, 0, FakeHost.NO_REPORT);
         assertThat(request.isFinished()).isTrue();
         assertThat(host.callsStartingWith("reject")).isEmpty();
         assertThat(host.callsStartingWith("attempt")).hasSize(1);
@@ -94,15 +98,18 @@
     @Test
     void aCustomerUnderACeilingBeginsAtItsNewOwnerWithWhatHasRefilledSinceTheMove() {
         host.plan = new Plan(2, 4, 0, 4, 8, 0);
-        host.ownershipAgeUs = 500_000; // one unit
+        // Refills one unit.
+        host.ownershipAgeUs = 500_000;
         host.start(2);
         host.owner = CustomerOwner.THIS_TIER;
         Request request = host.receive();
-        host.policy.counterAnswered(
-                host.lastCounterName(), Outcome.OK, 1, 1_000); // it made the name: only its own unit is there
+        // The call created the name: the total contains only its own unit.
+        host.policy.counterAnswered(host.lastCounterName(), Outcome.OK, 1, 1_000);
         assertThat(host.callsStartingWith("attempt")).hasSize(1);
         double trimmed = Double.parseDouble(host.callsStartingWith("add").get(1).substring(4));
-        assertThat(host.totalFor(0) - 1 - trimmed).as("room left after it").isBetween(-0.01, 0.01);
+        assertThat(host.totalFor(0) - 1 - trimmed)
+                .as("units left after the request")
+                .isBetween(-0.01, 0.01);
         host.endAttempt(request, 0, Outcome.OK, 5_000);
     }
 
@@ -111,8 +118,8 @@
         for (int i = 0; i < 20; i++) {
             host.receive();
         }
-        int passedOn = host.callsStartingWith("attempt").size();
-        assertThat(passedOn).isLessThan(20);
+        int forwarded = host.callsStartingWith("attempt").size();
+        assertThat(forwarded).isLessThan(20);
         host.owner = CustomerOwner.THIS_TIER;
         host.receiveWithinQuota();
         assertThat(lastAttempt()).matches("attempt 21 to [12]");
--- a/src/test/java/hopdrum/policy/QuotaLeaseTest.java
+++ b/src/test/java/hopdrum/policy/QuotaLeaseTest.java
@@ -7,12 +7,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A silent counter with a fleet: what the settled view gives, and nothing where it may not be acted on. */
+/**
+ * Guards against gateways of a fleet that together admit more than a quota while the counter is silent: each takes its
+ * share by the agreed views, and none without a valid lease.
+ */
 class QuotaLeaseTest {
-    private static BitSet of(int... gateways) {
+    private static BitSet view(int... gateways) {
         BitSet set = new BitSet();
-        for (int g : gateways) {
-            set.set(g);
+        for (int gateway : gateways) {
+            set.set(gateway);
         }
         return set;
     }
@@ -29,42 +32,43 @@
     @Test
     void aGatewayAloneInTheSettledViewHasTheWholeQuotaAndOneOfTwoHasHalf() {
         FakeHost alone = new FakeHost();
-        alone.quotaLease = new QuotaLease(Long.MAX_VALUE, List.of(of(0)));
+        alone.quotaLease = new QuotaLease(Long.MAX_VALUE, List.of(view(0)));
         alone.start(3).advance(10_000_000);
         assertThat(admitted(alone, 6)).as("a burst of 4").isEqualTo(4);
         FakeHost half = new FakeHost();
-        half.quotaLease = new QuotaLease(Long.MAX_VALUE, List.of(of(0), of(0, 1)));
+        half.quotaLease = new QuotaLease(Long.MAX_VALUE, List.of(view(0), view(0, 1)));
         half.start(3).advance(10_000_000);
         assertThat(admitted(half, 6))
-                .as("the view before may still be acted on")
+                .as("other gateways may still act on the earlier view")
                 .isEqualTo(2);
     }
 
     @Test
     void aGatewayWhoseLeaseIsOverAdmitsNothingWhileTheCounterIsSilentAndNamesARetryAfter() {
         FakeHost host = new FakeHost();
-        host.quotaLease = new QuotaLease(0, List.of(of(0, 1)));
+        host.quotaLease = new QuotaLease(0, List.of(view(0, 1)));
         host.start(3).advance(10_000_000);
         assertThat(admitted(host, 3)).isZero();
         assertThat(host.callsStartingWith("reject")).hasSize(3).noneMatch(a -> a.endsWith(" for 0"));
-        host.advance(3_000_000); // a call may be made again
+        // A call on the counter may be made again.
+        host.advance(3_000_000);
         assertThat(host.receiveCounted(2))
-                .as("the counter's word stands above all")
+                .as("an answer of the counter takes precedence")
                 .isNotNull();
         assertThat(host.callsStartingWith("attempt")).hasSize(1);
     }
 
     @Test
-    void aStartBeginsWithWhatItsShareHasRefilledSince() {
+    void aGatewayStartsWithTheUnitsThatItsShareHasRefilledSinceItsStart() {
         FakeHost host = new FakeHost();
-        host.quotaLease = new QuotaLease(Long.MAX_VALUE, List.of(of(0)));
+        host.quotaLease = new QuotaLease(Long.MAX_VALUE, List.of(view(0)));
         host.start(3).advance(500_000);
-        assertThat(admitted(host, 6)).as("2 a second, for half a second").isEqualTo(1);
+        assertThat(admitted(host, 6)).as("2 units per second for half a second").isEqualTo(1);
     }
 
     @Test
-    void theMostGatewaysOfAllLiveViewsAreCountedRoundTheTier() {
-        QuotaLease quotaLease = new QuotaLease(1, List.of(of(0, 3), of(0, 1, 2, 3)));
+    void theLargestNumberOfGatewaysInAnyViewIsCountedModuloTheSizeOfTheTier() {
+        QuotaLease quotaLease = new QuotaLease(1, List.of(view(0, 3), view(0, 1, 2, 3)));
         assertThat(quotaLease.maxGatewaysSharing(3, 2, 4)).isEqualTo(2);
         assertThat(quotaLease.maxGatewaysSharing(0, 4, 4)).isEqualTo(4);
         assertThat(new QuotaLease(1, List.of()).maxGatewaysSharing(0, 4, 4)).isEqualTo(1);
--- a/src/test/java/hopdrum/policy/SlowStartFleetTest.java
+++ b/src/test/java/hopdrum/policy/SlowStartFleetTest.java
@@ -10,17 +10,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Many gateways and one cold backend: what counts there is the sum of what all of them send. */
+/**
+ * Guards against overloading a starting backend: each of many gateways sends little, but the backend has to run the sum
+ * of what all of them send.
+ */
 class SlowStartFleetTest {
     private static final int GATEWAYS = 30;
     private static final long STEP_US = 10_000;
-    private static final long WINDOW_US = 1_500_000; // as in FakeHost's settings, like the ramp's figures
-    private static final long WARM_AFTER_US = 10_000_000;
-    private static final double COLD_FROM = 0.2;
-    private static final double FACTOR = 2;
-    private static final double WORK_US = 250_000; // what a request takes, by what each gateway knows at its start
+    // As in the settings of FakeHost, like the constants of the slow start below.
+    private static final long WINDOW_US = 1_500_000;
+    private static final long SLOW_START_US = 10_000_000;
+    private static final double INITIAL_FRACTION = 0.2;
+    private static final double OVERLOAD_FACTOR = 2;
+    // The work of a request, as each gateway estimates it at its start.
+    private static final double WORK_US = 250_000;
 
-    /** A gateway that always has a request waiting; what it sends is answered in the usual time. */
+    /** A gateway that always has a request waiting; each attempt is answered in the usual time. */
     private static final class Gateway {
         final FakeHost host = new FakeHost();
         private Request waiting;
@@ -35,7 +40,7 @@
             host.start(0);
         }
 
-        /** True if it sent a request to the backend in this step. */
+        /** Runs one step; returns true if the gateway sent an attempt to the backend in it. */
         boolean step() {
             if (answerAtUs > 0 && host.clockUs >= answerAtUs) {
                 answerAtUs = 0;
@@ -54,42 +59,49 @@
         }
     }
 
-    /** What a backend of one core can take in a window that begins at this age, and what counts as chance. */
-    private static double mostAt(long ageUs) {
-        double part = COLD_FROM + (1 - COLD_FROM) * Math.min(1, (double) ageUs / WARM_AFTER_US);
-        double budget = FACTOR * part * WINDOW_US / WORK_US;
+    /**
+     * Returns the most attempts that a backend of one core can take in a window that begins at the given age, plus an
+     * allowance for random variation.
+     */
+    private static double maxAttemptsFrom(long ageUs) {
+        double fraction = INITIAL_FRACTION + (1 - INITIAL_FRACTION) * Math.min(1, (double) ageUs / SLOW_START_US);
+        double budget = OVERLOAD_FACTOR * fraction * WINDOW_US / WORK_US;
         return budget + 2 * Math.sqrt(budget) + 2;
     }
 
-    /** Told at once or late, when it has been on its ramp for a while; a third of the gateways start anew meanwhile. */
+    /**
+     * The gateways learn of the backend at once, or late, during its slow start; meanwhile a third of the gateways
+     * restart.
+     */
     @ParameterizedTest
     @ValueSource(longs = {0, 1_000_000, 3_000_000, 5_000_000, 7_000_000, 8_500_000})
-    void theSumOfThirtyGatewaysKeepsWithinASlowStartingBackendsBudget(long toldAtAgeUs) {
-        long bornUs = 90_000_000;
+    void theSumOfThirtyGatewaysKeepsWithinASlowStartingBackendsBudget(long listedAtAgeUs) {
+        long startedAtUs = 90_000_000;
         List<Gateway> gateways = new ArrayList<>();
         for (int i = 0; i < GATEWAYS; i++) {
-            gateways.add(new Gateway(i, bornUs));
+            gateways.add(new Gateway(i, startedAtUs));
         }
         List<Long> sentAtAge = new ArrayList<>();
-        for (long ageUs = 0; ageUs < WARM_AFTER_US - 5 * STEP_US; ageUs += STEP_US) {
+        for (long ageUs = 0; ageUs < SLOW_START_US - 5 * STEP_US; ageUs += STEP_US) {
             for (int i = 0; i < GATEWAYS; i++) {
-                if (i % 3 == 0 && ageUs == Math.max(toldAtAgeUs, 4_000_000) + 1_000_000) { // forgets what it has sent
-                    gateways.set(i, new Gateway(i, bornUs + ageUs));
-                    gateways.get(i).host.updateEndpoint(1, Endpoint.State.READY, bornUs);
-                } else if (ageUs == toldAtAgeUs) {
-                    gateways.get(i).host.updateEndpoint(1, Endpoint.State.READY, bornUs);
+                // A restarted gateway has no memory of the attempts that it sent.
+                if (i % 3 == 0 && ageUs == Math.max(listedAtAgeUs, 4_000_000) + 1_000_000) {
+                    gateways.set(i, new Gateway(i, startedAtUs + ageUs));
+                    gateways.get(i).host.updateEndpoint(1, Endpoint.State.READY, startedAtUs);
+                } else if (ageUs == listedAtAgeUs) {
+                    gateways.get(i).host.updateEndpoint(1, Endpoint.State.READY, startedAtUs);
                 }
                 if (gateways.get(i).step()) {
                     sentAtAge.add(ageUs);
                 }
             }
         }
-        assertThat(sentAtAge).as("it is not starved").hasSizeGreaterThan(3);
+        assertThat(sentAtAge).as("the backend gets attempts").hasSizeGreaterThan(3);
         for (long fromUs : sentAtAge) {
             long inWindow = sentAtAge.stream()
-                    .filter(at -> at >= fromUs && at < fromUs + WINDOW_US)
+                    .filter(sentUs -> sentUs >= fromUs && sentUs < fromUs + WINDOW_US)
                     .count();
-            assertThat((double) inWindow).as("from age %d", fromUs).isLessThanOrEqualTo(mostAt(fromUs));
+            assertThat((double) inWindow).as("from age %d", fromUs).isLessThanOrEqualTo(maxAttemptsFrom(fromUs));
         }
     }
 }
--- a/src/test/java/hopdrum/policy/ZoneLatencyRoutingTest.java
+++ b/src/test/java/hopdrum/policy/ZoneLatencyRoutingTest.java
@@ -9,15 +9,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Where requests go when a map tells how far zones are: zone 0 is here, zone 1 is far. */
+/**
+ * Guards against needless round trips to far zones, and against the network being taken for slowness of a backend. Zone
+ * 0 is near, zone 1 is far.
+ */
 class ZoneLatencyRoutingTest {
     private final FakeHost host = new FakeHost();
 
-    /** Backends 1 and 2 here, 3 and 4 far. */
-    private void start(long farUs) {
+    /** Starts a gateway with backends 1 and 2 in the near zone and 3 and 4 in the far zone. */
+    private void start(long farExtraRoundTripUs) {
         host.gateways = 1;
         host.start(0);
-        host.zoneLatencies = new ZoneLatencies(new long[] {0, farUs});
+        host.zoneLatencies = new ZoneLatencies(new long[] {0, farExtraRoundTripUs});
         for (int i = 1; i <= 4; i++) {
             host.policy.endpointsUpdated(
                     0,
@@ -36,21 +39,21 @@
     }
 
     @Test
-    void aFreeBackendNearIsPickedBeforeAFarOneAndAFarOneBeforeALongQueue() {
+    void aFreeNearBackendIsPickedBeforeAFarOneAndAFarOneBeforeALongQueue() {
         start(700_000);
         assertThat(attemptsOf(4))
-                .as("two here, then a second each: still sooner than the round trip")
+                .as("two near attempts, then a second at each: still sooner than the round trip")
                 .isNotEmpty()
-                .noneMatch(c -> c.endsWith("3") || c.endsWith("4"));
+                .noneMatch(call -> call.endsWith("3") || call.endsWith("4"));
         assertThat(attemptsOf(6))
-                .as("the queue here is longer than the round trip")
-                .anyMatch(c -> c.endsWith("3") || c.endsWith("4"));
+                .as("the near queue takes longer than the round trip")
+                .anyMatch(call -> call.endsWith("3") || call.endsWith("4"));
     }
 
     @Test
     void aRequestWithLittleTimeLeftStaysNearThoughTheQueueIsLonger() {
         start(1_900_000);
-        assertThat(attemptsOf(6)).isNotEmpty().noneMatch(c -> c.endsWith("3") || c.endsWith("4"));
+        assertThat(attemptsOf(6)).isNotEmpty().noneMatch(call -> call.endsWith("3") || call.endsWith("4"));
     }
 
     @Test
@@ -61,11 +64,14 @@
             requests.add(host.receiveWithinQuota());
         }
         for (int i = 0; i < 12; i++) {
-            String to = host.callsStartingWith("attempt " + (i + 1) + " ").get(0);
+            String attempt = host.callsStartingWith("attempt " + (i + 1) + " ").get(0);
             host.endAttempt(
-                    requests.get(i), 0, to.endsWith("1") || to.endsWith("2") ? Outcome.ERROR : Outcome.OK, 150_000);
+                    requests.get(i),
+                    0,
+                    attempt.endsWith("1") || attempt.endsWith("2") ? Outcome.ERROR : Outcome.OK,
+                    150_000);
         }
-        assertThat(attemptsOf(2)).isNotEmpty().allMatch(c -> c.endsWith("3") || c.endsWith("4"));
+        assertThat(attemptsOf(2)).isNotEmpty().allMatch(call -> call.endsWith("3") || call.endsWith("4"));
     }
 
     @Test
@@ -73,12 +79,13 @@
         start(400_000);
         for (int i = 0; i < 30; i++) {
             Request request = host.receiveWithinQuota();
-            String to = host.callsStartingWith("attempt " + (i + 1) + " ").get(0);
-            host.endAttempt(request, 0, Outcome.OK, to.endsWith("3") || to.endsWith("4") ? 450_000 : 50_000);
+            String attempt = host.callsStartingWith("attempt " + (i + 1) + " ").get(0);
+            host.endAttempt(request, 0, Outcome.OK, attempt.endsWith("3") || attempt.endsWith("4") ? 450_000 : 50_000);
         }
-        host.zoneLatencies = null; // from here on as without a map: all four are as good
+        // Without a latency map, all four backends are equal from here on.
+        host.zoneLatencies = null;
         List<String> sent = attemptsOf(4);
-        assertThat(sent).anyMatch(c -> c.endsWith("3") || c.endsWith("4"));
-        assertThat(sent).anyMatch(c -> c.endsWith("1") || c.endsWith("2"));
+        assertThat(sent).anyMatch(call -> call.endsWith("3") || call.endsWith("4"));
+        assertThat(sent).anyMatch(call -> call.endsWith("1") || call.endsWith("2"));
     }
 }
