--- a/src/main/java/hopdrum/FleetServer.java
+++ b/src/main/java/hopdrum/FleetServer.java
@@ -34,7 +34,12 @@
         }
         return Server.serve(configFile, (config, loop) -> {
             Fleet fleet = Fleet.start(
-                    file, terms, termsModifiedAtMs, config.settings().ordinal(), config.seed(), loop.monotonicOffsetUs());
+                    file,
+                    terms,
+                    termsModifiedAtMs,
+                    config.settings().ordinal(),
+                    config.seed(),
+                    loop.monotonicOffsetUs());
             fleet.setBackendZones(config.zones());
             return new FleetCompanion(fleet, loop);
         });
