--- a/src/main/java/hopdrum/policy/backends/Backend.java
+++ b/src/main/java/hopdrum/policy/backends/Backend.java
@@ -30,7 +30,7 @@
     // The work answered recently, in cores; decays over the throughput window.
     private double answeredCores;
     private long answeredCoresAtUs;
-    // The backend's response times relative to the mean over all backends of the tier; 1 is the mean.
+    // The backend's response times relative to the mean over all backends; 1 is the mean.
     private double slowness = 1;
     private long slownessAtUs;
     private long lastAnswerUs;
