--- a/src/main/java/hopdrum/frontdoor/AttemptDispatcher.java
+++ b/src/main/java/hopdrum/frontdoor/AttemptDispatcher.java
@@ -17,12 +17,12 @@
 import java.io.IOException;
 
 /**
- * Sends attempts to backends and notifies Policy of their ends. Policy is never notified from inside one of its own
- * calls: an attempt that ends there is reported by {@link EventLoop#soon}.
+ * Sends attempts to backends and notifies Policy when they end. Policy is never notified while it is calling this
+ * class: an attempt that ends during such a call is reported through {@link EventLoop#runAfterCurrentEvent}.
  */
 final class AttemptDispatcher implements BackendConnection.Listener {
     private static final Log LOG = new Log("frontdoor");
-    private static final float[] NO_REPORT = {};
+    private static final float[] NO_LOAD_REPORT = {};
 
     private final Config config;
     private final EventLoop loop;
@@ -46,36 +46,36 @@
         this.tally = tally;
     }
 
-    /** See {@link hopdrum.host.Host#startAttempt}. */
+    /** Starts an attempt; see {@link hopdrum.host.Host#startAttempt}. */
     void startAttempt(long requestId, long backendId, long timeoutUs, long writeWithinUs) {
         InFlightRequest request = requests.get(requestId);
         Attempt attempt = request.addAttempt(loop.nowUs(), timeoutUs, writeWithinUs);
         attempt.armTimeout(loop, () -> attemptTimedOut(attempt));
         ConnectionPool pool = directory.get(backendId);
         if (request.client() == null || pool == null) {
-            loop.runAfterCurrentEvent(() -> attemptEnded(attempt, Outcome.INVALID_REQUEST, NO_REPORT));
+            loop.runAfterCurrentEvent(() -> attemptEnded(attempt, Outcome.INVALID_REQUEST, NO_LOAD_REPORT));
             return;
         }
         BackendConnection connection = pool.acquireIdle(loop.nowUs());
         try {
             if (connection == null) {
-                connection = connect(pool);
+                connection = openConnection(pool);
             }
         } catch (IOException e) {
-            LOG.warning("no connection to a backend", e.getMessage());
+            LOG.warning("cannot open a connection to a backend", e.getMessage());
         }
         if (connection == null || !connection.send(attempt)) {
-            loop.runAfterCurrentEvent(() -> attemptEnded(attempt, Outcome.CONNECT_FAILED, NO_REPORT));
+            loop.runAfterCurrentEvent(() -> attemptEnded(attempt, Outcome.CONNECT_FAILED, NO_LOAD_REPORT));
         }
     }
 
-    /** A new connection of the pool's; null if the limits leave no room for one. */
-    private BackendConnection connect(ConnectionPool pool) throws IOException {
+    /** Opens a new connection and adds it to the pool; returns null if the resource budget has no room for one. */
+    private BackendConnection openConnection(ConnectionPool pool) throws IOException {
         if (!budget.hasRoomForBackend()) {
             directory.closeLongestIdle();
         }
         if (!budget.hasRoomForBackend()) {
-            LOG.warning("no descriptor or memory left for more connections to backends", null);
+            LOG.warning("no file descriptor or buffer memory left for another backend connection", null);
             return null;
         }
         BackendConnection connection = new BackendConnection(
@@ -85,20 +85,20 @@
         return connection;
     }
 
-    /** See {@link hopdrum.host.Host#cancelAttempt}. */
-    void cancelAttempt(long requestId, int number) {
+    /** Cancels an attempt; see {@link hopdrum.host.Host#cancelAttempt}. */
+    void cancelAttempt(long requestId, int attemptNumber) {
         InFlightRequest request = requests.get(requestId);
-        Attempt attempt = request == null ? null : request.attempt(number);
+        Attempt attempt = request == null ? null : request.attempt(attemptNumber);
         if (attempt != null && !attempt.isEnded()) {
             attempt.abandon();
-            loop.runAfterCurrentEvent(() -> attemptEnded(attempt, Outcome.CANCELLED, NO_REPORT));
+            loop.runAfterCurrentEvent(() -> attemptEnded(attempt, Outcome.CANCELLED, NO_LOAD_REPORT));
         }
     }
 
     private void attemptTimedOut(Attempt attempt) {
         if (!attempt.isEnded()) {
             attempt.abandon();
-            attemptEnded(attempt, Outcome.TIMED_OUT, NO_REPORT);
+            attemptEnded(attempt, Outcome.TIMED_OUT, NO_LOAD_REPORT);
         }
     }
 
@@ -109,13 +109,13 @@
             attempt.markResponseForwarded();
             tally.responseForwarded(response.status());
             if (!client.forwardResponse(bytes, response)) {
-                client.close(); // it has not read the responses before this one
+                client.close(); // the client does not read, so its send buffer still holds earlier responses
             }
         }
     }
 
     @Override
-    public void attemptEnded(Attempt attempt, Outcome outcome, float[] report) {
+    public void attemptEnded(Attempt attempt, Outcome outcome, float[] loadReport) {
         if (!attempt.end()) {
             return;
         }
@@ -127,7 +127,7 @@
                         loop.nowUs() - attempt.startedAtUs(),
                         outcome == Outcome.OK || attempt.isResponseForwarded(),
                         0,
-                        report);
+                        loadReport);
         requests.removeIfDone(request);
     }
 
--- a/src/main/java/hopdrum/frontdoor/ClientListener.java
+++ b/src/main/java/hopdrum/frontdoor/ClientListener.java
@@ -16,131 +16,133 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** Accepts clients' connections on the listening socket and keeps track of them until they close. */
+/** Accepts client connections on the listening socket and keeps track of them until they close. */
 final class ClientListener implements EventLoop.ChannelHandler, ClientConnection.Listener {
     private static final Log LOG = new Log("clients");
     private static final int BACKLOG = 1024;
-    private static final long PAUSE_US = 50_000;
-    private static final long MIN_IDLE_US = 250_000;
-    private static final long MIN_SILENT_US = 50_000;
-    private static final int MAX_ACCEPTED_AT_ONCE = 32; // a burst of clients must not delay requests in flight
+    private static final long ACCEPT_PAUSE_US = 50_000;
+    private static final long MIN_IDLE_BEFORE_EVICTION_US = 250_000;
+    private static final long MIN_SILENT_BEFORE_EVICTION_US = 50_000;
+    // Bounds how long a burst of new clients delays the requests in flight.
+    private static final int MAX_ACCEPTS_PER_EVENT = 32;
 
-    /** Handles clients' requests. */
+    /** Handles the requests that clients send. */
     interface RequestListener {
         /**
-         * A request stands at the front of the client's receive buffer.
+         * Called when a complete request is at the front of the client's receive buffer.
          *
-         * @throws MalformedMessageException if it is rejected; the exception's status is the response
+         * @throws MalformedMessageException if the request is rejected; the client receives the exception's status
          */
         void requestReceived(ClientConnection client) throws MalformedMessageException;
 
-        /** A client has disconnected while its request was in flight. */
+        /** Called when a client has disconnected while its request was in flight. */
         void clientDisconnected(ClientConnection client);
 
-        /** Whether the front door can handle requests: what the readiness endpoint reports. */
+        /** Whether the front door can handle requests, as reported by the readiness endpoint. */
         boolean isReady();
     }
 
     private final EventLoop loop;
     private final ResourceBudget budget;
     private final RequestListener requests;
-    private final ServerSocketChannel listener;
-    private SelectionKey key; // null until startAccepting()
-    // A connection is removed from each set when it closes.
-    private final Set<ClientConnection> open = new LinkedHashSet<>();
-    private final Set<ClientConnection> silent = new LinkedHashSet<>(); // have not sent anything yet
-    private final Set<ClientConnection> lingering = new LinkedHashSet<>(); // have had their last response
-    private final Set<ClientConnection> idle = new LinkedHashSet<>(); // longest idle first
+    private final ServerSocketChannel listeningSocket;
+    private SelectionKey acceptKey; // null until startAccepting()
+    // A connection is removed from all of these sets when it closes.
+    private final Set<ClientConnection> openClients = new LinkedHashSet<>();
+    private final Set<ClientConnection> silentClients = new LinkedHashSet<>(); // have not sent a byte yet
+    private final Set<ClientConnection> lingeringClients = new LinkedHashSet<>(); // were sent their last response
+    private final Set<ClientConnection> idleClients = new LinkedHashSet<>(); // longest idle first
     private boolean paused;
     private boolean draining;
 
-    /** Binds the listening socket. Connections are not accepted before {@link #startAccepting()}. */
+    /** Binds the listening socket. No connection is accepted before {@link #startAccepting()}. */
     ClientListener(EventLoop loop, SocketAddress listen, ResourceBudget budget, RequestListener requests)
             throws IOException {
         this.loop = loop;
         this.budget = budget;
         this.requests = requests;
-        listener = ServerSocketChannel.open();
+        listeningSocket = ServerSocketChannel.open();
         try {
-            listener.configureBlocking(false);
-            listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            listener.bind(listen, BACKLOG);
+            listeningSocket.configureBlocking(false);
+            listeningSocket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+            listeningSocket.bind(listen, BACKLOG);
         } catch (IOException | RuntimeException e) {
-            listener.close();
+            listeningSocket.close();
             throw e;
         }
     }
 
-    /** Starts to accept connections; until then they wait in the listening socket's queue. */
+    /** Starts accepting connections. Until then, new connections wait in the backlog of the listening socket. */
     void startAccepting() throws IOException {
-        if (key == null && listener.isOpen()) {
-            key = listener.register(loop.selector(), SelectionKey.OP_ACCEPT, this);
+        if (acceptKey == null && listeningSocket.isOpen()) {
+            acceptKey = listeningSocket.register(loop.selector(), SelectionKey.OP_ACCEPT, this);
         }
     }
 
-    /** The address that the socket is bound to. */
+    /** The address that the listening socket is bound to. */
     SocketAddress address() throws IOException {
-        return listener.getLocalAddress();
+        return listeningSocket.getLocalAddress();
     }
 
     @Override
-    public void channelReady(SelectionKey ready) throws IOException {
-        accept();
+    public void channelReady(SelectionKey readyKey) throws IOException {
+        acceptPendingConnections();
     }
 
-    private void accept() throws IOException {
-        for (int i = 0; i < MAX_ACCEPTED_AT_ONCE && listener.isOpen(); i++) {
+    private void acceptPendingConnections() throws IOException {
+        for (int i = 0; i < MAX_ACCEPTS_PER_EVENT && listeningSocket.isOpen(); i++) {
             if (!budget.hasRoomForClient() && i > 0) {
-                return; // the selector reports a further one
+                return; // the selector reports the remaining connections again
             }
             if (!budget.hasRoomForClient()) {
                 evictClient();
             }
             if (!budget.hasRoomForClient()) {
-                pauseAccepting("no descriptor or memory left for more clients");
+                pauseAccepting("no file descriptor or buffer memory left for another client");
                 return;
             }
-            SocketChannel channel = listener.accept();
+            SocketChannel channel = listeningSocket.accept();
             if (channel == null) {
                 return;
             }
             budget.clientOpened();
             try {
                 ClientConnection client = new ClientConnection(loop, channel, budget, this);
-                open.add(client);
-                silent.add(client);
+                openClients.add(client);
+                silentClients.add(client);
             } catch (IOException e) {
                 budget.clientClosed();
-                LOG.warning("a client's connection ended at once", e.getMessage());
+                LOG.warning("cannot set up an accepted client connection", e.getMessage());
             }
         }
     }
 
     /**
-     * Closes one connection on which nothing is in flight: first one that lingers after its last response, then one
-     * that has not sent anything yet, then an idle one. A request that a client has just sent must not be lost: a
-     * connection with bytes to read is not idle, and a client that connected or had a response a moment ago may be
-     * sending.
+     * Closes one connection that has no request in flight: preferably one that lingers after its last response, else
+     * one on which no byte has arrived yet, else an idle one. No request that a client has just sent may be lost, so a
+     * connection with bytes to read does not count as idle, and a connection that was accepted or sent a response only
+     * recently is kept because its client may be about to send.
      */
     private void evictClient() {
-        if (!lingering.isEmpty() && loop.nowUs() - lingering.iterator().next().idleSinceUs() >= MIN_SILENT_US) {
-            lingering.iterator().next().close();
-        } else if (!evictLongestIdle(silent, MIN_SILENT_US)) {
-            evictLongestIdle(idle, MIN_IDLE_US);
+        if (!lingeringClients.isEmpty()
+                && loop.nowUs() - lingeringClients.iterator().next().idleSinceUs() >= MIN_SILENT_BEFORE_EVICTION_US) {
+            lingeringClients.iterator().next().close();
+        } else if (!evictLongestIdle(silentClients, MIN_SILENT_BEFORE_EVICTION_US)) {
+            evictLongestIdle(idleClients, MIN_IDLE_BEFORE_EVICTION_US);
         }
     }
 
     private boolean evictLongestIdle(Set<ClientConnection> candidates, long minIdleUs) {
         while (!candidates.isEmpty()) {
-            ClientConnection longest = candidates.iterator().next();
-            if (loop.nowUs() - longest.idleSinceUs() < minIdleUs) {
+            ClientConnection longestIdle = candidates.iterator().next();
+            if (loop.nowUs() - longestIdle.idleSinceUs() < minIdleUs) {
                 return false;
             }
-            if (closeIfIdle(longest)) {
-                LOG.info("a client's connection without a request is closed to make room", null);
+            if (closeIfIdle(longestIdle)) {
+                LOG.info("closed a client connection without a request to make room for another", null);
                 return true;
             }
-            candidates.remove(longest);
+            candidates.remove(longestIdle);
         }
         return false;
     }
@@ -154,7 +156,7 @@
         return isIdle;
     }
 
-    /** Unlike {@link #closeIfIdle}, leaves time for a request that crosses the close: it meets no reset. */
+    /** Unlike {@link #closeIfIdle}, does not reset the connection if the client's next request crosses the close. */
     private static void closeGracefullyIfIdle(ClientConnection client) {
         client.readNow();
         if (client.isIdle()) {
@@ -163,18 +165,18 @@
     }
 
     private void pauseAccepting(String reason) {
-        LOG.warning("accepting pauses", reason);
-        if (!paused && key != null && key.isValid()) {
+        LOG.warning("paused accepting client connections", reason);
+        if (!paused && acceptKey != null && acceptKey.isValid()) {
             paused = true;
-            key.interestOps(0); // else the loop would spin on a connection that it cannot accept
-            loop.scheduleAfter(PAUSE_US, this::resumeAccepting);
+            acceptKey.interestOps(0); // else the loop would spin on a pending connection that has no room
+            loop.scheduleAfter(ACCEPT_PAUSE_US, this::resumeAccepting);
         }
     }
 
     private void resumeAccepting() {
-        if (paused && key.isValid()) {
+        if (paused && acceptKey.isValid()) {
             paused = false;
-            key.interestOps(SelectionKey.OP_ACCEPT);
+            acceptKey.interestOps(SelectionKey.OP_ACCEPT);
         }
     }
 
@@ -194,21 +196,21 @@
 
     @Override
     public void connectionIdle(ClientConnection client) {
-        idle.add(client);
-        if (draining && !listener.isOpen()) {
+        idleClients.add(client);
+        if (draining && !listeningSocket.isOpen()) {
             closeGracefullyIfIdle(client);
         }
     }
 
     @Override
     public void connectionBusy(ClientConnection client) {
-        idle.remove(client);
-        silent.remove(client);
+        idleClients.remove(client);
+        silentClients.remove(client);
     }
 
     @Override
     public void connectionLingering(ClientConnection client) {
-        lingering.add(client);
+        lingeringClients.add(client);
     }
 
     @Override
@@ -219,10 +221,10 @@
     @Override
     public void connectionClosed(ClientConnection client) {
         budget.clientClosed();
-        idle.remove(client);
-        silent.remove(client);
-        lingering.remove(client);
-        open.remove(client);
+        idleClients.remove(client);
+        silentClients.remove(client);
+        lingeringClients.remove(client);
+        openClients.remove(client);
         if (paused) {
             loop.runAfterCurrentEvent(this::resumeAccepting);
         }
@@ -230,39 +232,39 @@
 
     @Override
     public boolean closesAfterResponse(boolean moreReceived) {
-        if (moreReceived && listener.isOpen()) {
-            return false; // responses are owed to all requests that arrive while connections are still accepted
+        if (moreReceived && listeningSocket.isOpen()) {
+            return false; // each request that arrives while connections are still accepted gets a response
         }
-        return draining || paused; // while others wait for room a client has to come back on a new connection
+        return draining || paused; // while paused, clients reconnect per request, so that all get room
     }
 
-    /** Starts the graceful shutdown: from now on each response is its connection's last. */
+    /** Starts the graceful shutdown: from now on, each connection closes after its next response. */
     void startDraining() {
         draining = true;
     }
 
-    /** Accepts the connections that are queued by now and no further ones, and closes idle connections. */
+    /** Accepts the connections in the backlog, closes the listening socket, and closes idle connections. */
     void stopAccepting() {
         try {
-            for (int before = -1; before != open.size() && !paused; ) {
-                before = open.size();
-                accept();
+            for (int previousCount = -1; previousCount != openClients.size() && !paused; ) {
+                previousCount = openClients.size();
+                acceptPendingConnections();
             }
-            listener.close();
+            listeningSocket.close();
         } catch (IOException e) {
-            LOG.warning("the listening socket did not close cleanly", e.getMessage());
+            LOG.warning("accepting the last connections or closing the listening socket failed", e.getMessage());
         }
-        new ArrayList<>(open).forEach(ClientListener::closeGracefullyIfIdle);
+        new ArrayList<>(openClients).forEach(ClientListener::closeGracefullyIfIdle);
     }
 
     /** Whether no client is connected. */
     boolean isEmpty() {
-        return open.isEmpty();
+        return openClients.isEmpty();
     }
 
-    /** Closes the listening socket and all connections. */
+    /** Closes the listening socket and all client connections. */
     void close() throws IOException {
-        listener.close();
-        new ArrayList<>(open).forEach(ClientConnection::close);
+        listeningSocket.close();
+        new ArrayList<>(openClients).forEach(ClientConnection::close);
     }
 }
--- a/src/main/java/hopdrum/frontdoor/CounterClient.java
+++ b/src/main/java/hopdrum/frontdoor/CounterClient.java
@@ -11,28 +11,32 @@
 import java.util.List;
 import java.util.Objects;
 
-/** Calls the counter over a few connections. A name keeps to one of them, so that its responses arrive in order. */
+/**
+ * Calls the counter over a few connections. All calls for one name use the same connection, so that their responses
+ * arrive in order.
+ */
 final class CounterClient implements CounterConnection.Listener {
     private static final Log LOG = new Log("counter");
-    private static final int CONNECTIONS = 2;
-    private static final long MIN_STALL_US = 250_000;
-    private static final long MAX_STALL_US = 8_000_000;
+    private static final int CONNECTION_COUNT = 2;
+    private static final long MIN_STALL_LIMIT_US = 250_000;
+    private static final long MAX_STALL_LIMIT_US = 8_000_000;
 
-    /** Is notified of the ends of calls. */
+    /** Is notified when calls end. */
     interface Listener {
-        /** See {@link CounterConnection.Listener#callEnded}. */
+        /** Called when a call has ended; see {@link CounterConnection.Listener#callEnded}. */
         void callEnded(long name, Outcome outcome, double total, long tookUs);
     }
 
     private final EventLoop loop;
-    private SocketAddress address; // null without a counter
+    private SocketAddress address; // null if there is no counter
     private final long timeoutUs;
     private final ResourceBudget budget;
     private final Listener listener;
-    private long stallUs = MIN_STALL_US; // after which a silent connection is replaced
+    private long stallLimitUs = MIN_STALL_LIMIT_US; // how long a connection may be silent before it is replaced
     private long lastResponseUs;
-    private final CounterConnection[] connections = new CounterConnection[CONNECTIONS];
-    private final List<CounterConnection> draining = new ArrayList<>(); // to former addresses; removed when closed
+    private final CounterConnection[] connections = new CounterConnection[CONNECTION_COUNT];
+    // Connections to former addresses; each is removed when it closes.
+    private final List<CounterConnection> draining = new ArrayList<>();
 
     CounterClient(EventLoop loop, SocketAddress address, long timeoutUs, ResourceBudget budget, Listener listener) {
         this.loop = loop;
@@ -40,29 +44,33 @@
         this.timeoutUs = timeoutUs;
         this.budget = budget;
         this.listener = listener;
-        loop.scheduleAfter(MIN_STALL_US, this::replaceStalledConnections);
+        loop.scheduleAfter(MIN_STALL_LIMIT_US, this::replaceStalledConnections);
     }
 
-    /** New calls go to that address at once; pending calls end on their connections. Null if there is no counter. */
-    void updateAddress(SocketAddress current) {
-        if (Objects.equals(current, address)) {
+    /**
+     * Sends new calls to another address. Pending calls end on their present connections.
+     *
+     * @param newAddress the counter's address; null if there is no counter
+     */
+    void updateAddress(SocketAddress newAddress) {
+        if (Objects.equals(newAddress, address)) {
             return;
         }
-        address = current;
-        stallUs = MIN_STALL_US;
-        for (int i = 0; i < CONNECTIONS; i++) {
-            CounterConnection old = connections[i];
+        address = newAddress;
+        stallLimitUs = MIN_STALL_LIMIT_US;
+        for (int i = 0; i < CONNECTION_COUNT; i++) {
+            CounterConnection former = connections[i];
             connections[i] = null;
-            if (old != null) {
-                draining.add(old);
-                old.drain();
+            if (former != null) {
+                draining.add(former);
+                former.drain();
             }
         }
     }
 
-    /** Adds an amount to a name; the listener is notified of how it ended, never before this returns. */
+    /** Adds an amount to the count of a name. The listener is notified of the outcome after this method returns. */
     void add(long name, double amount, long timeToLiveMs) {
-        int index = Math.floorMod(Long.hashCode(name), CONNECTIONS);
+        int index = Math.floorMod(Long.hashCode(name), CONNECTION_COUNT);
         try {
             if (connections[index] == null && address != null) {
                 connections[index] = new CounterConnection(loop, address, timeoutUs, budget, this);
@@ -71,7 +79,7 @@
                 return;
             }
         } catch (IOException e) {
-            LOG.warning("no connection to the counter", e.getMessage());
+            LOG.warning("cannot open a connection to the counter", e.getMessage());
         }
         loop.runAfterCurrentEvent(() -> listener.callEnded(name, Outcome.CONNECT_FAILED, 0, 0));
     }
@@ -79,40 +87,41 @@
     @Override
     public void callEnded(long name, Outcome outcome, double total, long tookUs) {
         if (outcome == Outcome.OK) {
-            stallUs = MIN_STALL_US;
+            stallLimitUs = MIN_STALL_LIMIT_US;
             lastResponseUs = loop.nowUs();
         } else {
-            LOG.warning("a call to the counter ended as " + outcome, null);
+            LOG.warning("a call to the counter failed with outcome " + outcome, null);
         }
         listener.callEnded(name, outcome, total, tookUs);
     }
 
     /**
-     * Replaces connections that stand open and silent, as after the counter's machine vanished. The wait doubles each
-     * time, since the counter may still hold the old connections, and it holds 32 at most.
+     * Replaces connections that are open but unresponsive, for example after the counter's machine has failed. The time
+     * limit doubles with each replacement, because the counter may still hold the old connections, and it accepts at
+     * most 32.
      */
     private void replaceStalledConnections() {
         boolean replaced = false;
-        for (CounterConnection connection : all()) {
-            if (connection.isStalled(stallUs)) {
-                LOG.warning("a connection to the counter is silent and replaced", null);
+        for (CounterConnection connection : openConnections()) {
+            if (connection.isStalled(stallLimitUs)) {
+                LOG.warning("replaced an unresponsive connection to the counter", null);
                 connection.abandon();
                 replaced = true;
             }
         }
-        stallUs = replaced ? Math.min(MAX_STALL_US, 2 * stallUs) : stallUs;
-        loop.scheduleAfter(MIN_STALL_US / 4, this::replaceStalledConnections);
+        stallLimitUs = replaced ? Math.min(MAX_STALL_LIMIT_US, 2 * stallLimitUs) : stallLimitUs;
+        loop.scheduleAfter(MIN_STALL_LIMIT_US / 4, this::replaceStalledConnections);
     }
 
     @Override
-    public boolean hasRespondedSince(long us) {
-        return lastResponseUs > us;
+    public boolean hasRespondedSince(long sinceUs) {
+        return lastResponseUs > sinceUs;
     }
 
     @Override
     public void connectionClosed(CounterConnection connection) {
         draining.remove(connection);
-        for (int i = 0; i < CONNECTIONS; i++) {
+        for (int i = 0; i < CONNECTION_COUNT; i++) {
             if (connections[i] == connection) {
                 connections[i] = null;
             }
@@ -121,16 +130,16 @@
 
     /** Closes all connections. */
     void close() {
-        all().forEach(CounterConnection::close);
+        openConnections().forEach(CounterConnection::close);
     }
 
-    private List<CounterConnection> all() {
-        List<CounterConnection> all = new ArrayList<>(draining);
+    private List<CounterConnection> openConnections() {
+        List<CounterConnection> open = new ArrayList<>(draining);
         for (CounterConnection connection : connections) {
             if (connection != null) {
-                all.add(connection);
+                open.add(connection);
             }
         }
-        return all;
+        return open;
     }
 }
--- a/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
+++ b/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
@@ -14,41 +14,43 @@
 import java.util.Map;
 
 /**
- * Follows discovery's endpoint list by a watch that is reopened whenever it ends or falls silent. Fetches the complete
- * list after a line that could not be read, and after a change of discovery's address.
+ * Follows discovery's endpoint list through a watch, which is reopened whenever it ends or falls silent. Fetches the
+ * complete list after an invalid line and after a change of discovery's address.
  */
 final class DiscoveryClient {
     private static final Log LOG = new Log("discovery");
     private static final int MAX_BUFFER_BYTES = 64 << 10;
-    // A change that a silent watch misses counts as notified 6 s later: the silence that reveals it and two new watches
-    // that stay silent fit within that.
-    private static final long SILENCE_LIMIT_US = 3_000_000; // an empty line comes every 2 s
-    private static final long REOPENED_FIRST_LINE_US = 700_000; // a watch reopened after silence responds at once
-    private static final long MAX_FIRST_LINE_US = 2_000_000; // backoff: an outage may last
+    // A change that a silent watch misses counts as notified 6 s later. Detecting the silence and trying two further
+    // watches that stay silent too must take less than that.
+    private static final long SILENCE_LIMIT_US = 3_000_000; // discovery sends an empty line every 2 s
+    private static final long REOPENED_FIRST_LINE_TIMEOUT_US = 700_000; // discovery responds at once
+    private static final long MAX_FIRST_LINE_TIMEOUT_US = 2_000_000; // upper limit of the backoff during a long outage
     private static final long CHECK_INTERVAL_US = 250_000;
-    private static final long TRUNCATED_MESSAGE_US = 125_000; // without a byte in the middle of a message
-    private static final long FETCH_TIMEOUT_US = 1_000_000; // a fetched list comes at once
+    // An incomplete message counts as truncated after this time without another byte.
+    private static final long MESSAGE_STALL_LIMIT_US = 125_000;
+    private static final long FETCH_TIMEOUT_US = 1_000_000; // discovery responds to a fetch at once
 
-    /** Is notified of endpoint lists and of the loss of the watch. */
+    /** Is notified when an endpoint list arrives and when the watch is lost. */
     interface Listener {
         /**
-         * An endpoint list has arrived.
+         * Called when an endpoint list has arrived.
          *
-         * @param complete whether it names all backends; else it names changes
+         * @param backends the listed backends
+         * @param complete whether the list names all backends; if not, it names the changed ones
          */
         void endpointListReceived(List<DiscoveredBackend> backends, boolean complete);
 
-        /** Discovery has refused or ended the watch, or does not respond. */
+        /** Called when discovery has refused or ended the watch, or does not respond. */
         void watchLost();
     }
 
-    /** A line of a watch, or a fetched list. */
+    /** An endpoint list: one line of a watch, or a fetched complete list. */
     private record ListMessage(long version, boolean complete, Map<?, ?> fields) {
         static ListMessage parse(String line) {
             if (!(JsonReader.parse(line) instanceof Map<?, ?> fields)
                     || !(fields.get("seq") instanceof Double seq)
                     || !(fields.get("whole") instanceof Boolean complete)) {
-                throw new IllegalArgumentException("no list");
+                throw new IllegalArgumentException("an endpoint list needs a number \"seq\" and a boolean \"whole\"");
             }
             return new ListMessage(seq.longValue(), complete, fields);
         }
@@ -61,16 +63,17 @@
     private long version;
     private Connection watch;
     private Connection fetch;
-    private Connection formerWatch; // at the address before, until the complete list of the new one has arrived
+    private Connection formerWatch; // at the former address, until the complete list of the new one has arrived
     private long lastLineUs;
-    private long firstLineTimeoutUs = SILENCE_LIMIT_US; // of a new watch
+    private long firstLineTimeoutUs = SILENCE_LIMIT_US; // for the first line of a new watch
     private boolean completeListNeeded;
     private boolean closed;
 
     /**
-     * A client that does nothing before {@link #start()}.
+     * Creates a client that does nothing before {@link #start()}.
      *
-     * @param version of the last known list; -1 without one
+     * @param address discovery's address
+     * @param version the version of the last known list; -1 if there is none
      */
     DiscoveryClient(EventLoop loop, InetSocketAddress address, long version, ResourceBudget budget, Listener listener) {
         this.loop = loop;
@@ -80,54 +83,55 @@
         this.listener = listener;
     }
 
-    /** Opens the watch, and keeps it open until {@link #close()}. */
+    /** Opens the watch and keeps it open until {@link #close()}. */
     void start() {
-        checkPeriodically();
+        checkWatchPeriodically();
     }
 
-    private void checkPeriodically() {
+    private void checkWatchPeriodically() {
         if (!closed) {
-            check();
-            loop.scheduleAfter(CHECK_INTERVAL_US, this::checkPeriodically);
+            ensureWatchIsLive();
+            loop.scheduleAfter(CHECK_INTERVAL_US, this::checkWatchPeriodically);
         }
     }
 
     /**
-     * Follows discovery to another address. Versions there are not comparable: its complete list is fetched, and the
-     * last list stands until then.
+     * Switches to another address of discovery. List versions of different addresses are not comparable, so the
+     * complete list is fetched from the new address. The last list stays in force until that list has arrived.
      */
-    void updateAddress(InetSocketAddress current) {
-        if (current.equals(address)) {
+    void updateAddress(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = current;
+        address = newAddress;
         version = -1;
         completeListNeeded = true;
-        close(formerWatch);
+        closeIfOpen(formerWatch);
         formerWatch = watch;
         watch = null;
-        close(fetch);
-        check();
+        closeIfOpen(fetch);
+        ensureWatchIsLive();
     }
 
-    private void check() {
-        if (watch != null && loop.nowUs() - watch.lastReadUs > TRUNCATED_MESSAGE_US) {
-            watch.reader.flushIncompleteMessage(); // truncated: else only the next line, up to 2 s later, would show it
+    private void ensureWatchIsLive() {
+        if (watch != null && loop.nowUs() - watch.lastReadUs > MESSAGE_STALL_LIMIT_US) {
+            watch.reader.flushIncompleteMessage(); // else only the next line, up to 2 s later, would show the truncation
         }
         if (watch != null && loop.nowUs() - lastLineUs > silenceLimitUs()) {
-            LOG.warning("the watch is silent and is reopened", null);
-            boolean first = watch.hasReceivedLine || firstLineTimeoutUs == SILENCE_LIMIT_US;
-            firstLineTimeoutUs =
-                    first ? REOPENED_FIRST_LINE_US : Math.min(MAX_FIRST_LINE_US, firstLineTimeoutUs * 3 / 2);
+            LOG.warning("the watch has fallen silent, reopening it", null);
+            boolean isFirstSilence = watch.hasReceivedLine || firstLineTimeoutUs == SILENCE_LIMIT_US;
+            firstLineTimeoutUs = isFirstSilence
+                    ? REOPENED_FIRST_LINE_TIMEOUT_US
+                    : Math.min(MAX_FIRST_LINE_TIMEOUT_US, firstLineTimeoutUs * 3 / 2);
             watch.close();
             listener.watchLost();
         }
         if (watch == null) {
             lastLineUs = loop.nowUs();
-            watch = open(true);
+            watch = openConnection(true);
         }
         if (completeListNeeded && fetch == null) {
-            fetch = open(false);
+            fetch = openConnection(false);
         }
     }
 
@@ -138,11 +142,11 @@
         return watch.hasReceivedLine ? SILENCE_LIMIT_US : firstLineTimeoutUs;
     }
 
-    private Connection open(boolean isWatch) {
+    private Connection openConnection(boolean isWatch) {
         try {
             return new Connection(isWatch);
         } catch (IOException e) {
-            LOG.warning("no connection to discovery", e.getMessage());
+            LOG.warning("cannot open a connection to discovery", e.getMessage());
             listener.watchLost();
             return null;
         }
@@ -151,19 +155,19 @@
     /** Closes all connections. */
     void close() {
         closed = true;
-        close(watch);
-        close(fetch);
-        close(formerWatch);
+        closeIfOpen(watch);
+        closeIfOpen(fetch);
+        closeIfOpen(formerWatch);
     }
 
-    private static void close(Connection connection) {
+    private static void closeIfOpen(Connection connection) {
         if (connection != null) {
             connection.close();
         }
     }
 
-    private void lineReceived(String line, Connection from) {
-        if (from == watch) {
+    private void lineReceived(String line, Connection source) {
+        if (source == watch) {
             lastLineUs = loop.nowUs();
             watch.hasReceivedLine = true;
         }
@@ -171,31 +175,32 @@
             return;
         }
         try {
-            messageReceived(ListMessage.parse(line), from);
+            messageReceived(ListMessage.parse(line), source);
         } catch (IllegalArgumentException e) {
-            LOG.warning("a line from discovery cannot be read, the complete list is fetched", e.getMessage());
-            completeListNeeded = from != formerWatch || completeListNeeded;
-            if (from == watch && fetch == null) {
-                fetch = open(false);
+            LOG.warning("invalid line from discovery, fetching the complete list", e.getMessage());
+            completeListNeeded = source != formerWatch || completeListNeeded;
+            if (source == watch && fetch == null) {
+                fetch = openConnection(false);
             }
         }
     }
 
-    private void messageReceived(ListMessage message, Connection from) {
-        if (from != watch && from != formerWatch && message.version < version) {
-            return; // the watch has brought a newer list since
+    private void messageReceived(ListMessage message, Connection source) {
+        if (source != watch && source != formerWatch && message.version < version) {
+            return; // the watch has delivered a newer list in the meantime
         }
         listener.endpointListReceived(DiscoveredBackend.parseList(message.fields), message.complete);
-        if (from == formerWatch) {
+        if (source == formerWatch) {
             return; // versions at the former address are not comparable
         }
         if (message.complete) {
             completeListNeeded = false;
-            close(formerWatch);
+            closeIfOpen(formerWatch);
         }
         version = message.version;
     }
 
+    /** A connection to discovery, for a watch or for one fetch of the complete list. */
     private final class Connection extends StreamConnection {
         private final boolean isWatch;
         private final EndpointListReader reader;
@@ -222,7 +227,7 @@
                     close();
                 }
             } catch (MalformedMessageException e) {
-                LOG.warning("discovery's response cannot be read", e.getMessage());
+                LOG.warning("invalid response from discovery", e.getMessage());
                 close();
             }
         }
@@ -230,9 +235,9 @@
         @Override
         protected void disconnected(CloseCause cause) {
             if (isWatch) {
-                LOG.info("the watch has ended and is reopened", null);
-                firstLineTimeoutUs =
-                        SILENCE_LIMIT_US; // after an outage discovery may serve its callers one after another
+                LOG.info("the watch has ended, reopening it", null);
+                // After an outage discovery may serve its clients one after another.
+                firstLineTimeoutUs = SILENCE_LIMIT_US;
                 listener.watchLost();
             }
         }
--- a/src/main/java/hopdrum/frontdoor/EndpointUpdater.java
+++ b/src/main/java/hopdrum/frontdoor/EndpointUpdater.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Applies endpoint lists to the directory of backends and notifies Policy of them. */
+/** Applies endpoint lists to the backend directory and passes the resulting endpoints on to Policy. */
 final class EndpointUpdater {
     private static final Log LOG = new Log("frontdoor");
     private static final int BACKEND_TIER = 0;
@@ -17,7 +17,7 @@
 
     private final BackendDirectory directory;
     private final Policy policy;
-    private boolean anyListed;
+    private boolean hasListedBackend;
 
     EndpointUpdater(BackendDirectory directory, Policy policy) {
         this.directory = directory;
@@ -25,10 +25,10 @@
     }
 
     /**
-     * Applies the list that the configuration caches, if any.
+     * Applies the endpoint list that the configuration caches, if any.
      *
-     * @param cached the list as parsed from JSON; null without one
-     * @return the list's version; -1 without a usable list
+     * @param cached the list as parsed from JSON; null if there is none
+     * @return the list's version; -1 if there is no valid list
      */
     long applyCached(Map<?, ?> cached) {
         if (cached == null || !(cached.get("seq") instanceof Double seq)) {
@@ -37,31 +37,35 @@
         try {
             List<Endpoint> endpoints = directory.applyEndpointList(DiscoveredBackend.parseList(cached), true);
             policy.endpointsUpdated(BACKEND_TIER, Endpoint.UpdateKind.CACHED, endpoints);
-            anyListed = !endpoints.isEmpty();
+            hasListedBackend = !endpoints.isEmpty();
             return seq.longValue();
         } catch (IllegalArgumentException e) {
-            LOG.warning("the cached endpoint list cannot be read", e.getMessage());
+            LOG.warning("invalid cached endpoint list", e.getMessage());
             return NO_VERSION;
         }
     }
 
-    /** Applies a list of discovery's: all backends if it is complete, else changes. */
+    /**
+     * Applies an endpoint list from discovery.
+     *
+     * @param complete whether the list names all backends; if not, it names the changed ones
+     */
     void applyDiscovered(List<DiscoveredBackend> backends, boolean complete) {
         List<Endpoint> endpoints = directory.applyEndpointList(backends, complete);
-        anyListed |= !endpoints.isEmpty();
+        hasListedBackend |= !endpoints.isEmpty();
         if (complete || !endpoints.isEmpty()) {
             policy.endpointsUpdated(
                     BACKEND_TIER, complete ? Endpoint.UpdateKind.COMPLETE : Endpoint.UpdateKind.INCREMENTAL, endpoints);
         }
     }
 
-    /** Applies the complete list of another tier's front doors. */
+    /** Applies the complete list of the partner front doors of another tier. */
     void applyPartners(int tier, List<ShardOwnership.PartnerEndpoint> partners) {
         policy.endpointsUpdated(tier, Endpoint.UpdateKind.COMPLETE, directory.applyPartners(tier, partners));
     }
 
-    /** Whether any list has named a backend so far. */
+    /** Whether any endpoint list has named a backend so far. */
     boolean hasEndpoints() {
-        return anyListed;
+        return hasListedBackend;
     }
 }
--- a/src/main/java/hopdrum/frontdoor/FleetSuppliers.java
+++ b/src/main/java/hopdrum/frontdoor/FleetSuppliers.java
@@ -5,27 +5,27 @@
 import hopdrum.host.ZoneLatencies;
 import java.util.function.Supplier;
 
-/** What a fleet and its partners supply to the front door. Each is looked up anew whenever Policy needs it. */
+/** Holds the suppliers of the fleet's and its partners' state. Each is called anew whenever Policy needs its value. */
 final class FleetSuppliers {
     private Supplier<QuotaLease> quotaLease = () -> null;
     private Supplier<ZoneLatencies> zoneLatencies = () -> null;
-    private Supplier<ShardOwnership> shardOwnership; // null where no partners share the customers
+    private Supplier<ShardOwnership> shardOwnership; // null if no partners share the customers
 
-    void setFleetSuppliers(Supplier<QuotaLease> lease, Supplier<ZoneLatencies> latencies) {
-        quotaLease = lease;
-        zoneLatencies = latencies;
+    void setFleetSuppliers(Supplier<QuotaLease> quotaLeaseSupplier, Supplier<ZoneLatencies> zoneLatenciesSupplier) {
+        quotaLease = quotaLeaseSupplier;
+        zoneLatencies = zoneLatenciesSupplier;
     }
 
-    void setShardOwnershipSupplier(Supplier<ShardOwnership> ownership) {
-        shardOwnership = ownership;
+    void setShardOwnershipSupplier(Supplier<ShardOwnership> shardOwnershipSupplier) {
+        shardOwnership = shardOwnershipSupplier;
     }
 
-    /** Null where there is no fleet. */
+    /** Returns the current quota lease; null if there is no fleet. */
     QuotaLease quotaLease() {
         return quotaLease.get();
     }
 
-    /** Null where there is no fleet, or its latency map is not to be trusted. */
+    /** Returns the current zone latencies; null if there is no fleet or its latency map is not reliable. */
     ZoneLatencies zoneLatencies() {
         return zoneLatencies.get();
     }
@@ -35,7 +35,7 @@
         return shardOwnership != null;
     }
 
-    /** Null where no partners share the customers, and before they have settled who owns which shard. */
+    /** Returns the shard owners; null if no partners share the customers or the owners are not settled yet. */
     ShardOwnership shardOwnership() {
         return shardOwnership == null ? null : shardOwnership.get();
     }
--- a/src/main/java/hopdrum/frontdoor/FrontDoor.java
+++ b/src/main/java/hopdrum/frontdoor/FrontDoor.java
@@ -18,18 +18,19 @@
 import java.util.function.Supplier;
 
 /**
- * One front door: builds the parts that serve clients' requests, and runs them until the graceful shutdown. All methods
- * are called on the event loop's thread, or before the loop runs.
+ * A front door: builds the parts that serve client requests and runs them until the graceful shutdown. All methods must
+ * be called on the event loop's thread, or before the loop runs.
  */
 public final class FrontDoor {
     private static final Log LOG = new Log("frontdoor");
     private static final long TRANSFER_TIMEOUT_US = 2_500_000;
-    private static final long BUFFER_SHARE_OF_MEMORY = 6; // one sixth
-    private static final long DISCOVERY_TIMEOUT_US = 3_000_000; // after a release it may serve callers one by one
+    private static final long BUFFER_MEMORY_DIVISOR = 6; // buffers get one sixth
+    // After a release discovery may serve its clients one by one.
+    private static final long DISCOVERY_TIMEOUT_US = 3_000_000;
     private static final long HOUSEKEEPING_INTERVAL_US = 250_000;
-    private static final long SHUTDOWN_ACCEPT_US = 500_000;
-    private static final long SHUTDOWN_POLL_US = 10_000;
-    private static final long SLOW_SHUTDOWN_US = 3_500_000;
+    private static final long SHUTDOWN_ACCEPT_PERIOD_US = 500_000;
+    private static final long SHUTDOWN_POLL_INTERVAL_US = 10_000;
+    private static final long SLOW_SHUTDOWN_LOG_DELAY_US = 3_500_000;
 
     private final Config config;
     private final EventLoop loop;
@@ -41,11 +42,11 @@
     private final EndpointUpdater endpoints;
     private final DiscoveryClient discovery;
     private final ClientListener clients;
-    private Runnable discoveryLost = () -> {};
+    private Runnable discoveryLostListener = () -> {};
 
     /**
-     * Binds the listening socket and connects to discovery. Clients are served once the loop runs and discovery has
-     * answered, or has not answered in time.
+     * Binds the listening socket and connects to discovery. Clients are accepted once the loop runs and discovery has
+     * responded or its response is overdue.
      *
      * @throws IOException if a socket cannot be opened or bound
      */
@@ -53,7 +54,7 @@
         this.config = config;
         this.loop = loop;
         budget = new ResourceBudget(
-                config.maxDescriptors(), config.memoryMb() * (1L << 20) / BUFFER_SHARE_OF_MEMORY, TRANSFER_TIMEOUT_US);
+                config.maxDescriptors(), config.memoryMb() * (1L << 20) / BUFFER_MEMORY_DIVISOR, TRANSFER_TIMEOUT_US);
         directory = new BackendDirectory(config.zones(), config.kinds());
         RequestTally tally = new RequestTally(loop, requests, budget);
         AttemptDispatcher attempts = new AttemptDispatcher(config, loop, directory, requests, budget, tally);
@@ -68,7 +69,7 @@
 
             @Override
             public void watchLost() {
-                discoveryLost.run();
+                discoveryLostListener.run();
             }
         });
         discovery.start();
@@ -77,14 +78,14 @@
                 config.listen(),
                 budget,
                 new RequestHandler(config, loop, host.policy(), requests, tally, fleet, endpoints));
-        loop.execute(() -> loop.scheduleAfter(
-                DISCOVERY_TIMEOUT_US, this::startAccepting)); // the loop's clock stands still till then
+        // The timeout starts when the loop runs: the loop's clock does not advance before.
+        loop.execute(() -> loop.scheduleAfter(DISCOVERY_TIMEOUT_US, this::startAccepting));
         loop.scheduleAfter(HOUSEKEEPING_INTERVAL_US, this::closeUnusedConnections);
         tally.start();
     }
 
     /**
-     * The address on which clients are served.
+     * Returns the address on which clients are served.
      *
      * @throws IOException if the listening socket is closed
      */
@@ -92,22 +93,22 @@
         return clients.address();
     }
 
-    /** Sets what runs whenever discovery has refused or ended the watch, or does not respond. */
+    /** Sets the listener that runs whenever discovery has refused or ended the watch, or does not respond. */
     public void setDiscoveryLostListener(Runnable listener) {
-        discoveryLost = listener;
+        discoveryLostListener = listener;
     }
 
-    /** Sets where the fleet's quota lease and zone latencies are looked up, for each request that needs them. */
+    /** Sets the suppliers of the fleet's quota lease and zone latencies, called for each request that needs them. */
     public void setFleetSuppliers(Supplier<QuotaLease> quotaLease, Supplier<ZoneLatencies> zoneLatencies) {
         fleet.setFleetSuppliers(quotaLease, zoneLatencies);
     }
 
-    /** Sets where the owner of a shard is looked up, for each request; only where partners share the customers. */
+    /** Sets the supplier of the shard owners, called for each request. Unset if no partners share the customers. */
     public void setShardOwnershipSupplier(Supplier<ShardOwnership> ownership) {
         fleet.setShardOwnershipSupplier(ownership);
     }
 
-    /** Applies the complete list of another tier's front doors. */
+    /** Applies the complete list of the partner front doors of another tier. */
     public void updatePartnerEndpoints(int tier, List<ShardOwnership.PartnerEndpoint> partners) {
         endpoints.applyPartners(tier, partners);
     }
@@ -118,8 +119,8 @@
     }
 
     /**
-     * Clients are not accepted before discovery has answered, or is overdue: the cached list may name backends that
-     * have been drained since, and clients that connect during the start would be sent there.
+     * Starts accepting clients, once discovery has responded or its response is overdue. The cached list may name
+     * backends that have been drained since, and requests of clients accepted earlier would be sent there.
      */
     private void startAccepting() {
         try {
@@ -139,28 +140,30 @@
         loop.scheduleAfter(HOUSEKEEPING_INTERVAL_US, this::closeUnusedConnections);
     }
 
-    /** Follows discovery and the counter to the addresses of a new configuration; the rest of it takes a restart. */
+    /** Applies the addresses of discovery and the counter in a new configuration. Other changes need a restart. */
     public void reload(Config reloaded) {
-        LOG.info("a new configuration", "discovery " + reloaded.discovery() + ", counter " + reloaded.counter());
+        LOG.info(
+                "applying a new configuration",
+                "discovery " + reloaded.discovery() + ", counter " + reloaded.counter());
         discovery.updateAddress(reloaded.discovery());
         host.updateCounterAddress(reloaded.counter());
     }
 
     /**
-     * Starts the graceful shutdown: the front door is not ready any more, accepts connections for a while, finishes the
-     * requests in flight, and then stops the loop.
+     * Starts the graceful shutdown: the front door reports that it is not ready, accepts connections for another 0.5 s,
+     * finishes the requests in flight, and then stops the loop.
      */
     public void startGracefulShutdown() {
         LOG.info("stopping", requests.size() + " requests in flight");
         clients.startDraining();
-        loop.scheduleAfter(SHUTDOWN_ACCEPT_US, () -> {
+        loop.scheduleAfter(SHUTDOWN_ACCEPT_PERIOD_US, () -> {
             clients.stopAccepting();
             stopLoopOnceDrained();
         });
         loop.scheduleAfter(
-                SLOW_SHUTDOWN_US,
+                SLOW_SHUTDOWN_LOG_DELAY_US,
                 () -> LOG.info(
-                        "not stopped yet",
+                        "shutdown is not complete yet",
                         requests.size() + " requests in flight, clients=" + budget.clientConnections()));
     }
 
@@ -168,12 +171,12 @@
         if (clients.isEmpty()) {
             loop.stop();
         } else {
-            loop.scheduleAfter(SHUTDOWN_POLL_US, this::stopLoopOnceDrained);
+            loop.scheduleAfter(SHUTDOWN_POLL_INTERVAL_US, this::stopLoopOnceDrained);
         }
     }
 
     /**
-     * Closes all sockets, once the loop has ended.
+     * Closes all sockets. To be called after the loop has ended.
      *
      * @throws IOException if the listening socket does not close cleanly
      */
--- a/src/main/java/hopdrum/frontdoor/PeerMessenger.java
+++ b/src/main/java/hopdrum/frontdoor/PeerMessenger.java
@@ -11,21 +11,21 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Sends short messages to the other front doors and receives theirs, by UDP. Owns the one datagram socket. */
+/** Exchanges short UDP messages with the other front doors. Owns the datagram socket. */
 final class PeerMessenger implements EventLoop.ChannelHandler {
     private static final Log LOG = new Log("peers");
     private static final int MAX_MESSAGE_BYTES = 256;
-    private static final int MAX_RECEIVED_AT_ONCE = 64; // so that other sockets get their turn
+    private static final int MAX_MESSAGES_PER_EVENT = 64; // so that other sockets are served too
     private final DatagramChannel channel;
     private final List<InetSocketAddress> peers;
     private final Consumer<byte[]> listener;
-    private final ByteBuffer buffer = ByteBuffer.allocateDirect(MAX_MESSAGE_BYTES + 1);
+    private final ByteBuffer receiveBuffer = ByteBuffer.allocateDirect(MAX_MESSAGE_BYTES + 1);
 
     /**
      * Binds the socket.
      *
-     * @param peers the addresses of all front doors, by their gateway number
-     * @param listener is given each message of a peer, on the loop's thread
+     * @param peers the addresses of all front doors, indexed by gateway number
+     * @param listener receives each message of a peer, on the event loop's thread
      */
     PeerMessenger(EventLoop loop, SocketAddress listen, List<InetSocketAddress> peers, Consumer<byte[]> listener)
             throws IOException {
@@ -43,34 +43,34 @@
     }
 
     /**
-     * Sends a message, which may be lost. One that is too long, or to no peer, is dropped.
+     * Sends a message, which may be lost. A message that is too long or addressed to an unknown peer is dropped.
      *
-     * @param gateway the peer's place in the list of peers
+     * @param gateway the peer's index in the list of peers
      */
     void send(int gateway, byte[] message) {
         if (gateway < 0 || gateway >= peers.size() || message.length > MAX_MESSAGE_BYTES) {
             return;
         }
         try {
-            channel.send(ByteBuffer.wrap(message), peers.get(gateway)); // lost if the socket does not take it
+            channel.send(ByteBuffer.wrap(message), peers.get(gateway)); // lost if the send buffer is full
         } catch (IOException e) {
-            LOG.warning("a message to another front door was not sent", e.getMessage());
+            LOG.warning("sending a message to another front door failed", e.getMessage());
         }
     }
 
     @Override
     public void channelReady(SelectionKey key) throws IOException {
-        for (int i = 0; i < MAX_RECEIVED_AT_ONCE; i++) {
-            buffer.clear();
-            SocketAddress from = channel.receive(buffer);
-            if (from == null) {
+        for (int i = 0; i < MAX_MESSAGES_PER_EVENT; i++) {
+            receiveBuffer.clear();
+            SocketAddress sender = channel.receive(receiveBuffer);
+            if (sender == null) {
                 return;
             }
-            buffer.flip();
-            // Datagrams from elsewhere are dropped: only the sender's address tells who it is.
-            if (buffer.remaining() <= MAX_MESSAGE_BYTES && peers.indexOf(from) >= 0) {
-                byte[] message = new byte[buffer.remaining()];
-                buffer.get(message);
+            receiveBuffer.flip();
+            // Datagrams from unknown addresses are dropped: a sender is identified by its address alone.
+            if (receiveBuffer.remaining() <= MAX_MESSAGE_BYTES && peers.indexOf(sender) >= 0) {
+                byte[] message = new byte[receiveBuffer.remaining()];
+                receiveBuffer.get(message);
                 listener.accept(message);
             }
         }
@@ -78,15 +78,15 @@
 
     @Override
     public void channelFailed(Exception e) {
-        LOG.warning("the datagram socket failed to read", e.getMessage());
+        LOG.warning("receiving from the datagram socket failed", e.getMessage());
     }
 
-    /** Closes the socket. */
+    /** Closes the datagram socket. */
     void close() {
         try {
             channel.close();
         } catch (IOException e) {
-            LOG.warning("the datagram socket did not close cleanly", e.getMessage());
+            LOG.warning("closing the datagram socket failed", e.getMessage());
         }
     }
 }
--- a/src/main/java/hopdrum/frontdoor/PolicyHost.java
+++ b/src/main/java/hopdrum/frontdoor/PolicyHost.java
@@ -15,7 +15,7 @@
 import java.io.IOException;
 import java.net.SocketAddress;
 
-/** Carries out Policy's requests on sockets and timers. Owns Policy, the counter's client and the peers' messenger. */
+/** Implements Policy's host on sockets and timers. Owns Policy, the counter client and the peer messenger. */
 final class PolicyHost implements Host {
     private static final long UNSETTLED_OWNERSHIP_RETRY_US = 1_000_000;
 
@@ -26,7 +26,7 @@
     private final FleetSuppliers fleet;
     private final Policy policy;
     private final CounterClient counter;
-    private final PeerMessenger peers; // null where gateways send each other no messages
+    private final PeerMessenger peers; // null if gateways exchange no messages
     private EventLoop.Timer wakeUp;
 
     PolicyHost(
@@ -51,17 +51,17 @@
                 : new PeerMessenger(loop, config.peerListen(), config.peers(), policy::gossipReceived);
     }
 
-    /** The Policy whose requests are carried out here. */
+    /** Returns the Policy that this host serves. */
     Policy policy() {
         return policy;
     }
 
-    /** Follows the counter to another address; null if there is no counter any more. */
+    /** Changes the counter's address; null if there is no counter any more. */
     void updateCounterAddress(SocketAddress address) {
         counter.updateAddress(address);
     }
 
-    /** Closes the sockets to the counter and the peers. */
+    /** Closes the connections to the counter and the socket to the peers. */
     void close() {
         counter.close();
         if (peers != null) {
@@ -80,8 +80,8 @@
     }
 
     @Override
-    public void cancelAttempt(long requestId, int number) {
-        attempts.cancelAttempt(requestId, number);
+    public void cancelAttempt(long requestId, int attemptNumber) {
+        attempts.cancelAttempt(requestId, attemptNumber);
     }
 
     @Override
@@ -105,7 +105,7 @@
         if (client != null) {
             client.respond(status, retryAfterUs, false);
         }
-        if (request.handle() != null) { // else RequestHandler checks once it has the handle
+        if (request.handle() != null) { // else RequestHandler does this once it has the handle
             requests.removeIfDone(request);
         }
     }
@@ -134,7 +134,7 @@
         policy.wakeUp();
     }
 
-    /** Before anything is settled nobody knows who owns which shard. */
+    /** Returns an unknown owner until the partners have settled who owns which shard. */
     @Override
     public CustomerOwner customerOwner(long requestId, long customer) {
         if (!fleet.hasPartners()) {
@@ -162,7 +162,7 @@
         return fleet.quotaLease();
     }
 
-    /** Does nothing: discovery's watch is kept open from the start, whether the list has to be polled or not. */
+    /** Does nothing: discovery's watch, which is kept open from the start, delivers the endpoint list unasked. */
     @Override
     public void pollEndpointList() {}
 }
--- a/src/main/java/hopdrum/frontdoor/RequestHandler.java
+++ b/src/main/java/hopdrum/frontdoor/RequestHandler.java
@@ -10,7 +10,7 @@
 import hopdrum.frontdoor.wire.RequestHead;
 import hopdrum.policy.Policy;
 
-/** Hands clients' requests, and the news of clients that disconnect, to Policy. */
+/** Passes client requests on to Policy and notifies Policy of clients that disconnect. */
 final class RequestHandler implements ClientListener.RequestListener {
     private final EventLoop loop;
     private final Policy policy;
@@ -18,7 +18,7 @@
     private final RequestTally tally;
     private final FleetSuppliers fleet;
     private final EndpointUpdater endpoints;
-    private final RequestHead head; // of the request that is being handled
+    private final RequestHead head; // the head of the request that is being handled
     private final int gateways;
 
     RequestHandler(
@@ -56,11 +56,11 @@
                 loop.nowUs() + remainingUs,
                 hasPartners && RequestForwarder.isForwarded(client.receiveBuffer(), client.message()));
         if (request == null) {
-            throw new MalformedMessageException(409, "the X-Trace-Id is that of another request in flight");
+            throw new MalformedMessageException(409, "another request in flight has the same X-Trace-Id");
         }
         client.attachRequest(request);
         tally.requestReceived();
-        // With partners any front door takes any customer: its gateways are all that its shard's owner has.
+        // With partners, any front door accepts any customer, whose gateways are all those of the shard's owner.
         request.setHandle(policy.requestReceived(
                 request.id(),
                 head.method,
@@ -79,7 +79,7 @@
         request.detachClient();
         tally.clientDisconnected();
         if (request.handle() == null) {
-            requests.remove(request); // Policy failed to take it
+            requests.remove(request); // Policy threw an exception before it returned a handle
             return;
         }
         request.handle().clientLeft();
--- a/src/main/java/hopdrum/frontdoor/RequestTally.java
+++ b/src/main/java/hopdrum/frontdoor/RequestTally.java
@@ -5,7 +5,7 @@
 import hopdrum.frontdoor.lifecycle.EventLoop;
 import hopdrum.frontdoor.lifecycle.Log;
 
-/** Counts requests and their ends, and logs a summary of them periodically unless there were none. */
+/** Counts requests and their outcomes, and logs a summary every 10 s unless there was nothing to count. */
 final class RequestTally {
     private static final Log LOG = new Log("frontdoor");
     private static final long SUMMARY_INTERVAL_US = 10_000_000;
@@ -25,7 +25,7 @@
         this.budget = budget;
     }
 
-    /** Schedules the summaries. */
+    /** Starts logging summaries periodically. */
     void start() {
         loop.scheduleAfter(SUMMARY_INTERVAL_US, this::logSummary);
     }
@@ -46,7 +46,7 @@
         disconnected++;
     }
 
-    /** Counts a backend's or a partner's response by its status. */
+    /** Counts a response of a backend or a partner by its status. */
     void responseForwarded(int status) {
         ok += status == 200 ? 1 : 0;
         rejected += status == 429 || status == 503 ? 1 : 0;
@@ -56,7 +56,7 @@
     private void logSummary() {
         if (received + ok + rejected + aborted + disconnected != 0) {
             LOG.info(
-                    "in 10 s",
+                    "requests in the last 10 s",
                     "received=" + received + " ok=" + ok + " rejected=" + rejected + " aborted=" + aborted
                             + " disconnected=" + disconnected + "; now in_flight=" + requests.size() + " clients="
                             + budget.clientConnections() + " backends=" + budget.backendConnections());
--- a/src/main/java/hopdrum/frontdoor/server/Companion.java
+++ b/src/main/java/hopdrum/frontdoor/server/Companion.java
@@ -5,23 +5,23 @@
 import hopdrum.frontdoor.lifecycle.EventLoop;
 import java.io.IOException;
 
-/** A service that runs beside the front door, on threads of its own, and follows its lifecycle. */
+/** A service that runs in the front door's process, on its own threads, and follows the front door's lifecycle. */
 public interface Companion {
-    /** No companion. */
+    /** A companion that does nothing. */
     Companion NONE = new Companion() {
         @Override
-        public void frontDoorStarted(FrontDoor door) {
-            // nothing runs
+        public void frontDoorStarted(FrontDoor frontDoor) {
+            // nothing to do
         }
 
         @Override
         public void shutdownRequested() {
-            // nothing runs
+            // nothing to do
         }
 
         @Override
         public void close() {
-            // nothing runs
+            // nothing to do
         }
     };
 
@@ -29,23 +29,26 @@
     @FunctionalInterface
     interface Factory {
         /**
-         * Called before the front door listens: guards against clients that connect and wait while classes are loaded.
+         * Starts the companion. Called before the front door listens, so that no client connects and then waits while
+         * the companion's classes are loaded.
          *
-         * @throws IOException if it cannot start, which ends the start of the front door
+         * @throws IOException if the companion cannot start, which ends the start of the front door
          */
         Companion start(Config config, EventLoop loop) throws IOException;
     }
 
-    /** The front door has been made, on the event loop's thread; its loop runs from now on. */
-    void frontDoorStarted(FrontDoor door);
+    /** Called on the event loop's thread when the front door has been created, just before its loop runs. */
+    void frontDoorStarted(FrontDoor frontDoor);
 
-    /** SIGTERM has come; called on another thread, and before {@link #frontDoorStarted} if the signal comes early. */
+    /**
+     * Called on SIGTERM, on another thread than the event loop's, and possibly before {@link #frontDoorStarted}.
+     */
     void shutdownRequested();
 
     /**
-     * The event loop has ended, or the start has failed.
+     * Called when the event loop has ended or the start has failed.
      *
-     * @throws IOException if a resource cannot be given back
+     * @throws IOException if a resource cannot be released
      */
     void close() throws IOException;
 }
--- a/src/main/java/hopdrum/frontdoor/server/ConfigReload.java
+++ b/src/main/java/hopdrum/frontdoor/server/ConfigReload.java
@@ -8,24 +8,24 @@
 import sun.misc.Signal;
 
 /**
- * SIGHUP: the configuration is read anew, any number of times. Handled from the start, since a JVM ends on a SIGHUP that
- * nothing handles; one that comes early waits in the loop. A file that cannot be used changes nothing.
+ * Reloads the configuration on every SIGHUP. SIGHUP is handled from the start of the process, because a JVM without a
+ * handler exits on SIGHUP; an early reload waits until the loop runs. An invalid file changes nothing.
  */
 public final class ConfigReload {
     private static final Log LOG = new Log("server");
 
     private final Path file;
     private final EventLoop loop;
-    private long lastModifiedMs; // of the file as it was read last
-    private FrontDoor door; // set before the loop runs
+    private long lastModifiedMs; // modification time of the file when it was last read
+    private FrontDoor frontDoor; // set before the loop runs
 
     /**
-     * Handles SIGHUP from now on, in place of any other handler.
+     * Installs the SIGHUP handler, in place of any other.
      *
-     * @param file the configuration
-     * @param loop where it is read and taken over
-     * @param lastModifiedMs the file's time, looked at before the file was read: one replaced meanwhile is read again,
-     *     not missed
+     * @param file the configuration file
+     * @param loop the event loop on which the file is read and applied
+     * @param lastModifiedMs the modification time of the file, taken before the file was read, so that a file replaced
+     *     in the meantime is read again
      */
     public ConfigReload(Path file, EventLoop loop, long lastModifiedMs) {
         this.file = file;
@@ -34,19 +34,20 @@
         Signal.handle(new Signal("HUP"), signal -> loop.execute(this::reload));
     }
 
-    /** Sets the front door that takes new configurations over; called before the loop runs, or on its thread. */
+    /** Sets the front door to which new configurations apply. Called before the loop runs or on its thread. */
     public void attach(FrontDoor frontDoor) {
-        door = frontDoor;
+        this.frontDoor = frontDoor;
         frontDoor.setDiscoveryLostListener(() -> loop.execute(this::reloadIfReplaced));
     }
 
     /**
-     * Guards the drain rule after a start: the file may be replaced once it is read and before SIGHUP can be sent;
-     * discovery is then elsewhere, and nobody tells of backends that drain.
+     * Reloads the configuration without a SIGHUP if the file has been replaced. During the start, the file may be
+     * replaced after it was read and before SIGHUP can be sent. The front door would then watch a former address of
+     * discovery, would not learn which backends drain, and would keep sending them requests.
      */
     private void reloadIfReplaced() {
         if (file.toFile().lastModified() != lastModifiedMs) {
-            LOG.info("discovery is gone and the configuration was replaced: reloading", null);
+            LOG.info("lost discovery and the configuration file has been replaced, reloading it", null);
             reload();
         }
     }
@@ -54,9 +55,9 @@
     private void reload() {
         lastModifiedMs = file.toFile().lastModified();
         try {
-            door.reload(Config.read(file));
+            frontDoor.reload(Config.read(file));
         } catch (IllegalArgumentException e) {
-            LOG.warning("the new configuration is unusable, keeping the old one", e.getMessage());
+            LOG.warning("invalid new configuration, keeping the current one", e.getMessage());
         }
     }
 }
--- a/src/main/java/hopdrum/frontdoor/server/ExampleRequests.java
+++ b/src/main/java/hopdrum/frontdoor/server/ExampleRequests.java
@@ -8,27 +8,27 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Requests as clients of a configuration would write them, for the warm-up and the training run. */
+/** Example client requests that fit a configuration, for the warm-up and the training run. */
 final class ExampleRequests {
-    private static final int CUSTOMERS = 10;
+    private static final int CUSTOMER_COUNT = 10;
     private static final byte[] READINESS_CHECK = ascii("GET /health/ready HTTP/1.1\r\n\r\n");
 
     private ExampleRequests() {}
 
-    /** One RPC of each method and plan, from a few customers each. */
-    static List<byte[]> rpcs(Config config) {
-        List<byte[]> rpcs = new ArrayList<>();
-        for (int customer = 0; customer < CUSTOMERS; customer++) {
+    /** Returns one request for each combination of method, plan and a few customers. */
+    static List<byte[]> forAllMethodsAndPlans(Config config) {
+        List<byte[]> requests = new ArrayList<>();
+        for (int customer = 0; customer < CUSTOMER_COUNT; customer++) {
             for (int plan = 0; plan < config.plans().size(); plan++) {
                 for (String method : config.methods()) {
-                    rpcs.add(rpc(config, method, plan, customer));
+                    requests.add(request(config, method, plan, customer));
                 }
             }
         }
-        return rpcs;
+        return requests;
     }
 
-    private static byte[] rpc(Config config, String method, int plan, int customer) {
+    private static byte[] request(Config config, String method, int plan, int customer) {
         boolean isGet = config.settings()
                         .methods()
                         .get(config.methods().indexOf(method))
@@ -43,11 +43,11 @@
                 + "Quota-Info: units=1,spread=1,first=0\r\n\r\n" + (isGet ? "" : "12345678"));
     }
 
-    /** A readiness check and one RPC, one after the other. */
-    static byte[] readinessCheckAndRpc(Config config) {
-        byte[] rpc = rpcs(config).get(0);
-        byte[] both = Arrays.copyOf(READINESS_CHECK, READINESS_CHECK.length + rpc.length);
-        System.arraycopy(rpc, 0, both, READINESS_CHECK.length, rpc.length);
-        return both;
+    /** Returns a readiness check and one request, pipelined. */
+    static byte[] readinessCheckAndRequest(Config config) {
+        byte[] request = forAllMethodsAndPlans(config).get(0);
+        byte[] pipelined = Arrays.copyOf(READINESS_CHECK, READINESS_CHECK.length + request.length);
+        System.arraycopy(request, 0, pipelined, READINESS_CHECK.length, request.length);
+        return pipelined;
     }
 }
--- a/src/main/java/hopdrum/frontdoor/server/Server.java
+++ b/src/main/java/hopdrum/frontdoor/server/Server.java
@@ -12,19 +12,19 @@
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 
-/** Runs one front door from its start to its end: the process as the operators see it. */
+/** Runs a front door as a process, from its start to its end. */
 public final class Server {
     private static final Log LOG = new Log("server");
 
     private Server() {}
 
-    /** Called once the front door listens, before its loop runs. */
+    /** Is notified when the front door listens, before its loop runs. */
     private interface StartListener {
-        void started(Config config, EventLoop loop, FrontDoor door) throws IOException;
+        void frontDoorStarted(Config config, EventLoop loop, FrontDoor frontDoor) throws IOException;
     }
 
     /**
-     * Runs until SIGTERM.
+     * Runs a front door until SIGTERM.
      *
      * @param configFile the configuration's path; null if the environment names none
      * @return the process's exit code
@@ -34,27 +34,28 @@
     }
 
     /**
-     * Runs until SIGTERM, with a companion.
+     * Runs a front door and a companion until SIGTERM.
      *
      * @param configFile the configuration's path; null if the environment names none
+     * @param companionFactory starts the companion
      * @return the process's exit code
      */
-    public static int serve(String configFile, Companion.Factory companions) {
+    public static int serve(String configFile, Companion.Factory companionFactory) {
         ShutdownHook hook = new ShutdownHook();
         int exitCode = run(
                 configFile,
                 "serve",
                 (config, loop) -> {
-                    Companion companion = companions.start(config, loop);
-                    hook.companionStarted(companion);
+                    Companion companion = companionFactory.start(config, loop);
+                    hook.setCompanion(companion);
                     return companion;
                 },
-                (config, loop, door) -> {
-                    hook.serving(loop, door);
+                (config, loop, frontDoor) -> {
+                    hook.setFrontDoor(loop, frontDoor);
                     LOG.info("serving as " + config.name(), config.listen());
                 });
         if (exitCode == 0) {
-            hook.completed();
+            hook.markSuccessful();
         } else {
             hook.remove();
         }
@@ -62,8 +63,8 @@
     }
 
     /**
-     * Starts, answers one readiness check and one RPC without any backend, and ends: so that the classes that a front
-     * door needs are loaded, for the class archive that the JVM writes at its exit.
+     * Runs a front door that responds to one readiness check and one request, without any backend, and then ends. This
+     * loads the classes that a front door needs, for the class archive that the JVM writes at its exit.
      *
      * @param configFile the configuration's path; null if the environment names none
      * @return the process's exit code
@@ -73,20 +74,20 @@
                 configFile,
                 "train",
                 (config, loop) -> Companion.NONE,
-                (config, loop, door) -> new Thread(
+                (config, loop, frontDoor) -> new Thread(
                                 () -> {
-                                    sendExamples(door, config);
+                                    sendExampleRequests(frontDoor, config);
                                     loop.execute(loop::stop);
                                 },
                                 "client")
                         .start());
     }
 
-    private static void sendExamples(FrontDoor door, Config config) {
+    private static void sendExampleRequests(FrontDoor frontDoor, Config config) {
         try (Socket socket = new Socket()) {
-            SocketAddress address = door.address();
+            SocketAddress address = frontDoor.address();
             socket.connect(address);
-            socket.getOutputStream().write(ExampleRequests.readinessCheckAndRpc(config));
+            socket.getOutputStream().write(ExampleRequests.readinessCheckAndRequest(config));
             socket.shutdownOutput();
             socket.getInputStream().readAllBytes();
         } catch (IOException e) {
@@ -95,7 +96,7 @@
     }
 
     private static int run(
-            String configFile, String command, Companion.Factory companions, StartListener startListener) {
+            String configFile, String command, Companion.Factory companionFactory, StartListener startListener) {
         long lastModifiedMs = configFile == null ? 0 : new File(configFile).lastModified();
         Config config;
         try {
@@ -108,14 +109,14 @@
             EventLoop loop = new EventLoop();
             ConfigReload reload = new ConfigReload(Path.of(configFile), loop, lastModifiedMs);
             Warmup.run(config);
-            Companion companion = companions.start(config, loop);
+            Companion companion = companionFactory.start(config, loop);
             try {
-                FrontDoor door = new FrontDoor(config, loop);
-                reload.attach(door);
-                companion.frontDoorStarted(door);
-                startListener.started(config, loop, door);
+                FrontDoor frontDoor = new FrontDoor(config, loop);
+                reload.attach(frontDoor);
+                companion.frontDoorStarted(frontDoor);
+                startListener.frontDoorStarted(config, loop, frontDoor);
                 loop.run();
-                door.close();
+                frontDoor.close();
                 loop.close();
             } finally {
                 companion.close();
@@ -135,7 +136,7 @@
         try {
             return Config.read(Path.of(configFile));
         } catch (InvalidPathException e) {
-            throw new InvalidConfigException("LB_CONFIG is no path", e);
+            throw new InvalidConfigException("LB_CONFIG is not a valid path", e);
         }
     }
 }
--- a/src/main/java/hopdrum/frontdoor/server/ShutdownHook.java
+++ b/src/main/java/hopdrum/frontdoor/server/ShutdownHook.java
@@ -4,41 +4,41 @@
 import hopdrum.frontdoor.lifecycle.EventLoop;
 
 /**
- * SIGTERM, handled from the start on: a process that is told to stop before it listens ends at once, as a success; later
- * it ends once its loop has. Made on the thread that runs the loop.
+ * Handles SIGTERM from the start of the process. A process that is terminated before it listens exits at once with
+ * success; later it exits once its event loop has ended. To be created on the thread that runs the event loop.
  */
 final class ShutdownHook {
     private final Thread serverThread = Thread.currentThread();
     private final Thread hook = new Thread(this::shutDown, "on-sigterm");
-    private volatile int exitCode = 1; // until the loop has ended as it should
+    private volatile int exitCode = 1; // until the event loop has ended normally
     private EventLoop loop;
-    private FrontDoor door;
+    private FrontDoor frontDoor;
     private Companion companion = Companion.NONE;
 
     ShutdownHook() {
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
-    synchronized void companionStarted(Companion started) {
-        companion = started;
+    synchronized void setCompanion(Companion companion) {
+        this.companion = companion;
     }
 
-    synchronized void serving(EventLoop ofLoop, FrontDoor ofDoor) {
-        loop = ofLoop;
-        door = ofDoor;
+    synchronized void setFrontDoor(EventLoop loop, FrontDoor frontDoor) {
+        this.loop = loop;
+        this.frontDoor = frontDoor;
     }
 
-    /** The loop has ended as it should: the process ends as a success. */
-    void completed() {
+    /** Called when the event loop has ended normally, so that the process exits with success. */
+    void markSuccessful() {
         exitCode = 0;
     }
 
-    /** The start has failed: being told to stop makes no success of it. */
+    /** Called when the start has failed, so that the process exits with an error even if SIGTERM arrives. */
     void remove() {
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
-            // Told to stop meanwhile: the hook waits for this thread, and an exit from here would wait for the hook.
+            // SIGTERM has already arrived: the hook waits for this thread, and a normal exit would wait for the hook.
             Runtime.getRuntime().halt(1);
         }
     }
@@ -46,10 +46,10 @@
     private void shutDown() {
         synchronized (this) {
             companion.shutdownRequested();
-            if (door == null) {
+            if (frontDoor == null) {
                 Runtime.getRuntime().halt(0);
             }
-            loop.execute(door::startGracefulShutdown);
+            loop.execute(frontDoor::startGracefulShutdown);
         }
         try {
             serverThread.join();
--- a/src/main/java/hopdrum/frontdoor/server/Warmup.java
+++ b/src/main/java/hopdrum/frontdoor/server/Warmup.java
@@ -24,36 +24,36 @@
 import java.util.Map;
 
 /**
- * Loads and compiles the ordinary path before the first client comes: guards against the first RPCs of a process taking
- * so long that their calls to the counter time out. Parsers, writers and a Policy of its own handle simulated RPCs on a
- * simulated clock, without a socket; nothing of it is kept.
+ * Loads and compiles the classes on the usual path of a request before the first client connects. Without the warm-up,
+ * the first requests of a process take so long that their calls to the counter time out. Parsers, writers and a
+ * separate Policy handle simulated requests on a simulated clock, without sockets. No state is kept.
  */
 public final class Warmup implements Host {
-    private static final int MAX_RPCS = 500;
-    private static final long MAX_NANOS = 400_000_000L;
-    private static final RingBuffer.MemoryListener NO_ACCOUNT = byBytes -> {};
-    private static final int RING_BYTES = 1 << 17;
-    private static final int COUNTER_RING_BYTES = 1 << 16;
+    private static final int MAX_REQUESTS = 500;
+    private static final long MAX_DURATION_NANOS = 400_000_000L;
+    private static final RingBuffer.MemoryListener NO_MEMORY_LISTENER = bytes -> {};
+    private static final int BUFFER_BYTES = 1 << 17;
+    private static final int COUNTER_BUFFER_BYTES = 1 << 16;
     private static final long STEP_US = 500;
-    private static final int STEPS_PER_RPC = 4;
+    private static final int STEPS_PER_REQUEST = 4;
     private static final byte[] BACKEND_RESPONSE =
             ascii("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 8\r\n\r\n12345678");
     private static final byte[] COUNTER_RESPONSE = ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n12.5");
 
     private final Config config;
-    private final List<byte[]> requests;
+    private final List<byte[]> requestMessages;
     private final RequestHead head;
-    private final RingBuffer client = new RingBuffer(RING_BYTES, NO_ACCOUNT);
-    private final RingBuffer toClient = new RingBuffer(RING_BYTES, NO_ACCOUNT);
-    private final RingBuffer backend = new RingBuffer(RING_BYTES, NO_ACCOUNT);
-    private final RingBuffer counter = new RingBuffer(COUNTER_RING_BYTES, NO_ACCOUNT);
-    private final HttpReader request = new HttpReader(HttpReader.Kind.REQUEST);
-    private final HttpReader response = new HttpReader(HttpReader.Kind.RESPONSE);
-    private final Deque<Runnable> replies = new ArrayDeque<>();
-    private final Map<Long, Request> openRpcs = new HashMap<>();
+    private final RingBuffer fromClient = new RingBuffer(BUFFER_BYTES, NO_MEMORY_LISTENER);
+    private final RingBuffer toClient = new RingBuffer(BUFFER_BYTES, NO_MEMORY_LISTENER);
+    private final RingBuffer backendBuffer = new RingBuffer(BUFFER_BYTES, NO_MEMORY_LISTENER);
+    private final RingBuffer counterBuffer = new RingBuffer(COUNTER_BUFFER_BYTES, NO_MEMORY_LISTENER);
+    private final HttpReader requestReader = new HttpReader(HttpReader.Kind.REQUEST);
+    private final HttpReader responseReader = new HttpReader(HttpReader.Kind.RESPONSE);
+    private final Deque<Runnable> pendingResponses = new ArrayDeque<>();
+    private final Map<Long, Request> openRequests = new HashMap<>();
     private final Policy policy;
     private long nowUs = 1_000_000_000_000L;
-    private long wakeAtUs = Long.MAX_VALUE;
+    private long wakeUpAtUs = Long.MAX_VALUE;
 
     private Warmup(Config config) {
         this.config = config;
@@ -63,37 +63,38 @@
                 config.settings().methods(),
                 config.settings().gatewayCount(),
                 config.maxUnits());
-        requests = ExampleRequests.rpcs(config);
+        requestMessages = ExampleRequests.forAllMethodsAndPlans(config);
         policy = new Policy(config.settings(), 1, this);
         policy.endpointsUpdated(0, Endpoint.UpdateKind.CACHED, List.of(endpoint(1), endpoint(2), endpoint(3)));
     }
 
-    private static Endpoint endpoint(long backend) {
-        return new Endpoint(backend, 0, 0, 0, Endpoint.State.READY, 1, 0);
+    private static Endpoint endpoint(long backendId) {
+        return new Endpoint(backendId, 0, 0, 0, Endpoint.State.READY, 1, 0);
     }
 
-    /** Handles some hundred RPCs, or as many as there is time for, with a configuration's settings. */
+    /** Handles up to 500 simulated requests, with the settings of a configuration; stops early after 400 ms. */
     public static void run(Config config) {
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         Warmup warmup = new Warmup(config);
-        int rpcs = 0;
+        int handled = 0;
         try {
-            while (rpcs < MAX_RPCS && System.nanoTime() - start < MAX_NANOS) {
-                warmup.runRpc(rpcs++);
+            while (handled < MAX_REQUESTS && System.nanoTime() - startNanos < MAX_DURATION_NANOS) {
+                warmup.handleRequest(handled++);
             }
         } catch (MalformedMessageException e) {
-            throw new IllegalStateException("a message of this program's own cannot be read", e);
+            throw new IllegalStateException("a simulated message is malformed", e);
         }
-        new Log("warmup").info("warmed up", rpcs + " RPCs in " + (System.nanoTime() - start) / 1_000_000 + " ms");
+        new Log("warmup")
+                .info("warmed up", handled + " requests in " + (System.nanoTime() - startNanos) / 1_000_000 + " ms");
     }
 
-    private void runRpc(int number) throws MalformedMessageException {
-        put(client, requests.get(number % requests.size()));
-        request.read(client);
-        head.read(client, request);
-        long id = number;
-        Request rpc = policy.requestReceived(
-                id,
+    private void handleRequest(int number) throws MalformedMessageException {
+        put(fromClient, requestMessages.get(number % requestMessages.size()));
+        requestReader.read(fromClient);
+        head.read(fromClient, requestReader);
+        long requestId = number;
+        Request request = policy.requestReceived(
+                requestId,
                 head.method,
                 head.customer,
                 head.plan,
@@ -101,25 +102,25 @@
                 head.firstGateway,
                 head.gatewayCount,
                 head.timeLeftMs * 1000);
-        openRpcs.put(id, rpc);
-        for (int i = 0; i < STEPS_PER_RPC; i++) {
+        openRequests.put(requestId, request);
+        for (int i = 0; i < STEPS_PER_REQUEST; i++) {
             nowUs += STEP_US;
-            for (int n = replies.size(); n > 0; n--) {
-                replies.poll().run();
+            for (int due = pendingResponses.size(); due > 0; due--) {
+                pendingResponses.poll().run();
             }
-            if (nowUs >= wakeAtUs) {
-                wakeAtUs = Long.MAX_VALUE;
+            if (nowUs >= wakeUpAtUs) {
+                wakeUpAtUs = Long.MAX_VALUE;
                 policy.wakeUp();
             }
         }
-        openRpcs.values().removeIf(Request::isFinished);
-        request.removeMessage(client);
+        openRequests.values().removeIf(Request::isFinished);
+        requestReader.removeMessage(fromClient);
         toClient.skip(toClient.size());
     }
 
-    private static void put(RingBuffer ring, byte[] bytes) {
-        ring.reserve(bytes.length);
-        ring.put(bytes);
+    private static void put(RingBuffer buffer, byte[] bytes) {
+        buffer.reserve(bytes.length);
+        buffer.put(bytes);
     }
 
     @Override
@@ -128,61 +129,62 @@
     }
 
     @Override
-    public void startAttempt(long id, long to, long timeOutUs, long beginWithinUs) {
-        RequestForwarder.forward(client, request, timeOutUs / 1000, false, backend);
-        backend.skip(backend.size());
-        replies.add(() -> respond(id));
-    }
-
-    private void respond(long id) {
-        Request rpc = openRpcs.get(id);
-        if (rpc != null) {
-            readResponse(backend, BACKEND_RESPONSE);
-            Outcome outcome = BackendResponse.outcome(backend, response);
-            HttpWriter.forwardResponse(backend, response, false, toClient);
+    public void startAttempt(long requestId, long backendId, long timeoutUs, long writeWithinUs) {
+        RequestForwarder.forward(fromClient, requestReader, timeoutUs / 1000, false, backendBuffer);
+        backendBuffer.skip(backendBuffer.size());
+        pendingResponses.add(() -> respondToAttempt(requestId));
+    }
+
+    private void respondToAttempt(long requestId) {
+        Request request = openRequests.get(requestId);
+        if (request != null) {
+            readResponse(backendBuffer, BACKEND_RESPONSE);
+            Outcome outcome = BackendResponse.outcome(backendBuffer, responseReader);
+            HttpWriter.forwardResponse(backendBuffer, responseReader, false, toClient);
             float[] report = BackendResponse.loadReport(
-                    backend, response, config.settings().reportFields());
-            response.removeMessage(backend);
-            rpc.attemptEnded(0, outcome, STEP_US, true, 0, report);
+                    backendBuffer, responseReader, config.settings().reportFields());
+            responseReader.removeMessage(backendBuffer);
+            request.attemptEnded(0, outcome, STEP_US, true, 0, report);
         }
     }
 
-    private void readResponse(RingBuffer ring, byte[] bytes) {
-        put(ring, bytes);
+    private void readResponse(RingBuffer buffer, byte[] bytes) {
+        put(buffer, bytes);
         try {
-            response.read(ring);
+            responseReader.read(buffer);
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
 
     @Override
-    public void cancelAttempt(long id, int attempt) {
-        // every attempt here gets its response
+    public void cancelAttempt(long requestId, int attemptNumber) {
+        // every simulated attempt gets a response
     }
 
     @Override
-    public void reject(long id, long retryAfterUs) {
+    public void reject(long requestId, long retryAfterUs) {
         HttpWriter.writeEmptyResponse(429, retryAfterUs, false, toClient);
     }
 
     @Override
-    public void abort(long id) {
+    public void abort(long requestId) {
         HttpWriter.writeEmptyResponse(500, 0, false, toClient);
     }
 
     @Override
     public void addToCounter(long name, double units, long timeToLiveUs) {
-        CounterProtocol.writeRequest(name, units, timeToLiveUs / 1000, counter);
-        counter.skip(counter.size());
-        replies.add(() -> reply(name));
+        CounterProtocol.writeRequest(name, units, timeToLiveUs / 1000, counterBuffer);
+        counterBuffer.skip(counterBuffer.size());
+        pendingResponses.add(() -> respondToCounterCall(name));
     }
 
-    private void reply(long name) {
-        readResponse(counter, COUNTER_RESPONSE);
+    private void respondToCounterCall(long name) {
+        readResponse(counterBuffer, COUNTER_RESPONSE);
         try {
-            double total = CounterProtocol.readReply(counter, response).total();
-            response.removeMessage(counter);
+            double total =
+                    CounterProtocol.readReply(counterBuffer, responseReader).total();
+            responseReader.removeMessage(counterBuffer);
             policy.counterAnswered(name, Outcome.OK, total, STEP_US);
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
@@ -196,7 +198,7 @@
 
     @Override
     public void scheduleWakeUp(long delayUs) {
-        wakeAtUs = nowUs + delayUs;
+        wakeUpAtUs = nowUs + delayUs;
     }
 
     @Override
