--- a/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
+++ b/src/main/java/hopdrum/frontdoor/DiscoveryClient.java
@@ -115,7 +115,8 @@
 
     private void ensureWatchIsLive() {
         if (watch != null && loop.nowUs() - watch.lastReadUs > MESSAGE_STALL_LIMIT_US) {
-            watch.reader.flushIncompleteMessage(); // else only the next line, up to 2 s later, would show the truncation
+            // Otherwise only the next line, up to 2 s later, would reveal that a message is truncated.
+            watch.reader.flushIncompleteMessage();
         }
         if (watch != null && loop.nowUs() - lastLineUs > silenceLimitUs()) {
             LOG.warning("the watch has fallen silent, reopening it", null);
--- a/src/main/java/hopdrum/frontdoor/EndpointUpdater.java
+++ b/src/main/java/hopdrum/frontdoor/EndpointUpdater.java
@@ -48,6 +48,7 @@
     /**
      * Applies an endpoint list from discovery.
      *
+     * @param backends the listed backends
      * @param complete whether the list names all backends; if not, it names the changed ones
      */
     void applyDiscovered(List<DiscoveredBackend> backends, boolean complete) {
--- a/src/test/java/hopdrum/frontdoor/BackendResponseOverSocketsTest.java
+++ b/src/test/java/hopdrum/frontdoor/BackendResponseOverSocketsTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Responses of backends that are malformed, truncated, or followed by more. */
+/**
+ * Malformed and truncated backend responses, and responses that are followed by further bytes. A front door must not
+ * forward an incomplete response, nor take bytes after a response for the next one.
+ */
 @Timeout(20)
 class BackendResponseOverSocketsTest extends FrontDoorFixture {
     private static final String NO_LENGTH = "HTTP/1.1 200 OK\r\n\r\n";
@@ -27,7 +30,7 @@
     }
 
     @Test
-    void malformedResponsesAbortAtOnceAndGoodOnesStandWhateverComesWithThem() throws Exception {
+    void malformedResponsesAreAbortedAtOnceAndValidOnesAreForwardedDespiteInvalidExtras() throws Exception {
         start();
         for (String malformed : new String[] {
             "\u0001\u0002",
@@ -37,10 +40,10 @@
             "HTTP/1.1 2"
         }) {
             backend.responder = request -> malformed;
-            long fromNanos = System.nanoTime();
+            long startNanos = System.nanoTime();
             assertThat(exchange(request("t1", "order", ""))).as(malformed).startsWith("HTTP/1.1 500 ");
-            assertThat(System.nanoTime() - fromNanos)
-                    .as("well before its time runs out")
+            assertThat(System.nanoTime() - startNanos)
+                    .as("responded to well before the request's deadline")
                     .isLessThan(1_000_000_000L);
         }
         for (String field :
@@ -54,26 +57,26 @@
     }
 
     @Test
-    void bytesBehindAResponseAreNeverTakenForTheNextOne() throws Exception {
+    void bytesAfterAResponseAreNeverTakenForTheNextResponse() throws Exception {
         start();
         Client client = new Client();
         assertThat(client.send(request("t", "order", "")).receive()).endsWith("for t");
         awaitReusableConnection();
         counter.responder = request -> {
-            CompletableFuture<Void> held = new CompletableFuture<>();
-            CompletableFuture<Void> go = new CompletableFuture<>();
+            CompletableFuture<Void> loopBlocked = new CompletableFuture<>();
+            CompletableFuture<Void> unblockLoop = new CompletableFuture<>();
             loop.execute(() -> {
-                held.complete(null);
-                go.join();
+                loopBlocked.complete(null);
+                unblockLoop.join();
             });
-            held.join();
-            try { // the loop finds both at once, and first the one that makes it write the next attempt
+            loopBlocked.join();
+            try { // the loop reads both at once, and the counter's response first, which makes it send the next attempt
                 counter.send(okResponse("1"));
                 backend.send(okResponse("for another"));
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             } finally {
-                go.complete(null);
+                unblockLoop.complete(null);
             }
             counter.responder = more -> okResponse("1");
             return NO_RESPONSE;
@@ -82,7 +85,7 @@
     }
 
     @Test
-    void aResponseWithoutLengthIsForwardedCompleteOnceItsConnectionHasEndedInOrder() throws Exception {
+    void aResponseWithoutLengthIsForwardedOnceItsConnectionHasClosedNormally() throws Exception {
         backend.responder = request -> NO_LENGTH + "all of it";
         backend.afterResponse = AfterResponse.CLOSE;
         start();
@@ -93,7 +96,7 @@
     }
 
     @Test
-    void aResponseWithoutLengthThatIsResetIsNoResponse() throws Exception {
+    void aResponseWithoutLengthOnAConnectionThatIsResetIsNotForwarded() throws Exception {
         backend.responder = request -> {
             runInBackground(() -> {
                 backend.send(NO_LENGTH + "half");
@@ -107,7 +110,7 @@
     }
 
     @Test
-    void aResponseThatNeverEndsAffectsItselfAlone() throws Exception {
+    void aResponseThatNeverEndsDoesNotAffectOtherRequests() throws Exception {
         backend.responder = request -> {
             runInBackground(() -> {
                 backend.send(NO_LENGTH);
--- a/src/test/java/hopdrum/frontdoor/ClientDisconnectTest.java
+++ b/src/test/java/hopdrum/frontdoor/ClientDisconnectTest.java
@@ -12,10 +12,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Clients that disconnect while their request is in flight. */
+/**
+ * Clients that disconnect while their request is in flight. A request whose client is gone must not be sent to a
+ * backend any more.
+ */
 @Timeout(20)
 class ClientDisconnectTest extends FrontDoorFixture {
-    private static final int PIPELINED = 1000;
+    private static final int PIPELINED_REQUESTS = 1000;
 
     /** How a client disconnects. */
     enum Disconnect {
@@ -24,8 +27,8 @@
         RESET
     }
 
-    private static void disconnect(Client client, Disconnect how) throws IOException {
-        switch (how) {
+    private static void disconnect(Client client, Disconnect kind) throws IOException {
+        switch (kind) {
             case CLOSE -> client.socket.close();
             case HALF_CLOSE -> client.socket.shutdownOutput();
             case RESET -> reset(client.socket);
@@ -46,23 +49,24 @@
 
     @ParameterizedTest
     @EnumSource(Disconnect.class)
-    void aRequestWhoseClientDisconnectsWhileItIsQueuedIsNeverForwarded(Disconnect how) throws Exception {
-        // The fallback bucket of a counter that answers late is empty at the start in one of four cases, but with this
-        // rate.
+    void aRequestWhoseClientDisconnectsWhileItIsQueuedIsNeverForwarded(Disconnect kind) throws Exception {
+        // The fallback bucket, which is used if the counter responds late, is empty at the start in one of four cases
+        // with
+        // the usual rate, but never with this one.
         changeSetting("\"PerSecond\":1.0", "\"PerSecond\":1000000.0");
         backend.responder = request -> NO_RESPONSE;
         start();
         List<Client> clients = new ArrayList<>();
-        for (int i = 1; i <= 7; i++) { // one backend serves six at a time
+        for (int i = 1; i <= 7; i++) { // the backend serves six requests at a time
             clients.add(new Client().send(withCustomer(i, request("t" + i, "order", ""))));
             assertThat(i == 7 || backend.nextRequest() != null).isTrue();
         }
-        awaitLoopDelay(100_000); // the seventh is counted and queued
+        awaitLoopDelay(100_000); // the seventh request is counted and queued
         assertThat(backend.requests).isEmpty();
-        disconnect(clients.get(6), how);
+        disconnect(clients.get(6), kind);
         awaitPendingEvents();
         for (Client client : clients.subList(0, 6)) {
-            client.socket.close(); // the backend is free again
+            client.socket.close(); // frees the backend
         }
         awaitPendingEvents();
         backend.responder = request -> okResponse("for " + field(request, "X-Trace-Id"));
@@ -72,78 +76,82 @@
 
     @ParameterizedTest
     @EnumSource(Disconnect.class)
-    void aRequestWhoseClientDisconnectsWhileItsConnectionComesUpIsNeverForwarded(Disconnect how) throws Exception {
+    void aRequestWhoseClientDisconnectsWhileItsBackendConnectionIsPendingIsNeverForwarded(Disconnect kind)
+            throws Exception {
         changeSetting("\"DialTimeoutUs\":250000", "\"DialTimeoutUs\":5000000");
         changeSetting("\"Cancel\":true", "\"Cancel\":false");
-        LateConnectingBackend late = closeAtEnd(new LateConnectingBackend());
-        start(hostJson("b", late.address(), "in_service"));
+        LateConnectingBackend lateBackend = closeAtEnd(new LateConnectingBackend());
+        start(hostJson("b", lateBackend.address(), "in_service"));
         Client client = new Client().send(withCustomer(1, request("t1", "order", "")));
-        awaitLoopDelay(100_000); // counted, and its backend picked
-        disconnect(client, how);
+        awaitLoopDelay(100_000); // the request is counted and its backend is selected
+        disconnect(client, kind);
         awaitPendingEvents();
-        late.acceptConnections();
-        assertThat(late.connections.poll(10, TimeUnit.SECONDS))
-                .as("came up late")
+        lateBackend.acceptConnections();
+        assertThat(lateBackend.connections.poll(10, TimeUnit.SECONDS))
+                .as("the late backend connection is established")
                 .isNotNull();
         awaitPendingEvents();
         assertThat(exchange(withCustomer(2, request("t2", "order", "")))).endsWith("for t2");
-        assertThat(late.requests).hasSize(1).allMatch(request -> request.contains("t2"));
+        assertThat(lateBackend.requests).hasSize(1).allMatch(request -> request.contains("t2"));
     }
 
     @ParameterizedTest
     @EnumSource(Disconnect.class)
-    void aRequestWhoseClientDisconnectsBeforeARetryIsNotRetried(Disconnect how) throws Exception {
+    void aRequestWhoseClientDisconnectsBeforeARetryIsNotRetried(Disconnect kind) throws Exception {
         changeSetting("\"AttemptsCap\":1", "\"AttemptsCap\":3");
         changeSetting("\"Cancel\":true", "\"Cancel\":false");
-        StandIn second = new StandIn(request -> NO_RESPONSE);
-        CompletableFuture<Void> fail = new CompletableFuture<>();
+        StandIn secondBackend = new StandIn(request -> NO_RESPONSE);
+        CompletableFuture<Void> releaseFailure = new CompletableFuture<>();
         backend.responder = request -> {
-            fail.join();
+            releaseFailure.join();
             return "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
         };
-        second.responder = backend.responder;
-        start(hostJson("b", backend.address(), "in_service") + "," + hostJson("c", second.address(), "in_service"));
+        secondBackend.responder = backend.responder;
+        start(hostJson("b", backend.address(), "in_service") + ","
+                + hostJson("c", secondBackend.address(), "in_service"));
         Client client = new Client().send(request("t1", "checkout", ""));
-        while (backend.requests.isEmpty() && second.requests.isEmpty()) {
+        while (backend.requests.isEmpty() && secondBackend.requests.isEmpty()) {
             awaitPendingEvents();
         }
-        disconnect(client, how);
+        disconnect(client, kind);
         awaitPendingEvents();
-        fail.complete(null);
+        releaseFailure.complete(null);
         backend.responder = request -> okResponse("for " + field(request, "X-Trace-Id"));
-        second.responder = backend.responder;
+        secondBackend.responder = backend.responder;
         assertThat(exchange(withCustomer(2, request("t2", "checkout", "")))).endsWith("for t2");
-        assertThat(backend.requests.size() + second.requests.size())
-                .as("one attempt each")
+        assertThat(backend.requests.size() + secondBackend.requests.size())
+                .as("one attempt for each request")
                 .isEqualTo(2);
     }
 
-    /** The end of the connection is behind bytes for which there is no room; a half-close is seen once they are read. */
+    /**
+     * The end of the connection comes after bytes that do not fit into the receive buffer. A half-close is left out,
+     * because it is detected only once those bytes have been read.
+     */
     @ParameterizedTest
     @EnumSource(
             value = Disconnect.class,
             names = {"CLOSE", "RESET"})
-    void aClientThatDisconnectsBehindAFullBufferIsDetectedWithTheFirstResponseThatItDoesNotRead(Disconnect how)
-            throws Exception {
+    void aDisconnectBehindAFullReceiveBufferIsDetectedAtTheFirstUnreadResponse(Disconnect kind) throws Exception {
         changeSetting("\"PerSecond\":1.0,\"Burst\":2.0", "\"PerSecond\":1000000.0,\"Burst\":1000000.0");
         CompletableFuture<Void> release = new CompletableFuture<>();
         holdResponsesUntil(release, "for ");
         start();
-        StringBuilder all = new StringBuilder();
-        for (int i = 0; i < PIPELINED; i++) {
-            all.append(request("t" + i, "order", ""));
+        StringBuilder pipelined = new StringBuilder();
+        for (int i = 0; i < PIPELINED_REQUESTS; i++) {
+            pipelined.append(request("t" + i, "order", ""));
         }
-        Client client = new Client().send(all.toString());
+        Client client = new Client().send(pipelined.toString());
         assertThat(backend.nextRequest()).contains("t0");
         awaitPendingEvents();
-        disconnect(client, how);
+        disconnect(client, kind);
         awaitPendingEvents();
         release.complete(null);
         assertThat(exchange(request("other", "order", ""))).endsWith("for other");
         assertThat(backend.requests.stream()
                         .filter(request -> !request.contains("other"))
                         .count())
-                .as("further attempts for it")
+                .as("further attempts for the disconnected client")
                 .isLessThanOrEqualTo(1);
     }
 }
--- a/src/test/java/hopdrum/frontdoor/ClientLimitsTest.java
+++ b/src/test/java/hopdrum/frontdoor/ClientLimitsTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Limits on clients: slow and silent ones, oversized messages, and the descriptors that they share. */
+/**
+ * Limits on clients: slow senders, silent and idle connections, oversized messages, and the limit on open sockets. None
+ * of these may keep other clients from being served.
+ */
 @Timeout(20)
 class ClientLimitsTest extends FrontDoorFixture {
     @Test
@@ -30,12 +33,12 @@
                 new ClientListener.RequestListener() {
                     @Override
                     public void requestReceived(ClientConnection client) {
-                        throw new AssertionError("nothing came whole");
+                        throw new AssertionError("no complete request was sent");
                     }
 
                     @Override
                     public void clientDisconnected(ClientConnection client) {
-                        throw new AssertionError("nothing was taken");
+                        throw new AssertionError("no request was accepted");
                     }
 
                     @Override
@@ -45,39 +48,39 @@
                 });
         clients.startAccepting();
         runInBackground(loop::run);
-        try (Socket slow = new Socket()) {
-            slow.connect(clients.address());
-            slow.setSoTimeout(10_000);
-            slow.getOutputStream().write("GET /health".getBytes(StandardCharsets.ISO_8859_1));
-            assertThat(readMessage(slow.getInputStream())).startsWith("HTTP/1.1 408 ");
-            assertThat(slow.getInputStream().read()).isEqualTo(-1);
+        try (Socket slowSender = new Socket()) {
+            slowSender.connect(clients.address());
+            slowSender.setSoTimeout(10_000);
+            slowSender.getOutputStream().write("GET /health".getBytes(StandardCharsets.ISO_8859_1));
+            assertThat(readMessage(slowSender.getInputStream())).startsWith("HTTP/1.1 408 ");
+            assertThat(slowSender.getInputStream().read()).isEqualTo(-1);
         }
         loop.execute(loop::stop);
     }
 
     @Test
-    void silentClientsAreEvictedForThoseWithRequestsAndClosedInTime() throws Exception {
-        sockets = 32 + 9; // six of them for clients
+    void silentClientsAreEvictedForClientsWithRequestsAndDisconnectedInTime() throws Exception {
+        sockets = 32 + 9; // leaves six sockets for clients
         start();
         List<Client> silent = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             silent.add(new Client());
         }
         assertThat(exchange(request("t1", "order", ""))).endsWith("for t1");
-        long fromNanos = System.nanoTime();
+        long startNanos = System.nanoTime();
         for (Client client : silent) {
             assertThat(client.receive()).isNull();
         }
-        assertThat(System.nanoTime() - fromNanos).isLessThan(3_000_000_000L);
+        assertThat(System.nanoTime() - startNanos).isLessThan(3_000_000_000L);
     }
 
     @Test
-    void aSenderAtFullSpeedIsRejectedAndDisconnected() throws Exception {
+    void aSenderOfAnOversizedBodyIsDisconnected() throws Exception {
         start();
-        Client flood = new Client().send(request("t", "order", "Content-Length: 60000000\r\n"));
+        Client sender = new Client().send(request("t", "order", "Content-Length: 60000000\r\n"));
         assertThatThrownBy(() -> {
                     for (int i = 0; i < 1000; i++) {
-                        flood.send("x".repeat(60_000));
+                        sender.send("x".repeat(60_000));
                     }
                 })
                 .isInstanceOf(IOException.class);
@@ -93,44 +96,47 @@
 
     @Test
     void anIdleClientIsEvictedForANewOne() throws Exception {
-        sockets = 32 + 9; // six of them for clients
+        sockets = 32 + 9; // leaves six sockets for clients
         backend.responder = request -> NO_RESPONSE;
         start();
-        Client unread = new Client();
-        Client taken = new Client().send(request("t1", "order", ""));
+        Client silent = new Client();
+        Client inFlight = new Client().send(request("t1", "order", ""));
         assertThat(backend.nextRequest()).contains("t1");
-        Client first = new Client();
+        Client longestIdle = new Client();
         for (int i = 0; i < 4; i++) {
-            Client next = i == 0 ? first : new Client();
+            Client next = i == 0 ? longestIdle : new Client();
             assertThat(next.send("GET /health/ready HTTP/1.1\r\n\r\n").receive())
                     .startsWith("HTTP/1.1 200 ");
         }
         assertThat(new Client().send("GET /health/ready HTTP/1.1\r\n\r\n").receive())
                 .startsWith("HTTP/1.1 200 ");
-        assertThat(unread.receive()).as("silent").isNull();
+        assertThat(silent.receive()).as("the silent client is evicted first").isNull();
         assertThat(new Client().send("GET /health/ready HTTP/1.1\r\n\r\n").receive())
                 .startsWith("HTTP/1.1 200 ");
-        assertThat(first.receive()).as("idle longest").isNull();
-        assertThat(taken.socket.getInputStream().available())
-                .as("still waits for its response")
+        assertThat(longestIdle.receive())
+                .as("the longest idle client is evicted next")
+                .isNull();
+        assertThat(inFlight.socket.getInputStream().available())
+                .as("the request in flight still waits for its response")
                 .isZero();
     }
 
     @Test
-    void idleClientsThatFillAllDescriptorsKeepNeitherDiscoveryNorARequestOut() throws Exception {
-        sockets = 32 + 9; // six of them for clients
-        StandIn second = new StandIn(request -> okResponse("second"));
+    void idleClientsThatUseAllSocketsBlockNeitherDiscoveryNorARequest() throws Exception {
+        sockets = 32 + 9; // leaves six sockets for clients
+        StandIn secondBackend = new StandIn(request -> okResponse("second"));
         int port = discovery.listener.getLocalPort();
         shutDown(discovery);
         start();
         for (int i = 0; i < 20; i++) {
             closeAtEnd(new Client().socket);
         }
-        String list = "{\"seq\":42,\"whole\":true,\"hosts\":[" + hostJson("c", second.address(), "in_service") + "]}\n";
-        try (ServerSocket back = new ServerSocket(port, 50, InetAddress.getLoopbackAddress())) {
+        String list = "{\"seq\":42,\"whole\":true,\"hosts\":[" + hostJson("c", secondBackend.address(), "in_service")
+                + "]}\n";
+        try (ServerSocket restartedDiscovery = new ServerSocket(port, 50, InetAddress.getLoopbackAddress())) {
             runInBackground(() -> {
                 while (true) {
-                    Socket socket = back.accept();
+                    Socket socket = restartedDiscovery.accept();
                     readMessage(socket.getInputStream());
                     socket.getOutputStream().write((WATCH_HEAD + chunk(list)).getBytes(StandardCharsets.ISO_8859_1));
                 }
--- a/src/test/java/hopdrum/frontdoor/ConfigurationReloadTest.java
+++ b/src/test/java/hopdrum/frontdoor/ConfigurationReloadTest.java
@@ -16,35 +16,38 @@
 import org.junit.jupiter.api.Timeout;
 import sun.misc.Signal;
 
-/** The configuration: read at the start, and reloaded on SIGHUP. */
+/**
+ * The configuration: parsed at the start, and reloaded on SIGHUP. After a reload the front door must use the new
+ * addresses of discovery and the counter, and keep the endpoint list until a new one has arrived.
+ */
 @Timeout(20)
 class ConfigurationReloadTest extends FrontDoorFixture {
     @Test
-    void aConfigurationThatCannotBeUsedIsNamedInOneLine() throws IOException {
-        String good = configJson(hostJson("b", backend.address(), "in_service"));
-        Config config = Config.parse(good);
+    void theFaultOfAnInvalidConfigurationIsReportedInOneLine() throws IOException {
+        String valid = configJson(hostJson("b", backend.address(), "in_service"));
+        Config config = Config.parse(valid);
         assertThat(config.methods()).containsExactly("checkout", "order");
         assertThat(config.settings().methods().get(1).deadlineUs()).isEqualTo(4_000_000);
         assertThat(config.listen())
                 .isEqualTo(new InetSocketAddress(InetAddress.getByAddress(new byte[] {127, 0, 0, 1}), 0));
         Warmup.run(config);
-        for (String[] bad : new String[][] {
+        for (String[] invalid : new String[][] {
             {"\"listen\"", "\"x\"", "listen"},
             {"127.0.0.1:0", "localhost:0", "no address"},
             {"AttemptsCap", "Attempts", "Bounds.AttemptsCap"},
             {"\"dedup\"", "\"twice\"", "Effect"},
             {"{\"name\"", "\"name\"", "JSON"}
         }) {
-            assertThatThrownBy(() -> Config.parse(good.replace(bad[0], bad[1])))
+            assertThatThrownBy(() -> Config.parse(valid.replace(invalid[0], invalid[1])))
                     .isInstanceOf(IllegalArgumentException.class)
-                    .hasMessageContaining(bad[2])
+                    .hasMessageContaining(invalid[2])
                     .message()
                     .doesNotContain("\n");
         }
     }
 
     @Test
-    void settingsWithNeitherZonesPeersCounterNorLimitsServe() throws Exception {
+    void aFrontDoorServesWithoutZonesPeersCounterAndLimitsInItsSettings() throws Exception {
         settings = """
                 {"Lanes":[{"Name":"order","AimUs":300000,"GiveUpUs":600000,"Effect":"fragile"}],
                  "Packages":[{"Name":"team"}],"NInstances":1,"Ordinal":0,"TickUs":1000,
@@ -59,12 +62,12 @@
     }
 
     @Test
-    void onSighupDiscoveryAndTheCounterAreFollowedAndTheOldListStandsUntilTheNewOne() throws Exception {
+    void onSighupTheNewDiscoveryAndCounterAreUsedAndTheOldListIsKeptUntilTheNewOneArrives() throws Exception {
         StandIn newDiscovery = new StandIn(request -> NO_RESPONSE);
         StandIn newCounter = new StandIn(request -> okResponse("1"));
         start();
         assertThat(exchange(request("t1", "order", ""))).endsWith("for t1");
-        String moved = configJson(hostJson("b", backend.address(), "in_service"))
+        String newConfig = configJson(hostJson("b", backend.address(), "in_service"))
                 .replace(counter.address(), newCounter.address())
                 .replace(discovery.address(), newDiscovery.address());
         Path file = Files.createTempFile("hopdrum", ".json");
@@ -73,53 +76,57 @@
         loop.execute(() -> reload.attach(frontDoor));
         Files.writeString(file, "{\"half");
         Signal.raise(new Signal("HUP"));
-        Files.writeString(file, moved);
+        Files.writeString(file, newConfig);
         Signal.raise(new Signal("HUP"));
         assertThat(newDiscovery.nextRequest() + newDiscovery.nextRequest())
-                .as("watched, and its complete list fetched")
+                .as("the new discovery is watched and its complete list is fetched")
                 .contains("watch=1 ")
                 .contains("GET /registry/instances HTTP");
         counter.requests.clear();
-        assertThat(exchange(request("t2", "order", ""))).as("by the old list").endsWith("for t2");
+        assertThat(exchange(request("t2", "order", "")))
+                .as("forwarded by the old list")
+                .endsWith("for t2");
         assertThat(newCounter.nextRequest()).contains("delta=1&");
         assertThat(counter.requests).isEmpty();
         assertThat(counter.closedConnections.poll(10, TimeUnit.SECONDS))
-                .as("closed once no call is pending")
+                .as("the old counter connection closes once no call is pending")
                 .isNotNull();
-        StandIn second = new StandIn(request -> okResponse("second"));
-        String list = "{\"seq\":3,\"whole\":true,\"hosts\":[" + hostJson("c", second.address(), "in_service") + "]}\n";
+        StandIn newBackend = new StandIn(request -> okResponse("second"));
+        String list =
+                "{\"seq\":3,\"whole\":true,\"hosts\":[" + hostJson("c", newBackend.address(), "in_service") + "]}\n";
         newDiscovery.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
         assertThat(discovery.closedConnections.poll(10, TimeUnit.SECONDS))
-                .as("the old watch closes with the new list")
+                .as("the old watch closes when the new list arrives")
                 .isEqualTo(1);
         assertThat(exchange(request("t3", "order", ""))).endsWith("second");
     }
 
     @Test
-    void onSighupTheNewListAppliesThoughTheOldAddressIsDead() throws Exception {
-        StandIn c = new StandIn(request -> okResponse("c"));
-        StandIn moved = new StandIn(request -> NO_RESPONSE);
-        String list = "{\"seq\":1,\"whole\":true,\"hosts\":[" + hostJson("c", c.address(), "in_service") + "]}\n";
-        moved.responder = request -> request.contains("watch=1") ? WATCH_HEAD + chunk(list) : okResponse(list);
+    void onSighupTheNewListIsAppliedThoughTheOldDiscoveryIsDown() throws Exception {
+        StandIn newBackend = new StandIn(request -> okResponse("c"));
+        StandIn newDiscovery = new StandIn(request -> NO_RESPONSE);
+        String list =
+                "{\"seq\":1,\"whole\":true,\"hosts\":[" + hostJson("c", newBackend.address(), "in_service") + "]}\n";
+        newDiscovery.responder = request -> request.contains("watch=1") ? WATCH_HEAD + chunk(list) : okResponse(list);
         start();
         assertThat(discovery.nextRequest()).contains("watch=1");
         assertThat(exchange(withCustomer(1, request("t1", "order", "")))).endsWith("for t1");
-        Config fresh = Config.parse(configJson(hostJson("b", backend.address(), "in_service"))
-                .replace(discovery.address(), moved.address()));
+        Config reloaded = Config.parse(configJson(hostJson("b", backend.address(), "in_service"))
+                .replace(discovery.address(), newDiscovery.address()));
         shutDown(discovery);
-        loop.execute(() -> frontDoor.reload(fresh));
-        assertThat(secondsUntilRequested(c))
+        loop.execute(() -> frontDoor.reload(reloaded));
+        assertThat(secondsUntilRequested(newBackend))
                 .as("4 s after SIGHUP the change counts as notified")
                 .isLessThan(3);
     }
 
     @Test
-    void aConfigurationReplacedDuringTheStartIsReadOnceDiscoveryIsGoneWithoutSighup() throws Exception {
+    void aConfigurationReplacedDuringTheStartIsReloadedWithoutSighupOnceDiscoveryIsLost() throws Exception {
         String list = "{\"seq\":3,\"whole\":true,\"hosts\":[" + hostJson("b", backend.address(), "in_service") + "]}\n";
         StandIn newDiscovery = new StandIn(request -> request.contains("watch=1")
                 ? WATCH_HEAD + chunk(list)
                 : "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
-        discovery.close(); // refuses from before the first connection on
+        discovery.close(); // refuses all connections from the start
         Path file = Files.createTempFile("hopdrum", ".json");
         resources.add(() -> Files.delete(file));
         Files.writeString(
@@ -131,7 +138,7 @@
         loop.execute(() -> reload.attach(frontDoor));
         assertThat(newDiscovery.nextRequest()).contains("GET /registry/instances");
         assertThat(exchange(request("t1", "order", "")))
-                .as("by the list of the new discovery")
+                .as("forwarded by the list of the new discovery")
                 .endsWith("for t1");
         assertThat(counter.nextRequest()).isNotNull();
     }
--- a/src/test/java/hopdrum/frontdoor/CounterOverSocketsTest.java
+++ b/src/test/java/hopdrum/frontdoor/CounterOverSocketsTest.java
@@ -14,72 +14,77 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Calls to the counter, and what the front door does without its responses. */
+/**
+ * Calls to the counter over sockets. A counter that is silent or sends malformed responses must neither delay requests
+ * nor have its responses matched to the wrong calls.
+ */
 @Timeout(20)
 class CounterOverSocketsTest extends FrontDoorFixture {
     @Test
-    void aCustomerBeyondItsQuotaIsRejectedWithRetryAfterAndNothingIsSent() throws Exception {
+    void aCustomerBeyondItsQuotaIsRejectedWithRetryAfterAndNoAttemptIsSent() throws Exception {
         start();
-        for (int other = 10; other < 20; other++) { // the very first calls take longer than the counter's timeout
+        for (int other = 10; other < 20; other++) { // the first calls take longer than the counter's timeout
             exchange(request("o" + other, "order", "").replace("0007", "00" + other));
         }
-        List<String> others =
+        List<String> earlierCalls =
                 counter.requests.stream().map(FrontDoorFixture::pathOf).toList();
         backend.requests.clear();
         counter.responder = request -> okResponse("99");
         assertThat(exchange(request("t1", "order", "")))
                 .startsWith("HTTP/1.1 429 ")
                 .contains("Retry-After: 0.");
-        assertThat(nextCallExcept(others)).contains("delta=1&");
-        assertThat(nextCallExcept(others)).contains("delta=-1&");
+        assertThat(nextCallExcept(earlierCalls)).contains("delta=1&");
+        assertThat(nextCallExcept(earlierCalls)).contains("delta=-1&");
         assertThat(backend.requests).isEmpty();
     }
 
     @Test
-    void aSilentCounterIsNotWaitedForAndItsConnectionIsReplaced() throws Exception {
+    void aSilentCounterDoesNotBlockRequestsAndItsConnectionIsReplaced() throws Exception {
         counter.responder = request -> NO_RESPONSE;
         start();
         assertThat(exchange(request("t1", "checkout", ""))).endsWith("for t1");
         assertThat(counter.closedConnections.poll(10, TimeUnit.SECONDS))
-                .as("abandoned")
+                .as("the silent connection is abandoned")
                 .isNotNull();
         counter.requests.clear();
         counter.responder = request -> okResponse("1");
         while (counter.requests.isEmpty()) {
             assertThat(exchange(request("t2", "checkout", ""))).startsWith("HTTP/1.1 ");
         }
-        assertThat(counter.sockets).as("a new one").hasSizeGreaterThan(1);
+        assertThat(counter.sockets)
+                .as("a new connection replaces the silent one")
+                .hasSizeGreaterThan(1);
     }
 
     @Test
-    void aMalformedResponseOfTheCounterEndsItsCallAndThoseBehindIt() throws Exception {
+    void aMalformedCounterResponseEndsItsCallAndTheCallsPipelinedAfterIt() throws Exception {
         loop = new EventLoop();
-        BlockingQueue<String> ends = new LinkedBlockingQueue<>();
-        CounterClient calls = new CounterClient(
+        BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
+        CounterClient counterClient = new CounterClient(
                 loop,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), counter.listener.getLocalPort()),
                 5_000_000,
                 new ResourceBudget(1024, 1 << 20, 50_000),
-                (name, outcome, total, tookUs) -> ends.add(outcome + " " + total));
+                (name, outcome, total, tookUs) -> outcomes.add(outcome + " " + total));
         runInBackground(loop::run);
         for (String malformed :
                 new String[] {okResponse("no number"), "HTTP/1.1 2", "HTTP/1.1 418 Other\r\nContent-Length: 0\r\n\r\n"
                 }) {
-            CompletableFuture<Void> both = new CompletableFuture<>();
+            CompletableFuture<Void> bothCalled = new CompletableFuture<>();
             counter.responder = request -> {
-                both.join();
+                bothCalled.join();
                 return malformed;
             };
-            loop.execute(() -> calls.add(1, 1, 1000));
-            loop.execute(() -> calls.add(1, 1, 1000));
+            loop.execute(() -> counterClient.add(1, 1, 1000));
+            loop.execute(() -> counterClient.add(1, 1, 1000));
             assertThat(counter.nextRequest()).isNotNull();
-            both.complete(null);
-            assertThat(ends.poll(10, TimeUnit.SECONDS)).isEqualTo("UNREADABLE 0.0");
-            assertThat(ends.poll(10, TimeUnit.SECONDS)).isEqualTo("RESET 0.0");
+            bothCalled.complete(null);
+            assertThat(outcomes.poll(10, TimeUnit.SECONDS)).isEqualTo("UNREADABLE 0.0");
+            assertThat(outcomes.poll(10, TimeUnit.SECONDS)).isEqualTo("RESET 0.0");
             counter.responder = request -> okResponse("7");
-            loop.execute(() -> calls.add(1, 1, 1000));
-            assertThat(ends.poll(10, TimeUnit.SECONDS))
-                    .as("on a connection of its own")
+            loop.execute(() -> counterClient.add(1, 1, 1000));
+            assertThat(outcomes.poll(10, TimeUnit.SECONDS))
+                    .as("succeeds on a new connection")
                     .isEqualTo("OK 7.0");
             counter.requests.clear();
         }
@@ -87,22 +92,23 @@
     }
 
     @Test
-    void aConnectionToTheCounterThatFallsSilentAloneIsReplacedWithItsFirstTimeout() throws Exception {
+    void aCounterConnectionThatAloneFallsSilentIsReplacedAtItsFirstTimeout() throws Exception {
         loop = new EventLoop();
-        BlockingQueue<String> ends = new LinkedBlockingQueue<>();
-        CounterClient calls = new CounterClient(
+        BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
+        CounterClient counterClient = new CounterClient(
                 loop,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), counter.listener.getLocalPort()),
                 50_000,
                 new ResourceBudget(1024, 1 << 20, 50_000),
-                (name, outcome, total, tookUs) -> ends.add(name + " " + outcome));
+                (name, outcome, total, tookUs) -> outcomes.add(name + " " + outcome));
         runInBackground(loop::run);
         counter.responder = request -> request.contains("/1?") ? NO_RESPONSE : okResponse("1");
-        loop.execute(() -> calls.add(1, 1, 1000));
-        loop.execute(() -> loop.scheduleAfter(10_000, () -> calls.add(2, 1, 1000))); // on the other connection
-        assertThat(ends.poll(10, TimeUnit.SECONDS)).isEqualTo("2 OK");
-        assertThat(ends.poll(10, TimeUnit.SECONDS))
-                .as("no timeout of the counter")
+        loop.execute(() -> counterClient.add(1, 1, 1000));
+        loop.execute(() ->
+                loop.scheduleAfter(10_000, () -> counterClient.add(2, 1, 1000))); // name 2 uses the other connection
+        assertThat(outcomes.poll(10, TimeUnit.SECONDS)).isEqualTo("2 OK");
+        assertThat(outcomes.poll(10, TimeUnit.SECONDS))
+                .as("a reset, not a timeout of the counter")
                 .isEqualTo("1 RESET");
         assertThat(counter.closedConnections.poll(10, TimeUnit.SECONDS)).isEqualTo(1);
         loop.execute(loop::stop);
--- a/src/test/java/hopdrum/frontdoor/FrontDoorFixture.java
+++ b/src/test/java/hopdrum/frontdoor/FrontDoorFixture.java
@@ -23,7 +23,7 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.AfterEach;
 
-/** A front door on loopback, with stand-ins for backends, the counter, discovery and clients. */
+/** A front door on the loopback interface, with stand-ins for a backend, the counter, discovery and clients. */
 abstract class FrontDoorFixture {
     static final String SETTINGS = """
             {"Lanes":[{"Name":"checkout","AimUs":2000000,"GiveUpUs":4000000,"Effect":"dedup","Group":"all","WindowUs":6000000},
@@ -54,16 +54,16 @@
     CompletableFuture<Void> loopEnded;
     Runnable warmUp = () -> {};
 
-    /** Answers each request of each connection; the requests that it received can be waited for. */
+    /** A server that responds to each request on each connection and records the requests. */
     final class StandIn implements AutoCloseable {
         final ServerSocket listener;
         final SocketAddress address;
         final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-        /** For each connection that has ended, how many requests it served. */
+        /** For each connection that has ended, the number of requests that were served on it. */
         final BlockingQueue<Integer> closedConnections = new LinkedBlockingQueue<>();
 
         final List<Socket> sockets = new ArrayList<>();
-        volatile Function<String, String> responder; // null breaks the connection
+        volatile Function<String, String> responder; // the connection is closed if it returns null
         volatile AfterResponse afterResponse = AfterResponse.KEEP_OPEN;
 
         StandIn(Function<String, String> responder) {
@@ -94,7 +94,7 @@
                     requests.add(request);
                     String response = responder.apply(request);
                     if (response == null) {
-                        return; // breaks the connection after a complete request
+                        return; // closes the connection after a complete request
                     }
                     socket.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
                     if (afterResponse == AfterResponse.CLOSE) {
@@ -109,21 +109,21 @@
             }
         }
 
-        /** Sends bytes on the newest connection. */
+        /** Sends text on the newest connection. */
         void send(String text) throws IOException {
             synchronized (sockets) {
                 sockets.get(sockets.size() - 1).getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             }
         }
 
-        /** The connection that was accepted last. */
+        /** Returns the connection that was accepted last. */
         Socket newestConnection() {
             synchronized (sockets) {
                 return sockets.get(sockets.size() - 1);
             }
         }
 
-        /** Waits for the next request; null if none arrives in time. */
+        /** Waits for the next request and returns it; returns null if none arrives within 10 s. */
         String nextRequest() throws InterruptedException {
             return requests.poll(10, TimeUnit.SECONDS);
         }
@@ -143,30 +143,30 @@
         }
     }
 
-    /** Work of a background thread. */
+    /** A task for a background thread. */
     interface ThrowingRunnable {
         void run() throws Exception;
     }
 
-    /** Resets a connection: what it had not sent is lost. */
+    /** Resets a connection; bytes that were not sent yet are lost. */
     static void reset(Socket socket) throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
     }
 
-    static void runInBackground(ThrowingRunnable work) {
+    static void runInBackground(ThrowingRunnable task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (Exception e) {
-                // the other side is gone, or the test is over
+                // the peer has closed the connection, or the test has ended
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Reads one message with its body; null at the end of the connection. */
+    /** Reads one message with its body; returns null at the end of the connection. */
     static String readMessage(InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
         while (text.indexOf("\r\n\r\n") < 0) {
@@ -183,8 +183,8 @@
 
     static String field(String message, String name) {
         return message.lines()
-                .filter(l -> l.startsWith(name + ": "))
-                .map(l -> l.substring(name.length() + 2))
+                .filter(line -> line.startsWith(name + ": "))
+                .map(line -> line.substring(name.length() + 2))
                 .findFirst()
                 .orElse(null);
     }
@@ -197,7 +197,7 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** A client's request. */
+    /** Returns a client's request. */
     static String request(String traceId, String method, String extraFields) {
         return "POST /api HTTP/1.1\r\nX-Trace-Id: " + traceId + "\r\nX-Qos: " + method
                 + "\r\nPlan: team\r\nCookie: key=0000000000000007\r\n"
@@ -240,7 +240,7 @@
         });
     }
 
-    /** Has the resource closed when the test ends. */
+    /** Registers a resource to be closed when the test ends. */
     <T extends AutoCloseable> T closeAtEnd(T resource) {
         resources.add(resource);
         return resource;
@@ -276,29 +276,29 @@
         }
     }
 
-    /** Waits until a connection to a backend that was just used may be used again. */
+    /** Waits until a backend connection that was just used may be reused. */
     void awaitReusableConnection() throws Exception {
-        CompletableFuture<Void> rested = new CompletableFuture<>();
-        loop.execute(() -> loop.scheduleAfter(5_000, () -> rested.complete(null)));
-        rested.get(10, TimeUnit.SECONDS);
+        CompletableFuture<Void> waitedLongEnough = new CompletableFuture<>();
+        loop.execute(() -> loop.scheduleAfter(5_000, () -> waitedLongEnough.complete(null)));
+        waitedLongEnough.get(10, TimeUnit.SECONDS);
     }
 
-    /** The path of a call on the counter, which names what is counted. */
+    /** Returns the path of a call to the counter, which contains the counted name. */
     static String pathOf(String call) {
         int query = call.indexOf('?');
         return query < 0 ? call : call.substring(0, query);
     }
 
-    /** The next call on the counter whose path is none of these. */
-    String nextCallExcept(List<String> others) throws InterruptedException {
+    /** Waits for the next call to the counter whose path is not among the excluded ones, and returns it. */
+    String nextCallExcept(List<String> excludedPaths) throws InterruptedException {
         String call = counter.nextRequest();
-        while (call != null && others.contains(pathOf(call))) {
+        while (call != null && excludedPaths.contains(pathOf(call))) {
             call = counter.nextRequest();
         }
         return call;
     }
 
-    /** Sends a message on a connection of its own, and returns the response. */
+    /** Sends a message on a new connection and returns the response. */
     String exchange(String message) throws IOException {
         Client client = new Client().send(message);
         String response = client.receive();
@@ -306,18 +306,18 @@
         return response;
     }
 
-    /** The same request of another customer. */
+    /** Returns the same request from another customer. */
     static String withCustomer(int number, String request) {
         return request.replace("key=0000000000000007", "key=%016x".formatted(number));
     }
 
-    /** Replaces text of the settings, which must hold it. */
+    /** Replaces a text in the settings, which must contain it. */
     void changeSetting(String setting, String value) {
         assertThat(settings).contains(setting);
         settings = settings.replace(setting, value);
     }
 
-    /** The backend holds each response, this body and the request's trace id, until then. */
+    /** Makes the backend delay each response until released; the response's body ends with the trace ID. */
     void holdResponsesUntil(CompletableFuture<Void> released, String body) {
         backend.responder = request -> {
             released.join();
@@ -325,7 +325,7 @@
         };
     }
 
-    /** Waits until all that has reached the front door's sockets by now has been handled. */
+    /** Waits until the loop has handled everything that has reached the front door's sockets so far. */
     void awaitPendingEvents() throws Exception {
         for (int i = 0; i < 2; i++) {
             CompletableFuture<Void> handled = new CompletableFuture<>();
@@ -334,7 +334,7 @@
         }
     }
 
-    /** Waits that long by the loop's clock. */
+    /** Waits for a delay by the loop's clock. */
     void awaitLoopDelay(long delayUs) throws Exception {
         CompletableFuture<Void> due = new CompletableFuture<>();
         loop.execute(() -> loop.scheduleAfter(delayUs, () -> due.complete(null)));
@@ -348,26 +348,27 @@
             try (Socket probe = new Socket()) {
                 probe.connect(server.address);
             } catch (SocketException e) {
-                refuses = e instanceof ConnectException; // a connection accepted during the close is reset
+                refuses = e instanceof ConnectException; // any other: reset after being accepted during the close
             }
         }
     }
 
-    /** Discovery is silent on so many watches, then sends a complete list that names the backend c alone. */
-    void discoveryRespondsAfter(int silentWatches, StandIn c) {
+    /** Makes discovery silent on the first watches, then send a complete list that names the given backend only. */
+    void discoveryRespondsAfter(int silentWatches, StandIn newBackend) {
         AtomicInteger watches = new AtomicInteger();
-        String list = "{\"seq\":42,\"whole\":true,\"hosts\":[" + hostJson("c", c.address(), "in_service") + "]}\n";
+        String list =
+                "{\"seq\":42,\"whole\":true,\"hosts\":[" + hostJson("c", newBackend.address(), "in_service") + "]}\n";
         discovery.responder =
                 request -> watches.getAndIncrement() < silentWatches ? NO_RESPONSE : WATCH_HEAD + chunk(list);
     }
 
-    /** Sends requests until the backend c has received one; returns how long that took, seconds. */
-    double secondsUntilRequested(StandIn c) throws Exception {
-        long fromNanos = System.nanoTime();
-        for (int i = 100; c.requests.isEmpty(); i++) {
+    /** Sends requests until the backend has received one; returns how long that took, in seconds. */
+    double secondsUntilRequested(StandIn newBackend) throws Exception {
+        long startNanos = System.nanoTime();
+        for (int i = 100; newBackend.requests.isEmpty(); i++) {
             exchange(withCustomer(i, request("t" + i, "order", "")));
             awaitLoopDelay(20_000);
         }
-        return (System.nanoTime() - fromNanos) / 1e9;
+        return (System.nanoTime() - startNanos) / 1e9;
     }
 }
--- a/src/test/java/hopdrum/frontdoor/GracefulShutdownTest.java
+++ b/src/test/java/hopdrum/frontdoor/GracefulShutdownTest.java
@@ -7,32 +7,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections that close, by SIGTERM or with their last response, lose no request. */
+/** Guards against requests and responses that are lost when a connection closes on SIGTERM or after a last response. */
 @Timeout(20)
 class GracefulShutdownTest extends FrontDoorFixture {
     @Test
     void onSigtermRequestsInFlightAreFinishedAndTheLoopEnds() throws Exception {
         start();
-        CompletableFuture<Void> leave = new CompletableFuture<>();
+        CompletableFuture<Void> releaseResponse = new CompletableFuture<>();
         backend.responder = request -> {
-            leave.join();
+            releaseResponse.join();
             return okResponse("late");
         };
-        Client taken = new Client().send(request("t1", "order", ""));
+        Client inFlight = new Client().send(request("t1", "order", ""));
         assertThat(backend.nextRequest()).contains("t1");
         loop.execute(frontDoor::startGracefulShutdown);
-        String ready;
+        String readiness;
         do {
-            ready = exchange("GET /health/ready HTTP/1.1\r\n\r\n");
-        } while (ready.startsWith("HTTP/1.1 200 "));
-        assertThat(ready).as("still accepted").startsWith("HTTP/1.1 503 ").contains("Connection: close");
-        leave.complete(null);
-        assertThat(taken.receive()).contains("Connection: close").endsWith("late");
+            readiness = exchange("GET /health/ready HTTP/1.1\r\n\r\n");
+        } while (readiness.startsWith("HTTP/1.1 200 "));
+        assertThat(readiness)
+                .as("connections are still accepted")
+                .startsWith("HTTP/1.1 503 ")
+                .contains("Connection: close");
+        releaseResponse.complete(null);
+        assertThat(inFlight.receive()).contains("Connection: close").endsWith("late");
         loopEnded.get(10, TimeUnit.SECONDS);
     }
 
     @Test
-    void aRequestThatArrivesWithSigtermIsAnsweredAndItsConnectionClosedWithTheResponse() throws Exception {
+    void aRequestThatArrivesWithSigtermIsAnsweredAndItsConnectionClosesAfterTheResponse() throws Exception {
         start();
         Client idle = new Client();
         assertThat(idle.send(request("t1", "order", "")).receive()).endsWith("for t1");
@@ -48,11 +51,11 @@
     void aRequestHalfWrittenAtSigtermIsAnsweredOnceItIsComplete() throws Exception {
         start();
         String request = request("t1", "order", "");
-        Client half = new Client().send(request.substring(0, 40));
+        Client client = new Client().send(request.substring(0, 40));
         awaitPendingEvents();
         loop.execute(frontDoor::startGracefulShutdown);
-        awaitLoopDelay(700_000); // no connection is accepted any more, and idle ones are closed
-        assertThat(half.send(request.substring(40)).receive())
+        awaitLoopDelay(700_000); // by now no connection is accepted any more, and idle connections are closed
+        assertThat(client.send(request.substring(40)).receive())
                 .contains("Connection: close")
                 .endsWith("for t1");
         loopEnded.get(10, TimeUnit.SECONDS);
@@ -80,19 +83,21 @@
     }
 
     @Test
-    void aRequestOnAConnectionThatHasItsLastResponseIsNotForwardedAndMeetsNoReset() throws Exception {
+    void aRequestAfterTheLastResponseOfAConnectionIsNotForwardedAndCausesNoReset() throws Exception {
         start();
         Client client = new Client().send(request("t1", "order", "Connection: close\r\n"));
         assertThat(client.receive()).contains("Connection: close").endsWith("for t1");
-        assertThat(client.receive()).as("its side is closed").isNull();
+        assertThat(client.receive()).as("the front door has closed its side").isNull();
         client.send(request("t2", "order", ""));
         awaitPendingEvents();
-        assertThat(client.socket.getInputStream().read()).as("an end, no reset").isEqualTo(-1);
+        assertThat(client.socket.getInputStream().read())
+                .as("a normal close, no reset")
+                .isEqualTo(-1);
         assertThat(backend.requests).hasSize(1);
     }
 
     @Test
-    void aRequestThatCrossesTheCloseOfAnIdleConnectionIsNotForwardedAndMeetsNoReset() throws Exception {
+    void aRequestThatCrossesTheCloseOfAnIdleConnectionIsNotForwardedAndCausesNoReset() throws Exception {
         start();
         Client idle = new Client();
         assertThat(idle.send(request("t1", "order", "")).receive()).endsWith("for t1");
@@ -103,10 +108,12 @@
         CompletableFuture<Void> handled = new CompletableFuture<>();
         loop.execute(() -> handled.complete(null));
         CompletableFuture.anyOf(handled, loopEnded).get(10, TimeUnit.SECONDS);
-        idle.send(crossing.substring(40)); // fails after a reset
-        assertThat(idle.socket.getInputStream().read()).as("an end, no reset").isEqualTo(-1);
+        idle.send(crossing.substring(40)); // throws if the connection was reset
+        assertThat(idle.socket.getInputStream().read())
+                .as("a normal close, no reset")
+                .isEqualTo(-1);
         loopEnded.get(10, TimeUnit.SECONDS);
-        assertThat(backend.requests).as("dropped").hasSize(1);
+        assertThat(backend.requests).as("the crossing request is not forwarded").hasSize(1);
     }
 
     @Test
@@ -115,11 +122,11 @@
         CompletableFuture<Void> release = new CompletableFuture<>();
         holdResponsesUntil(release, body);
         start();
-        Client slow = new Client().send(request("t1", "order", ""));
+        Client slowReader = new Client().send(request("t1", "order", ""));
         assertThat(backend.nextRequest()).contains("t1");
         loop.execute(frontDoor::startGracefulShutdown);
         release.complete(null);
         loopEnded.get(10, TimeUnit.SECONDS);
-        assertThat(slow.receive()).as("nothing is lost with the process").endsWith(body + "t1");
+        assertThat(slowReader.receive()).as("the response is complete").endsWith(body + "t1");
     }
 }
--- a/src/test/java/hopdrum/frontdoor/LateConnectingBackend.java
+++ b/src/test/java/hopdrum/frontdoor/LateConnectingBackend.java
@@ -15,16 +15,16 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** A backend to which no connection comes up before it accepts any: its queue of connections is full. */
+/** A backend whose backlog is full, so that connections to it stay pending until {@link #acceptConnections()}. */
 final class LateConnectingBackend implements AutoCloseable {
     final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    final List<Socket> inQueue = new ArrayList<>();
+    final List<Socket> backlogSockets = new ArrayList<>();
     final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
     final BlockingQueue<Socket> connections = new LinkedBlockingQueue<>();
 
     LateConnectingBackend() throws IOException {
         for (int i = 0; i < 2; i++) {
-            inQueue.add(new Socket(listener.getInetAddress(), listener.getLocalPort()));
+            backlogSockets.add(new Socket(listener.getInetAddress(), listener.getLocalPort()));
         }
     }
 
@@ -32,9 +32,9 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** From now on connections come up; pending ones with the next SYN, about a second after the first. */
+    /** Starts accepting connections. A pending connection is established by its next SYN, about 1 s after the first. */
     void acceptConnections() throws IOException {
-        for (Socket socket : inQueue) {
+        for (Socket socket : backlogSockets) {
             listener.accept().close();
             socket.close();
         }
@@ -58,7 +58,7 @@
     @Override
     public void close() throws IOException {
         listener.close();
-        for (Socket socket : inQueue) {
+        for (Socket socket : backlogSockets) {
             socket.close();
         }
         for (Socket socket : connections) {
--- a/src/test/java/hopdrum/frontdoor/PartnerFrontDoorTest.java
+++ b/src/test/java/hopdrum/frontdoor/PartnerFrontDoorTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests forwarded to and by partners' front doors. */
+/** Requests that are forwarded to a partner's front door, and requests that a partner has forwarded. */
 @Timeout(20)
 class PartnerFrontDoorTest extends FrontDoorFixture {
-    /** All customers belong to a partner with these front doors; a request forwarded to here has no known owner. */
+    /** Makes a partner with these front doors own all customers. A request that it forwarded has no known owner. */
     private void setPartners(StandIn... partners) throws Exception {
         CompletableFuture<Void> updated = new CompletableFuture<>();
         loop.execute(() -> {
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aPartnersRequestIsForwardedWithAMarkAndItsResponseIsTheClientsWhateverItIs() throws Exception {
+    void aRequestOfAPartnersCustomerIsForwardedWithAMarkAndAnyResponseIsReturned() throws Exception {
         start();
         StandIn partner = new StandIn(request -> switch (field(request, "X-Trace-Id")) {
             case "t1" -> okResponse("theirs");
@@ -55,7 +55,7 @@
         String forwarded = partner.nextRequest();
         assertThat(field(forwarded, "X-Passed-On")).isEqualTo("1");
         assertThat(Long.parseLong(field(forwarded, "X-Expires-In-Ms")))
-                .as("the client's time, not this one's")
+                .as("the client's time, not this front door's attempt timeout")
                 .isBetween(3_500L, 4_000L);
         assertThat(exchange(request("t2", "order", "")))
                 .startsWith("HTTP/1.1 429 ")
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aPartnersFrontDoorThatIsWithdrawnGetsNothingNewAndDiscoverysListLeavesTheOthersAlone() throws Exception {
+    void aWithdrawnPartnerFrontDoorGetsNoNewRequestsAndDiscoverysListLeavesOtherPartnersInPlace() throws Exception {
         start();
         StandIn first = new StandIn(request -> okResponse("first"));
         StandIn second = new StandIn(request -> okResponse("second"));
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void aRequestWhosePartnerBreaksTheConnectionIsNotRetriedThere() throws Exception {
+    void aRequestWhosePartnerClosesTheConnectionIsNotRetried() throws Exception {
         start();
         StandIn partner = new StandIn(request -> null);
         setPartners(partner);
--- a/src/test/java/hopdrum/frontdoor/PeerMessengerTest.java
+++ b/src/test/java/hopdrum/frontdoor/PeerMessengerTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Messages between front doors, by UDP. */
+/** UDP messages between front doors. Messages from unknown addresses and oversized messages must be dropped. */
 @Timeout(20)
 class PeerMessengerTest extends FrontDoorFixture {
     @Test
@@ -26,23 +26,23 @@
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             List<InetSocketAddress> addresses = List.of((InetSocketAddress) peer.getLocalSocketAddress());
-            PeerMessenger peers = new PeerMessenger(
+            PeerMessenger messenger = new PeerMessenger(
                     loop,
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                     addresses,
                     message -> received.add(new String(message, StandardCharsets.ISO_8859_1)));
             runInBackground(loop::run);
-            peers.send(0, new byte[257]); // too long, and the next one to an unknown peer: neither is sent
-            peers.send(1, new byte[1]);
-            peers.send(0, new byte[] {42});
-            DatagramPacket got = new DatagramPacket(new byte[300], 300);
-            peer.receive(got);
-            assertThat(got.getLength()).isEqualTo(1);
-            stranger.send(new DatagramPacket("no".getBytes(UTF_8), 2, got.getSocketAddress()));
-            peer.send(new DatagramPacket(new byte[257], 257, got.getSocketAddress()));
-            peer.send(new DatagramPacket("yes".getBytes(UTF_8), 3, got.getSocketAddress()));
+            messenger.send(0, new byte[257]); // too long; the next one is for an unknown peer; neither is sent
+            messenger.send(1, new byte[1]);
+            messenger.send(0, new byte[] {42});
+            DatagramPacket packet = new DatagramPacket(new byte[300], 300);
+            peer.receive(packet);
+            assertThat(packet.getLength()).isEqualTo(1);
+            stranger.send(new DatagramPacket("no".getBytes(UTF_8), 2, packet.getSocketAddress()));
+            peer.send(new DatagramPacket(new byte[257], 257, packet.getSocketAddress()));
+            peer.send(new DatagramPacket("yes".getBytes(UTF_8), 3, packet.getSocketAddress()));
             assertThat(received.poll(10, TimeUnit.SECONDS)).isEqualTo("yes");
-            peers.close();
+            messenger.close();
             loop.execute(loop::stop);
         }
     }
--- a/src/test/java/hopdrum/frontdoor/ProcessShutdownIT.java
+++ b/src/test/java/hopdrum/frontdoor/ProcessShutdownIT.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The end of the process, with the jar as it was built. */
+/** Termination of the process, run from the built jar. */
 class ProcessShutdownIT {
     @TempDir
     Path folder;
 
-    /** The configuration is a pipe, so that the start blocks while it is read. */
+    /** The configuration is a named pipe, so that the process blocks while it reads the configuration. */
     @Test
     void aProcessTerminatedBeforeItListensExitsAtOnceWithSuccess() throws Exception {
         Path config = folder.resolve("config.json");
@@ -22,7 +22,7 @@
                 .isZero();
         Path jar = Path.of("target/hopdrum.jar").toAbsolutePath();
         assertThat(jar)
-                .as("built by the package phase; without it the pipe is never opened")
+                .as("the jar of the package phase; without it the pipe is never opened for reading")
                 .exists();
         ProcessBuilder builder = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -32,7 +32,7 @@
                 .inheritIO();
         builder.environment().put("LB_CONFIG", config.toString());
         Process process = builder.start();
-        OutputStream pipe = Files.newOutputStream(config); // waits until it is read
+        OutputStream pipe = Files.newOutputStream(config); // blocks until the process opens the pipe for reading
         try {
             process.destroy();
             assertThat(process.waitFor(10, TimeUnit.SECONDS)).isTrue();
--- a/src/test/java/hopdrum/frontdoor/RequestForwardingTest.java
+++ b/src/test/java/hopdrum/frontdoor/RequestForwardingTest.java
@@ -9,11 +9,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests of clients on their way to a backend and back. */
+/**
+ * Forwarding of client requests to a backend, and of the responses to the clients. Guards against requests that are
+ * sent twice, responses that reach the wrong client, and rejections of requests that may have run.
+ */
 @Timeout(20)
 class RequestForwardingTest extends FrontDoorFixture {
     @Test
-    void aRequestIsCountedOnceAndForwardedAndItsResponseComesBackUnchanged() throws Exception {
+    void aRequestIsCountedOnceAndForwardedAndItsResponseIsReturnedUnchanged() throws Exception {
         start();
         assertThat(exchange("GET /health/ready HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 200 ");
         String body = "b".repeat(64 << 10);
@@ -39,26 +42,26 @@
         client.socket.close();
         int connections = 0;
         for (int served = 0; served < 3; connections++) {
-            served +=
-                    backend.closedConnections.poll(10, TimeUnit.SECONDS); // closed before the backend's own idle limit
+            // The front door closes its idle connections before the backend's idle limit.
+            served += backend.closedConnections.poll(10, TimeUnit.SECONDS);
         }
-        assertThat(connections).as("one is reused").isLessThan(3);
+        assertThat(connections).as("at least one connection is reused").isLessThan(3);
     }
 
-    private static final int PIPELINED = 1000;
+    private static final int PIPELINED_REQUESTS = 1000;
 
     @Test
     void pipelinedRequestsBehindAFullBufferAreAllAnsweredInOrder() throws Exception {
         changeSetting("\"PerSecond\":1.0,\"Burst\":2.0", "\"PerSecond\":1000000.0,\"Burst\":1000000.0");
         start();
-        StringBuilder all = new StringBuilder();
-        for (int i = 0; i < PIPELINED; i++) {
-            all.append(request("t" + i, "order", ""));
+        StringBuilder pipelined = new StringBuilder();
+        for (int i = 0; i < PIPELINED_REQUESTS; i++) {
+            pipelined.append(request("t" + i, "order", ""));
         }
-        assertThat(all.length()).as("more than the buffer holds").isGreaterThan(160 << 10);
+        assertThat(pipelined.length()).as("more than the receive buffer holds").isGreaterThan(160 << 10);
         Client client = new Client();
-        runInBackground(() -> client.send(all.toString()));
-        for (int i = 0; i < PIPELINED; i++) {
+        runInBackground(() -> client.send(pipelined.toString()));
+        for (int i = 0; i < PIPELINED_REQUESTS; i++) {
             assertThat(client.receive()).endsWith("for t" + i);
         }
     }
@@ -70,7 +73,7 @@
         assertThat(exchange(request("t1", "order", ""))).startsWith("HTTP/1.1 503 ");
         backend.responder = request -> null;
         assertThat(exchange(request("t2", "order", "")))
-                .as("broken after the last byte")
+                .as("closed after the last byte of the request")
                 .startsWith("HTTP/1.1 500 ");
         assertThat(backend.nextRequest()).contains("t1");
         assertThat(backend.nextRequest()).contains("t2");
@@ -86,20 +89,20 @@
     }
 
     @Test
-    void aRequestWhoseConnectionNeverComesUpIsRejected() throws Exception {
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                Socket first = new Socket(full.getInetAddress(), full.getLocalPort());
-                Socket second = new Socket(full.getInetAddress(), full.getLocalPort())) {
+    void aRequestWhoseBackendConnectionIsNeverEstablishedIsRejected() throws Exception {
+        try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                Socket first = new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort());
+                Socket second = new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort())) {
             assertThat(first.isConnected() && second.isConnected())
-                    .as("nobody accepts, and the queue is full")
+                    .as("no connection is accepted, and the backlog is full")
                     .isTrue();
-            start(hostJson("b", "127.0.0.1:" + full.getLocalPort(), "in_service"));
+            start(hostJson("b", "127.0.0.1:" + unresponsive.getLocalPort(), "in_service"));
             assertThat(exchange(request("t1", "order", ""))).startsWith("HTTP/1.1 503 ");
         }
     }
 
     @Test
-    void aResponseLongerThanAnyRequestComesBackComplete() throws Exception {
+    void aResponseLongerThanAnyRequestIsReturnedComplete() throws Exception {
         String body = "0123456789abcdef".repeat(40_000);
         backend.responder = request -> okResponse(body);
         start();
@@ -112,7 +115,7 @@
     @Test
     void malformedInputIsAnsweredOnceAndTheConnectionCloses() throws Exception {
         start();
-        for (String[] bad : new String[][] {
+        for (String[] malformed : new String[][] {
             {"nonsense\r\n\r\n", "400"},
             {"GET /nowhere HTTP/1.1\r\n\r\n", "404"},
             {request("t", "nothing", ""), "400"},
@@ -120,15 +123,15 @@
             {"GET /api HTTP/1.1\r\nX: " + "x".repeat(9000), "431"},
             {request("t", "order", "Content-Length: 70000\r\n"), "413"}
         }) {
-            Client client = new Client().send(bad[0]);
-            assertThat(client.receive()).startsWith("HTTP/1.1 " + bad[1]).contains("Connection: close");
+            Client client = new Client().send(malformed[0]);
+            assertThat(client.receive()).startsWith("HTTP/1.1 " + malformed[1]).contains("Connection: close");
             assertThat(client.receive()).isNull();
         }
         assertThat(backend.requests).isEmpty();
     }
 
     @Test
-    void aTraceIdThatIsInFlightIsNotTakenOver() throws Exception {
+    void aRequestWithTheTraceIdOfARequestInFlightIsRejected() throws Exception {
         backend.responder = request -> NO_RESPONSE;
         start();
         Client first = new Client().send(request("t1", "order", ""));
@@ -138,7 +141,7 @@
         assertThat(first.receive()).endsWith("for the first");
         backend.responder = request -> okResponse("again");
         assertThat(exchange(request("t1", "order", "")))
-                .as("not in flight any more")
+                .as("the trace ID is not in flight any more")
                 .endsWith("again");
     }
 }
