--- a/src/main/java/hopdrum/frontdoor/ClientListener.java
+++ b/src/main/java/hopdrum/frontdoor/ClientListener.java
@@ -156,7 +156,10 @@
         return isIdle;
     }
 
-    /** Unlike {@link #closeIfIdle}, does not reset the connection if the client's next request crosses the close. */
+    /**
+     * Closes an idle connection like {@link #closeIfIdle}, but leaves time for a request that crosses the close, so
+     * that the client sees no reset.
+     */
     private static void closeGracefullyIfIdle(ClientConnection client) {
         client.readNow();
         if (client.isIdle()) {
@@ -238,7 +241,10 @@
         return draining || paused; // while paused, clients reconnect per request, so that all get room
     }
 
-    /** Starts the graceful shutdown: from now on, each connection closes after its next response. */
+    /**
+     * Starts the graceful shutdown: from now on a connection closes after a response, except while connections are
+     * still accepted and a further request has already arrived on it.
+     */
     void startDraining() {
         draining = true;
     }
--- a/src/main/java/hopdrum/frontdoor/RequestHandler.java
+++ b/src/main/java/hopdrum/frontdoor/RequestHandler.java
@@ -60,7 +60,7 @@
         }
         client.attachRequest(request);
         tally.requestReceived();
-        // With partners, any front door accepts any customer, whose gateways are all those of the shard's owner.
+        // With partners, any front door accepts any customer. The customer's gateways are all of its shard owner's.
         request.setHandle(policy.requestReceived(
                 request.id(),
                 head.method,
@@ -79,7 +79,7 @@
         request.detachClient();
         tally.clientDisconnected();
         if (request.handle() == null) {
-            requests.remove(request); // Policy threw an exception before it returned a handle
+            requests.remove(request); // Policy failed to return a handle
             return;
         }
         request.handle().clientLeft();
