--- a/src/main/java/hopdrum/fleet/ShardTablePublisher.java
+++ b/src/main/java/hopdrum/fleet/ShardTablePublisher.java
@@ -40,7 +40,7 @@
 
     /** Publishes a new snapshot, and the endpoints that have changed. */
     void publish(ViewLease viewLease, boolean actsOnNothing, long nowUs) {
-        table = coordinator.table(viewLease, operators, actsOnNothing, loopOffsetUs, nowUs);
+        table = coordinator.shardTable(viewLease, operators, actsOnNothing, loopOffsetUs, nowUs);
         Map<String, List<PartnerEndpoint>> before = endpoints;
         endpoints = coordinator.partnerEndpoints();
         notifyChanged(before);
--- a/src/main/java/hopdrum/fleet/link/FrameCodec.java
+++ b/src/main/java/hopdrum/fleet/link/FrameCodec.java
@@ -18,7 +18,7 @@
 
     /** A message as one frame. */
     static byte[] encode(Message message) {
-        byte[] body = Codec.bytes(message);
+        byte[] body = Codec.encode(message);
         return ByteBuffer.allocate(Integer.BYTES + body.length)
                 .putInt(body.length)
                 .put(body)
@@ -49,7 +49,7 @@
         byte[] body = new byte[length];
         readFully(socket, in, body, 0, deadlineNanos);
         try {
-            return Codec.read(body);
+            return Codec.decode(body);
         } catch (IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
--- a/src/main/java/hopdrum/fleet/link/OutboundConnection.java
+++ b/src/main/java/hopdrum/fleet/link/OutboundConnection.java
@@ -130,7 +130,7 @@
         write(connections.hello());
         Message answer = FrameCodec.read(
                 fresh, new BufferedInputStream(fresh.getInputStream(), HELLO_BUFFER_BYTES), CONNECT_TIMEOUT_MS);
-        if (answer instanceof Message.Rejected rejected) {
+        if (answer instanceof Message.HelloRejected rejected) {
             connections.handler().rejectedBy(address, rejected.reason());
             throw new IOException("rejected: " + rejected.reason());
         }
--- a/src/main/java/hopdrum/fleet/link/PeerConnections.java
+++ b/src/main/java/hopdrum/fleet/link/PeerConnections.java
@@ -194,7 +194,7 @@
         Optional<String> rejection = theirs.version() == Message.VERSION
                 ? handler.rejectionReason(theirs)
                 : Optional.of("version " + theirs.version());
-        Message answer = rejection.isPresent() ? new Message.Rejected(rejection.get()) : hello;
+        Message answer = rejection.isPresent() ? new Message.HelloRejected(rejection.get()) : hello;
         socket.getOutputStream().write(FrameCodec.encode(answer));
         if (rejection.isPresent()) {
             throw new IOException(rejection.get() + ", " + theirs.sender().name() + " of " + theirs.fleet());
--- a/src/main/java/hopdrum/fleet/message/Codec.java
+++ b/src/main/java/hopdrum/fleet/message/Codec.java
@@ -33,7 +33,7 @@
      * @param message the message
      * @return its one form as bytes
      */
-    public static byte[] bytes(Message message) {
+    public static byte[] encode(Message message) {
         try {
             return MAPPER.writerFor(Message.class).writeValueAsBytes(message);
         } catch (JsonProcessingException e) {
@@ -48,7 +48,7 @@
      * @return the message
      * @throws IllegalArgumentException with one line, for bytes that are no message
      */
-    public static Message read(byte[] bytes) {
+    public static Message decode(byte[] bytes) {
         try {
             Message message = MAPPER.readValue(bytes, Message.class);
             if (message == null) {
--- a/src/main/java/hopdrum/fleet/message/Message.java
+++ b/src/main/java/hopdrum/fleet/message/Message.java
@@ -13,7 +13,7 @@
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = Message.Hello.class, name = "hello"),
-    @JsonSubTypes.Type(value = Message.Rejected.class, name = "turneddown"),
+    @JsonSubTypes.Type(value = Message.HelloRejected.class, name = "turneddown"),
     @JsonSubTypes.Type(value = Message.Ping.class, name = "ping"),
     @JsonSubTypes.Type(value = Message.Ack.class, name = "ack"),
     @JsonSubTypes.Type(value = Message.PingRequest.class, name = "pingfor"),
@@ -27,8 +27,8 @@
     @JsonSubTypes.Type(value = Message.Preempted.class, name = "overruled"),
     @JsonSubTypes.Type(value = Message.ViewSettled.class, name = "settled"),
     @JsonSubTypes.Type(value = Message.SettledViewRequest.class, name = "asksettled"),
-    @JsonSubTypes.Type(value = Message.Renew.class, name = "renew"),
-    @JsonSubTypes.Type(value = Message.Renewed.class, name = "renewed"),
+    @JsonSubTypes.Type(value = Message.LeaseRenewalRequest.class, name = "renew"),
+    @JsonSubTypes.Type(value = Message.LeaseRenewalResponse.class, name = "renewed"),
     @JsonSubTypes.Type(value = Message.LatencyExchange.class, name = "latency"),
     @JsonSubTypes.Type(value = Message.LeaseGranted.class, name = "held"),
     @JsonSubTypes.Type(value = Message.AgreementProposals.class, name = "offers"),
@@ -89,7 +89,7 @@
      *
      * @param reason why the peer is rejected
      */
-    record Rejected(@JsonProperty("why") String reason) implements Message {}
+    record HelloRejected(@JsonProperty("why") String reason) implements Message {}
 
     // ---- Failure detection (SWIM) ----
 
@@ -323,9 +323,9 @@
      * @param number the view's number
      * @param round the round's number
      */
-    record Renew(long era, long number, long round) implements Message {
+    record LeaseRenewalRequest(long era, long number, long round) implements Message {
         /** Checks the components; throws IllegalArgumentException where one cannot be. */
-        public Renew {
+        public LeaseRenewalRequest {
             checkViewId(era, number);
         }
     }
@@ -339,9 +339,9 @@
      * @param atUs the answering member's own monotonic clock, microseconds; it comes back in {@link LeaseGranted} and means
      *     nothing to others
      */
-    record Renewed(long era, long number, long round, long atUs) implements Message {
+    record LeaseRenewalResponse(long era, long number, long round, long atUs) implements Message {
         /** Checks the components; throws IllegalArgumentException where one cannot be. */
-        public Renewed {
+        public LeaseRenewalResponse {
             checkViewId(era, number);
         }
     }
--- a/src/main/java/hopdrum/fleet/message/ShardAssignment.java
+++ b/src/main/java/hopdrum/fleet/message/ShardAssignment.java
@@ -101,7 +101,7 @@
      *
      * @return as many as the fleet file sets
      */
-    public int shards() {
+    public int shardCount() {
         return owners.length();
     }
 
@@ -141,7 +141,7 @@
      * @param other the other; may be null
      * @return true where owners, agreement, expiry and absent operators are the same
      */
-    public boolean isLike(ShardAssignment other) {
+    public boolean isEquivalentTo(ShardAssignment other) {
         return other != null
                 && owners.equals(other.owners)
                 && operators.equals(other.operators)
@@ -156,9 +156,9 @@
      * @param operator the operator
      * @return how many it owns
      */
-    public int count(String operator) {
+    public int shardCountOf(String operator) {
         int count = 0;
-        for (int i = 0; i < shards(); i++) {
+        for (int i = 0; i < shardCount(); i++) {
             count += operator.equals(owner(i)) ? 1 : 0;
         }
         return count;
--- a/src/main/java/hopdrum/fleet/message/View.java
+++ b/src/main/java/hopdrum/fleet/message/View.java
@@ -98,7 +98,7 @@
      *
      * @return how many members are a majority
      */
-    public int majority() {
+    public int majoritySize() {
         return members.size() / 2 + 1;
     }
 }
--- a/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
@@ -118,7 +118,7 @@
                 ready == null ? null : ready.agreement(),
                 ready == null ? List.of() : AgreementNegotiation.approversOf(ready),
                 nowMs);
-        return next.isLike(before.shardAssignment()) ? before.shardAssignment() : next;
+        return next.isEquivalentTo(before.shardAssignment()) ? before.shardAssignment() : next;
     }
 
     @Override
@@ -148,7 +148,7 @@
         if (assignment == null) {
             return;
         }
-        if (!assignment.isLike(before.shardAssignment())) {
+        if (!assignment.isEquivalentTo(before.shardAssignment())) {
             logAssignment(assignment);
         }
         notifyReceiversUntilUs = nowUs + RECEIVER_NOTICE_PERIODS * timing.probePeriodUs();
@@ -328,7 +328,8 @@
      * @param nowUs the time, microseconds
      * @return the table; null before the first assignment
      */
-    public ShardTable table(ViewLease viewLease, List<String> operators, boolean isLeaving, long offsetUs, long nowUs) {
+    public ShardTable shardTable(
+            ViewLease viewLease, List<String> operators, boolean isLeaving, long offsetUs, long nowUs) {
         long sinceUs = isLeaving ? Long.MIN_VALUE / 2 : viewLease.lastConfirmedUs(nowUs);
         ShardLeases.Snapshot snapshot = leases.snapshot(sinceUs, nowUs, wallMs.getAsLong() * 1000);
         if (snapshot == null) {
--- a/src/main/java/hopdrum/fleet/shards/ShardLeases.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardLeases.java
@@ -210,7 +210,7 @@
         }
         boolean isInView = view.contains(self);
         List<ShardLease> shards = new ArrayList<>();
-        for (int shard = 0; shard < assignment.shards(); shard++) {
+        for (int shard = 0; shard < assignment.shardCount(); shard++) {
             String owner = assignment.owner(shard);
             shards.add(
                     isInView && self.operator().equals(owner)
@@ -244,8 +244,8 @@
         }
         long totalFloor = agreement.parties().stream().mapToLong(Party::floor).sum();
         return totalFloor == 0
-                ? assignment.shards()
-                : ShardTargets.floorShards(assignment.shards(), own.floor(), totalFloor);
+                ? assignment.shardCount()
+                : ShardTargets.floorShards(assignment.shardCount(), own.floor(), totalFloor);
     }
 
     /**
--- a/src/main/java/hopdrum/fleet/view/Electorate.java
+++ b/src/main/java/hopdrum/fleet/view/Electorate.java
@@ -47,7 +47,7 @@
      * not know what it has voted for before.
      */
     int quorum(View view) {
-        return isUnfounded(view) ? founders.size() : view.majority();
+        return isUnfounded(view) ? founders.size() : view.majoritySize();
     }
 
     /** Returns the voters, at their latest known addresses; founders that are not known yet are left out. */
--- a/src/main/java/hopdrum/fleet/view/LeaseCoordinator.java
+++ b/src/main/java/hopdrum/fleet/view/LeaseCoordinator.java
@@ -67,14 +67,14 @@
         clocksBeforeRound = new HashMap<>(lastAnswerClocks);
         for (Member member : voters) {
             if (!member.isSameStart(self)) {
-                sender.send(member.address(), new Message.Renew(view.era(), view.number(), round));
+                sender.send(member.address(), new Message.LeaseRenewalRequest(view.era(), view.number(), round));
             }
         }
         grantOnMajority(voters, nowUs);
     }
 
     /** Handles a voter's answer to a round; an answer to an earlier round or about another view is ignored. */
-    void onRenewed(Member from, Message.Renewed renewed, long nowUs) {
+    void onRenewed(Member from, Message.LeaseRenewalResponse renewed, long nowUs) {
         if (!view.hasId(renewed.era(), renewed.number()) || renewed.round() != round) {
             return;
         }
@@ -92,7 +92,7 @@
     }
 
     private void grantOnMajority(List<Member> members, long nowUs) {
-        if (answeredRound.size() < view.majority()) {
+        if (answeredRound.size() < view.majoritySize()) {
             return;
         }
         roundHasMajority = true;
@@ -101,7 +101,7 @@
                 grantLease(member);
             }
         }
-        if (clocksBeforeRound.size() < view.majority()) {
+        if (clocksBeforeRound.size() < view.majoritySize()) {
             // The first round of a view has no times to grant, so the next round starts early.
             nextRoundUs = Math.min(nextRoundUs, nowUs + timing.probePeriodUs() / FIRST_ROUNDS_PER_PERIOD);
         }
--- a/src/main/java/hopdrum/fleet/view/ViewChangePlanner.java
+++ b/src/main/java/hopdrum/fleet/view/ViewChangePlanner.java
@@ -72,7 +72,7 @@
     }
 
     private static boolean isChange(View view, List<Member> members, ShardAssignment assignment) {
-        boolean reassigns = assignment != null && !assignment.isLike(view.shardAssignment());
+        boolean reassigns = assignment != null && !assignment.isEquivalentTo(view.shardAssignment());
         return reassigns || !haveSameStarts(members, view.members());
     }
 
--- a/src/main/java/hopdrum/fleet/view/ViewConsensus.java
+++ b/src/main/java/hopdrum/fleet/view/ViewConsensus.java
@@ -170,9 +170,9 @@
     }
 
     private void onLeaseMessage(Member from, Message message, long nowUs) {
-        if (message instanceof Message.Renew renew) {
+        if (message instanceof Message.LeaseRenewalRequest renew) {
             onRenew(from, renew, nowUs);
-        } else if (message instanceof Message.Renewed renewed) {
+        } else if (message instanceof Message.LeaseRenewalResponse renewed) {
             if (electorate.mayVote(view, from)) {
                 leaseCoordinator.onRenewed(from, renewed, nowUs);
             }
@@ -200,12 +200,12 @@
                 && electorate.mayVote(view, proposer);
     }
 
-    private void onRenew(Member from, Message.Renew renew, long nowUs) {
+    private void onRenew(Member from, Message.LeaseRenewalRequest renew, long nowUs) {
         if (!view.hasId(renew.era(), renew.number())) {
             catchUp.onPeerView(view, from, renew.era(), renew.number(), nowUs);
         } else if (!acceptor.hasAccepted() && view.contains(self)) {
             // A member that has voted for the next view no longer renews leases on the present one.
-            sender.send(from, new Message.Renewed(renew.era(), renew.number(), renew.round(), nowUs));
+            sender.send(from, new Message.LeaseRenewalResponse(renew.era(), renew.number(), renew.round(), nowUs));
         }
     }
 
--- a/src/rig/java/hopdrum/rig/faulty/RogueMember.java
+++ b/src/rig/java/hopdrum/rig/faulty/RogueMember.java
@@ -144,7 +144,7 @@
         try (Socket socket = LoopbackSockets.connect(address)) {
             for (Message message :
                     List.of(new Message.Hello(Message.VERSION, fleet, self), new Message.ViewSettled(view))) {
-                byte[] body = Codec.bytes(message);
+                byte[] body = Codec.encode(message);
                 socket.getOutputStream()
                         .write(ByteBuffer.allocate(Integer.BYTES + body.length)
                                 .putInt(body.length)
--- a/src/rig/java/hopdrum/rig/simulation/SimulatedNetwork.java
+++ b/src/rig/java/hopdrum/rig/simulation/SimulatedNetwork.java
@@ -82,7 +82,7 @@
     }
 
     void send(SimulatedNode from, Member sender, String address, Message original) {
-        byte[] bytes = Codec.bytes(tamper.apply(from.name(), original));
+        byte[] bytes = Codec.encode(tamper.apply(from.name(), original));
         from.countSent(bytes.length + FRAME_HEADER_BYTES);
         String to = nameByAddress.get(address);
         if (to == null || random.nextDouble() < loss || !linkFilter.test(from.name(), to)) {
--- a/src/rig/java/hopdrum/rig/simulation/SimulatedNode.java
+++ b/src/rig/java/hopdrum/rig/simulation/SimulatedNode.java
@@ -155,7 +155,7 @@
 
     void receive(Member sender, byte[] bytes, long nowUs) {
         long began = System.nanoTime();
-        Message message = Codec.read(bytes);
+        Message message = Codec.decode(bytes);
         membership.onMessage(sender, message, nowUs);
         cpuNanos += System.nanoTime() - began;
     }
@@ -197,7 +197,7 @@
         if (!isUp() || membership.isInactive(nowUs)) {
             shardTable = null;
         } else if (!isPaused(nowUs)) {
-            shardTable = shardCoordinator.table(membership.viewConsensus().lease(), List.of(), false, 0, nowUs);
+            shardTable = shardCoordinator.shardTable(membership.viewConsensus().lease(), List.of(), false, 0, nowUs);
         }
     }
 
--- a/src/test/java/hopdrum/fleet/BadInputTest.java
+++ b/src/test/java/hopdrum/fleet/BadInputTest.java
@@ -112,7 +112,7 @@
     @Property(tries = 500)
     void arbitraryBytesDecodeToAMessageOrAOneLineError(@ForAll byte[] bytes) {
         try {
-            assertThat(Codec.read(bytes)).isNotNull();
+            assertThat(Codec.decode(bytes)).isNotNull();
         } catch (IllegalArgumentException e) {
             assertThat(e.getMessage()).doesNotContain("\n");
         }
@@ -121,7 +121,7 @@
     @Test
     void bytesWhoseMessageTypeIsNoTextAreRejected() { // the library answers these two with a NullPointerException
         for (String bytes : List.of("8141beff93", "8140a49a98778c28bf")) {
-            assertThatThrownBy(() -> Codec.read(HexFormat.of().parseHex(bytes)))
+            assertThatThrownBy(() -> Codec.decode(HexFormat.of().parseHex(bytes)))
                     .isInstanceOf(IllegalArgumentException.class)
                     .hasMessageStartingWith("no message");
         }
@@ -137,9 +137,9 @@
                 new Message.ViewSettled(view),
                 new Message.LeaseGranted(9, 3, 77));
         for (Message m : all) {
-            byte[] bytes = Codec.bytes(m);
-            assertThat(Codec.read(bytes)).isEqualTo(m);
-            assertThatThrownBy(() -> Codec.read(Arrays.copyOf(bytes, bytes.length - 1)))
+            byte[] bytes = Codec.encode(m);
+            assertThat(Codec.decode(bytes)).isEqualTo(m);
+            assertThatThrownBy(() -> Codec.decode(Arrays.copyOf(bytes, bytes.length - 1)))
                     .isInstanceOf(IllegalArgumentException.class);
         }
         assertThatThrownBy(() -> new Member("n1", -5, 7, "north", "ams", 0, "127.0.0.1:9"))
@@ -175,7 +175,7 @@
 
     private static void send(Socket to, Message... messages) throws IOException {
         for (Message m : messages) {
-            byte[] body = Codec.bytes(m);
+            byte[] body = Codec.encode(m);
             to.getOutputStream()
                     .write(ByteBuffer.allocate(4 + body.length)
                             .putInt(body.length)
@@ -188,7 +188,7 @@
         DataInputStream in = new DataInputStream(from.getInputStream());
         byte[] body = new byte[in.readInt()];
         in.readFully(body);
-        return Codec.read(body);
+        return Codec.decode(body);
     }
 
     @Test
@@ -208,7 +208,7 @@
                     new Message.Hello(Message.VERSION, "demo", 8, 1_000, ONE))) {
                 try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                     send(socket, hello);
-                    assertThat(receive(socket)).isInstanceOf(Message.Rejected.class);
+                    assertThat(receive(socket)).isInstanceOf(Message.HelloRejected.class);
                     assertThat(socket.getInputStream().read()).isNegative();
                 }
             }
--- a/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
+++ b/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
@@ -89,7 +89,7 @@
         assertThat(fleet.until(30 * S, () -> shares(fleet, 24, 8))).isTrue();
         updateTerms(fleet, "op1", proposes(terms(2, 0, fleet.wallMs() + 3_600_000, false, 25, 75)));
         fleet.until(20 * S, () -> !shares(fleet, 24, 8));
-        assertThat(fleet.node(0).view().shardAssignment().count("op1")).isLessThan(24); // 8 an epoch at most
+        assertThat(fleet.node(0).view().shardAssignment().shardCountOf("op1")).isLessThan(24); // 8 an epoch at most
         assertThat(fleet.until(60 * S, () -> shares(fleet, 8, 24))).isTrue();
         assertThat(fleet.violations()).isEmpty();
     }
@@ -240,7 +240,8 @@
                             0)));
             int wanted = revision;
             assertThat(fleet.until(
-                            30 * S, () -> fleet.node(1).view().shardAssignment().count("op" + (wanted - 1)) >= 25))
+                            30 * S,
+                            () -> fleet.node(1).view().shardAssignment().shardCountOf("op" + (wanted - 1)) >= 25))
                     .isTrue();
             if (revision == 1) {
                 fleet.run(25 * S);
@@ -347,8 +348,9 @@
         double all = Arrays.stream(shares).sum();
         int gained = 0;
         for (int i = 0; i < operators; i++) {
-            assertThat(Math.abs(d.count("op" + i) - SHARDS * shares[i] / all)).isLessThan(1);
-            gained += Math.max(0, d.count("op" + i) - first.count("op" + i));
+            assertThat(Math.abs(d.shardCountOf("op" + i) - SHARDS * shares[i] / all))
+                    .isLessThan(1);
+            gained += Math.max(0, d.shardCountOf("op" + i) - first.shardCountOf("op" + i));
         }
         assertThat(shardsWithAnotherOwner(first, d)).isEqualTo(gained);
     }
@@ -391,7 +393,7 @@
                 .isFalse(); // approved by one party only
         assertThat(rule.violation(view(null, 0), new View(1, 1, view(null, 0).members(), d), 10))
                 .isPresent(); // op1 is not there
-        Map<String, Integer> counts = Map.of("op0", d.count("op0"), "op1", d.count("op1"));
+        Map<String, Integer> counts = Map.of("op0", d.shardCountOf("op0"), "op1", d.shardCountOf("op1"));
         assertThat(counts).containsEntry("op0", 16).containsEntry("op1", 16);
     }
 }
--- a/src/test/java/hopdrum/fleet/message/MessageWireFormatTest.java
+++ b/src/test/java/hopdrum/fleet/message/MessageWireFormatTest.java
@@ -67,7 +67,7 @@
         AgreementProposal offer = new AgreementProposal(agreement(), "opa", Map.of("opb", "", "opa", "no"));
         Map<String, Message> all = new LinkedHashMap<>();
         all.put("hello", new Message.Hello(2, "fleet1", 256, 30000, FIRST));
-        all.put("turneddown", new Message.Rejected("why"));
+        all.put("turneddown", new Message.HelloRejected("why"));
         all.put("ping", new Message.Ping(1, ERA, 3, List.of(update)));
         all.put("ack", new Message.Ack(2, ERA, 3, List.of()));
         all.put("pingfor", new Message.PingRequest(3, SECOND, List.of(update)));
@@ -83,8 +83,8 @@
         all.put("overruled", new Message.Preempted(ERA, 3, BALLOT));
         all.put("settled", new Message.ViewSettled(viewWithDivision()));
         all.put("asksettled", new Message.SettledViewRequest(ERA, 3));
-        all.put("renew", new Message.Renew(ERA, 3, 7));
-        all.put("renewed", new Message.Renewed(ERA, 3, 7, 123_456));
+        all.put("renew", new Message.LeaseRenewalRequest(ERA, 3, 7));
+        all.put("renewed", new Message.LeaseRenewalResponse(ERA, 3, 7, 123_456));
         all.put("held", new Message.LeaseGranted(ERA, 3, 123));
         all.put("offers", new Message.AgreementProposals(List.of(offer)));
         all.put("opened", new Message.ShardsHandedOver(ERA, Map.of(1, 2L)));
@@ -109,9 +109,9 @@
         Map<String, Message> messages = oneOfEachKind();
         assertThat(messages).hasSize(22);
         for (Map.Entry<String, Message> kind : messages.entrySet()) {
-            byte[] bytes = Codec.bytes(kind.getValue());
+            byte[] bytes = Codec.encode(kind.getValue());
             assertThat(HexFormat.of().formatHex(bytes)).as(kind.getKey()).isEqualTo(expected.get(kind.getKey()));
-            assertThat(Codec.read(bytes)).as(kind.getKey()).isEqualTo(kind.getValue());
+            assertThat(Codec.decode(bytes)).as(kind.getKey()).isEqualTo(kind.getValue());
         }
     }
 
