--- a/src/main/java/hopdrum/FleetServer.java
+++ b/src/main/java/hopdrum/FleetServer.java
@@ -26,8 +26,8 @@
         try {
             file = FleetFile.read(Path.of(fleetFile));
             // The modification time is taken before the file is read, so that a later change is noticed.
-            termsModifiedAtMs = file.terms() == null ? 0 : file.terms().toFile().lastModified();
-            terms = file.terms() == null ? AgreementTerms.NONE : TermsFile.read(file.terms());
+            termsModifiedAtMs = file.termsFile() == null ? 0 : file.termsFile().toFile().lastModified();
+            terms = file.termsFile() == null ? AgreementTerms.NONE : TermsFile.read(file.termsFile());
         } catch (InvalidFileException | IllegalArgumentException e) {
             System.err.println("hopdrum serve: the fleet file cannot be used\n" + e.getMessage());
             return 1;
@@ -51,7 +51,7 @@
         public void frontDoorStarted(FrontDoor frontDoor) {
             frontDoor.setFleetSuppliers(fleet, fleet::zoneLatencies);
             if (fleet.sharesCustomers()) {
-                frontDoor.setShardOwnershipSupplier(fleet::shards);
+                frontDoor.setShardOwnershipSupplier(fleet::shardOwnership);
                 fleet.setPartnerEndpointListener(
                         (tier, endpoints) -> loop.execute(() -> frontDoor.updatePartnerEndpoints(tier, endpoints)));
             }
--- a/src/main/java/hopdrum/fleet/Fleet.java
+++ b/src/main/java/hopdrum/fleet/Fleet.java
@@ -88,23 +88,30 @@
 
     private Fleet(FleetFile file, long termsMs, int gateway, long seed, long loopOffsetUs) throws IOException {
         this.file = file;
-        store = new Store(file.store());
+        store = new Store(file.storeFolder());
         try {
             Store.DurableState stored = store.read();
             long start = Math.max(System.currentTimeMillis() * 1000, stored == null ? 0 : stored.lastStart() + 1);
             SplittableRandom random = new SplittableRandom(seed ^ start); // the seed may be another member's too
             long voter = stored == null ? random.nextLong() | 1 : stored.voter();
             self = new Member(
-                    file.name(), start, voter, file.operator(), file.site(), gateway, file.advertise(), file.serves());
-            log = new FleetLog(file.log(), self.name(), self.start());
+                    file.name(),
+                    start,
+                    voter,
+                    file.operator(),
+                    file.site(),
+                    gateway,
+                    file.advertisedAddress(),
+                    file.partnerAddress());
+            log = new FleetLog(file.logFile(), self.name(), self.start());
             logStart(gateway, stored != null);
             store.write(stateAtStart(stored, voter, start));
             connections = openConnections(random.split());
-            shardCoordinator = file.shards() == 0 ? null : newShardCoordinator(random.split());
+            shardCoordinator = file.shardCount() == 0 ? null : newShardCoordinator(random.split());
             shardTables = shardCoordinator == null
                     ? null
                     : new ShardTablePublisher(shardCoordinator, file.operators(), loopOffsetUs);
-            termsReloader = shardCoordinator == null || file.terms() == null ? null : newTermsReloader(termsMs);
+            termsReloader = shardCoordinator == null || file.termsFile() == null ? null : newTermsReloader(termsMs);
             voteWriter = new VoteWriter(store, log, () -> closed, this::voteWritten);
             membership = newMembership(stored, random.split());
             tickThread = new Thread(null, this::runTicks, "fleet-view", STACK_BYTES);
@@ -122,7 +129,7 @@
         log.event(
                 "starts",
                 "fleet",
-                file.fleet(),
+                file.fleetName(),
                 "operator",
                 self.operator(),
                 "site",
@@ -149,13 +156,17 @@
     }
 
     private PeerConnections openConnections(SplittableRandom random) throws IOException {
-        int colon = file.listen().lastIndexOf(':');
+        int colon = file.listenAddress().lastIndexOf(':');
         return new PeerConnections(
                 new InetSocketAddress(
-                        file.listen().substring(0, colon),
-                        Integer.parseInt(file.listen().substring(colon + 1))),
+                        file.listenAddress().substring(0, colon),
+                        Integer.parseInt(file.listenAddress().substring(colon + 1))),
                 new Message.Hello(
-                        Message.VERSION, file.fleet(), file.shards(), file.shards() == 0 ? 0 : file.maxAloneMs(), self),
+                        Message.VERSION,
+                        file.fleetName(),
+                        file.shardCount(),
+                        file.shardCount() == 0 ? 0 : file.maxAloneMs(),
+                        self),
                 random,
                 new PeerMessageHandler(),
                 log);
@@ -164,7 +175,7 @@
     private ShardCoordinator newShardCoordinator(SplittableRandom random) {
         return new ShardCoordinator(
                 self,
-                file.shards(),
+                file.shardCount(),
                 file.maxAloneMs(),
                 file.timing(),
                 random,
@@ -175,13 +186,13 @@
 
     private TermsFileReloader newTermsReloader(long termsMs) {
         return new TermsFileReloader(
-                file.terms(), shardCoordinator, log, file.timing().probePeriodUs(), termsMs);
+                file.termsFile(), shardCoordinator, log, file.timing().probePeriodUs(), termsMs);
     }
 
     private Membership newMembership(Store.DurableState stored, SplittableRandom random) {
         return new Membership(
                 self,
-                file.seeds(),
+                file.seedAddresses(),
                 file.founders(),
                 stored,
                 file.timing(),
@@ -264,7 +275,7 @@
      *
      * @return null until shards are assigned
      */
-    public ShardOwnership shards() {
+    public ShardOwnership shardOwnership() {
         return shardTables == null ? null : shardTables.current();
     }
 
--- a/src/main/java/hopdrum/fleet/FleetStatusLog.java
+++ b/src/main/java/hopdrum/fleet/FleetStatusLog.java
@@ -40,7 +40,7 @@
         Map<String, Object> estimates = new TreeMap<>();
         membership
                 .latencyMap()
-                .estimatesFromHere(sites, nowUs)
+                .estimatesFromOwnSite(sites, nowUs)
                 .forEach((site, estimate) -> estimates.put(
                         site,
                         List.of(
--- a/src/main/java/hopdrum/fleet/ZoneLatencyPublisher.java
+++ b/src/main/java/hopdrum/fleet/ZoneLatencyPublisher.java
@@ -39,7 +39,7 @@
         if (zones.isEmpty()) {
             return;
         }
-        double[] nextUs = extraLatencies(latency.estimatesFromHere(zones, nowUs));
+        double[] nextUs = extraLatencies(latency.estimatesFromOwnSite(zones, nowUs));
         if (nextUs.length == 0) {
             current = null;
             publishedUs = nextUs;
--- a/src/main/java/hopdrum/fleet/config/FleetFile.java
+++ b/src/main/java/hopdrum/fleet/config/FleetFile.java
@@ -10,41 +10,41 @@
 /**
  * The file that serve --fleet names. docs/fleet.md has its keys.
  *
- * @param fleet the fleet's name
+ * @param fleetName the fleet's name
  * @param operator the operator of this front door
  * @param operators all operators whose front doors may join
  * @param site the site of this front door
  * @param name this front door's name in the fleet
- * @param listen the numeric address and port to listen on for peers
- * @param advertise the address at which peers reach it
- * @param seeds addresses to find the fleet by
+ * @param listenAddress the numeric address and port to listen on for peers
+ * @param advertisedAddress the address at which peers reach it
+ * @param seedAddresses addresses to find the fleet by
  * @param founders names of the members that all have to be up before a new fleet is founded
- * @param store the folder of this member's durable state
- * @param log the file that decisions are logged to; null for standard error
+ * @param storeFolder the folder of this member's durable state
+ * @param logFile the file that decisions are logged to; null for standard error
  * @param timing the fleet's times
  * @param usesLatencyMap whether RPCs are placed by the latency map
- * @param shards the number of shards; 0 where customers are not shared with partners
- * @param serves the address where partners' RPCs are taken; null where none are
- * @param terms the operator's terms file; null for none
+ * @param shardCount the number of shards; 0 where customers are not shared with partners
+ * @param partnerAddress the address where partners' RPCs are taken; null where none are
+ * @param termsFile the operator's terms file; null for none
  * @param maxAloneMs the longest that an agreement may let an operator act alone, milliseconds
  */
 public record FleetFile(
-        String fleet,
+        String fleetName,
         String operator,
         List<String> operators,
         String site,
         String name,
-        String listen,
-        String advertise,
-        List<String> seeds,
+        String listenAddress,
+        String advertisedAddress,
+        List<String> seedAddresses,
         List<String> founders,
-        Path store,
-        Path log,
+        Path storeFolder,
+        Path logFile,
         FleetTiming timing,
         boolean usesLatencyMap,
-        int shards,
-        String serves,
-        Path terms,
+        int shardCount,
+        String partnerAddress,
+        Path termsFile,
         long maxAloneMs) {
     private static final String NAME = "a name: letters, digits, dot, dash, underscore, 64 at most";
     private static final String ADDRESS = "a numeric address and a port, as 127.0.0.1:7401";
--- a/src/main/java/hopdrum/fleet/latency/LatencyMap.java
+++ b/src/main/java/hopdrum/fleet/latency/LatencyMap.java
@@ -74,7 +74,7 @@
     private final Map<String, SiteSamples> samplesBySite = new HashMap<>(); // as many as there are sites
     private final Map<ReadingKey, StoredReading> readings = new HashMap<>(); // bounded by age and MAX_READINGS
     private final Map<Long, OutstandingProbe> outstanding = new LinkedHashMap<>(); // emptied by answers and its bound
-    private final Map<String, Long> lastProbeUsBySite = new HashMap<>(); // as many as there are sites
+    private final Map<String, Long> lastProbeAtUsBySite = new HashMap<>(); // as many as there are sites
     private long lastProbeSeq;
 
     /**
@@ -102,7 +102,7 @@
             outstanding.remove(outstanding.keySet().iterator().next());
         }
         outstanding.put(++lastProbeSeq, new OutstandingProbe(peer, nowUs));
-        lastProbeUsBySite.put(peer.site(), nowUs);
+        lastProbeAtUsBySite.put(peer.site(), nowUs);
         return lastProbeSeq;
     }
 
@@ -112,8 +112,8 @@
      * @param site the site
      * @return the time, microseconds; far in the past where it was never probed
      */
-    public long lastProbeUs(String site) {
-        return lastProbeUsBySite.getOrDefault(site, Long.MIN_VALUE / 2);
+    public long lastProbeAtUs(String site) {
+        return lastProbeAtUsBySite.getOrDefault(site, Long.MIN_VALUE / 2);
     }
 
     /**
@@ -264,7 +264,7 @@
      * @param nowUs the time, microseconds
      * @return the estimates by site, sorted; without sites that nothing is known of
      */
-    public Map<String, LatencyEstimate> estimatesFromHere(Collection<String> sites, long nowUs) {
+    public Map<String, LatencyEstimate> estimatesFromOwnSite(Collection<String> sites, long nowUs) {
         Map<String, LatencyEstimate> all = new TreeMap<>();
         for (String site : sites) {
             LatencyEstimate estimate = estimate(self.site(), site, nowUs);
--- a/src/main/java/hopdrum/fleet/view/LatencySharing.java
+++ b/src/main/java/hopdrum/fleet/view/LatencySharing.java
@@ -56,7 +56,7 @@
     private Member measuredLongestAgo(List<Member> candidates) {
         Member oldest = candidates.get(0);
         for (Member candidate : candidates) {
-            if (map.lastProbeUs(candidate.site()) < map.lastProbeUs(oldest.site())) {
+            if (map.lastProbeAtUs(candidate.site()) < map.lastProbeAtUs(oldest.site())) {
                 oldest = candidate;
             }
         }
