--- a/src/rig/java/hopdrum/rig/check/Checker.java
+++ b/src/rig/java/hopdrum/rig/check/TrialChecker.java
@@ -9,8 +9,8 @@
  * Checks the logs of one finished trial against all invariants and against the expectations of its file. It shares no code
  * with the program under test. Stateless; callable from any thread.
  */
-public final class Checker {
-    private Checker() {}
+public final class TrialChecker {
+    private TrialChecker() {}
 
     /**
      * Reads all logs of a trial and checks every rule.
--- a/src/rig/java/hopdrum/rig/trial/Trial.java
+++ b/src/rig/java/hopdrum/rig/trial/Trial.java
@@ -1,6 +1,6 @@
 package hopdrum.rig.trial;
 
-import hopdrum.rig.check.Checker;
+import hopdrum.rig.check.TrialChecker;
 import hopdrum.rig.check.TrialReport;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -64,7 +64,7 @@
         } finally {
             Runtime.getRuntime().removeShutdownHook(killer);
         }
-        TrialReport report = Checker.check(out);
+        TrialReport report = TrialChecker.check(out);
         report.measurements().forEach(line -> output.accept("measured: " + line));
         Optional<String> broken = report.firstViolation();
         output.accept(broken.map(violation -> "verdict: broken " + violation).orElse("verdict: kept"));
--- a/src/test/java/hopdrum/rig/TrialsIT.java
+++ b/src/test/java/hopdrum/rig/TrialsIT.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import hopdrum.rig.check.Checker;
+import hopdrum.rig.check.TrialChecker;
 import hopdrum.rig.trial.Trial;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -70,7 +70,7 @@
     private static Set<String> broken(String trial) throws IOException, InterruptedException {
         Path file = HOME.resolve("trials/planted/" + trial);
         assertThat(play(file, 1)).last().asString().startsWith("verdict: broken ");
-        return Checker.check(folder.resolve(file.getFileName() + "-1")).violatedRules();
+        return TrialChecker.check(folder.resolve(file.getFileName() + "-1")).violatedRules();
     }
 
     @Test
--- a/src/test/java/hopdrum/rig/check/CheckerTest.java
+++ b/src/test/java/hopdrum/rig/check/TrialCheckerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The checker over small logs made here. That it catches each fault of real processes is in TrialsIT. */
-class CheckerTest {
+class TrialCheckerTest {
     @TempDir
     Path folder;
 
@@ -48,7 +48,7 @@
         write("rig.jsonl", rig);
         write("a.jsonl", a);
         write("b.jsonl", b);
-        return Checker.check(folder);
+        return TrialChecker.check(folder);
     }
 
     private void write(String name, List<String> lines) throws IOException {
