--- a/src/main/java/hopdrum/FleetServer.java
+++ b/src/main/java/hopdrum/FleetServer.java
@@ -26,7 +26,8 @@
         try {
             file = FleetFile.read(Path.of(fleetFile));
             // The modification time is taken before the file is read, so that a later change is noticed.
-            termsModifiedAtMs = file.termsFile() == null ? 0 : file.termsFile().toFile().lastModified();
+            termsModifiedAtMs =
+                    file.termsFile() == null ? 0 : file.termsFile().toFile().lastModified();
             terms = file.termsFile() == null ? AgreementTerms.NONE : TermsFile.read(file.termsFile());
         } catch (InvalidFileException | IllegalArgumentException e) {
             System.err.println("hopdrum serve: the fleet file cannot be used\n" + e.getMessage());
--- a/src/rig/java/hopdrum/rig/trial/AtomicFiles.java
+++ b/src/rig/java/hopdrum/rig/trial/AtomicFiles.java
@@ -11,8 +11,8 @@
 
     /** Replaces a file by a move, so that no reader sees half of it. */
     static void replace(Path file, String content) throws IOException {
-        Path beside = file.resolveSibling(file.getFileName() + ".new");
-        Files.writeString(beside, content);
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path temporary = file.resolveSibling(file.getFileName() + ".new");
+        Files.writeString(temporary, content);
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/src/rig/java/hopdrum/rig/trial/CounterStandIns.java
+++ b/src/rig/java/hopdrum/rig/trial/CounterStandIns.java
@@ -14,12 +14,12 @@
  * counter can fail towards one door alone.
  */
 final class CounterStandIns implements AutoCloseable {
-    private static final long SILENCE_MS = 10_000;
-    private static final long SLOWNESS_MS = 200;
+    private static final long SILENT_DELAY_MS = 10_000;
+    private static final long SLOW_DELAY_MS = 200;
     private static final Pattern DELTA = Pattern.compile("delta=([-0-9.]+)");
 
     private final EventJournal journal;
-    private final Map<String, HttpStandIn> byDoor = new HashMap<>();
+    private final Map<String, HttpStandIn> standInsByFrontDoor = new HashMap<>();
     private final Map<String, CounterState> states = new ConcurrentHashMap<>(); // by door
     private final Map<String, Double> totals = new HashMap<>(); // guarded by itself
 
@@ -28,23 +28,23 @@
     }
 
     /** The port at which a door reaches the counter. */
-    int portFor(String door) throws IOException {
-        HttpStandIn counter = byDoor.get(door);
+    int portFor(String frontDoor) throws IOException {
+        HttpStandIn counter = standInsByFrontDoor.get(frontDoor);
         if (counter == null) {
-            counter = new HttpStandIn("counter-" + door, (request, to) -> answer(door, request, to));
-            byDoor.put(door, counter);
+            counter = new HttpStandIn("counter-" + frontDoor, (request, out) -> handle(frontDoor, request, out));
+            standInsByFrontDoor.put(frontDoor, counter);
         }
         return counter.port();
     }
 
-    private void answer(String door, HttpStandIn.Request request, OutputStream to)
+    private void handle(String frontDoor, HttpStandIn.Request request, OutputStream out)
             throws IOException, InterruptedException {
-        switch (states.getOrDefault(door, CounterState.WELL)) {
+        switch (states.getOrDefault(frontDoor, CounterState.WELL)) {
             case SILENT -> {
-                Thread.sleep(SILENCE_MS);
+                Thread.sleep(SILENT_DELAY_MS);
                 throw new IOException("silent: no answer");
             }
-            case SLOW -> Thread.sleep(SLOWNESS_MS);
+            case SLOW -> Thread.sleep(SLOW_DELAY_MS);
             default -> {}
         }
         String path = request.path();
@@ -57,26 +57,26 @@
         synchronized (totals) {
             total = totals.merge(name, Double.parseDouble(delta.group(1)), Double::sum);
         }
-        HttpStandIn.writeOk(to, String.format(Locale.ROOT, "%.6f", total));
+        HttpStandIn.writeOk(out, String.format(Locale.ROOT, "%.6f", total));
     }
 
     /** From now on the counter behaves like this towards a door; the door's connections to it are closed. */
-    void set(String door, CounterState state) {
-        journal.event("counter").with("door", door).with("is", state.key()).write();
+    void setState(String frontDoor, CounterState state) {
+        journal.event("counter").with("door", frontDoor).with("is", state.key()).write();
         if (state == CounterState.EMPTIED) {
             synchronized (totals) {
                 totals.clear();
             }
         }
-        states.put(door, state == CounterState.EMPTIED ? CounterState.WELL : state);
-        if (byDoor.containsKey(door)) {
-            byDoor.get(door).closeConnections();
+        states.put(frontDoor, state == CounterState.EMPTIED ? CounterState.WELL : state);
+        if (standInsByFrontDoor.containsKey(frontDoor)) {
+            standInsByFrontDoor.get(frontDoor).closeConnections();
         }
     }
 
     @Override
     public void close() throws IOException {
-        for (HttpStandIn counter : byDoor.values()) {
+        for (HttpStandIn counter : standInsByFrontDoor.values()) {
             counter.close();
         }
     }
--- a/src/rig/java/hopdrum/rig/trial/DelayingProxy.java
+++ b/src/rig/java/hopdrum/rig/trial/DelayingProxy.java
@@ -26,7 +26,7 @@
     private final LoopbackListener listener;
     private final int targetPort;
     private volatile long delayUs;
-    private volatile boolean lossy;
+    private volatile boolean blocked;
 
     /** Accepts connections at once, for a port on loopback. */
     DelayingProxy(int targetPort) throws IOException {
@@ -39,18 +39,18 @@
         return listener.port();
     }
 
-    void delay(long oneWayUs) {
+    void setDelay(long oneWayUs) {
         delayUs = oneWayUs;
     }
 
     /** From now on nothing gets through. */
-    void lose() {
-        lossy = true;
+    void block() {
+        blocked = true;
     }
 
     /** Bytes get through again; the connections so far are closed. */
-    void restore() {
-        lossy = false;
+    void unblock() {
+        blocked = false;
         listener.closeConnections();
     }
 
@@ -70,7 +70,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            listener.forget(client);
+            listener.untrack(client);
         }
     }
 
@@ -90,19 +90,19 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        listener.forget(to);
+        listener.untrack(to);
     }
 
     private void write(BlockingQueue<TimedBytes> queue, Socket to) {
         try {
             OutputStream out = to.getOutputStream();
-            for (TimedBytes piece = queue.take(); piece.length() > 0; piece = queue.take()) {
-                long leftUs = piece.receivedUs() + delayUs - EventJournal.nowUs();
+            for (TimedBytes chunk = queue.take(); chunk.length() > 0; chunk = queue.take()) {
+                long leftUs = chunk.receivedUs() + delayUs - EventJournal.nowUs();
                 if (leftUs > 0) {
                     TimeUnit.MICROSECONDS.sleep(leftUs);
                 }
-                if (!lossy) {
-                    out.write(piece.bytes());
+                if (!blocked) {
+                    out.write(chunk.bytes());
                 }
             }
             Closeables.closeQuietly(to);
--- a/src/rig/java/hopdrum/rig/trial/FaultInjectingProxy.java
+++ b/src/rig/java/hopdrum/rig/trial/FaultInjectingProxy.java
@@ -63,7 +63,7 @@
         return listener.port();
     }
 
-    private synchronized boolean isDrawn(double probability) {
+    private synchronized boolean nextBoolean(double probability) {
         return random.nextDouble() < probability;
     }
 
@@ -83,7 +83,7 @@
     }
 
     /** A frame as its sender sent it; of a member whose latencies are falsified, with its own readings changed. */
-    private byte[] falsified(String sender, byte[] frame) throws IOException {
+    private byte[] withFalsifiedLatencies(String sender, byte[] frame) throws IOException {
         Double factor = network.latencyFactor(sender);
         if (factor == null) {
             return frame;
@@ -94,8 +94,8 @@
         }
         for (JsonNode reading : message.path("readings")) {
             if (reading.path("observer").asText().equals(sender)) {
-                long falseUs = (long) (reading.path("rttUs").asLong() * factor);
-                ((ObjectNode) reading).put("rttUs", Math.max(1, falseUs));
+                long falsifiedUs = (long) (reading.path("rttUs").asLong() * factor);
+                ((ObjectNode) reading).put("rttUs", Math.max(1, falsifiedUs));
             }
         }
         byte[] body = CBOR.writeValueAsBytes(message);
@@ -110,30 +110,30 @@
         listener.track(server);
         try (client;
                 server) {
-            DataInputStream requests = new DataInputStream(new BufferedInputStream(client.getInputStream()));
-            byte[] hello = readFrame(requests);
+            DataInputStream incoming = new DataInputStream(new BufferedInputStream(client.getInputStream()));
+            byte[] hello = readFrame(incoming);
             String peer = parse(hello).path("who").path("name").asText("?");
             peers.put(client, peer);
-            LinkFaults forward = network.between(peer, target);
-            LinkFaults backward = network.between(target, peer);
+            LinkFaults forward = network.linkFaults(peer, target);
+            LinkFaults backward = network.linkFaults(target, peer);
             if (!awaitReachable(forward, client)) {
                 return;
             }
             server.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), targetPort), CONNECT_TIMEOUT_MS);
             server.setTcpNoDelay(true);
             client.setTcpNoDelay(true);
-            DataInputStream answers = new DataInputStream(new BufferedInputStream(server.getInputStream()));
-            Thread answering =
-                    DaemonThreads.start("proxy-back", () -> forwardAnswers(answers, server, client, backward));
-            forwardRequests(requests, client, server, forward, hello, peer);
-            answering.join(DRAIN_MS);
+            DataInputStream replies = new DataInputStream(new BufferedInputStream(server.getInputStream()));
+            Thread replyThread =
+                    DaemonThreads.start("proxy-back", () -> forwardToPeer(replies, server, client, backward));
+            forwardToTarget(incoming, client, server, forward, hello, peer);
+            replyThread.join(DRAIN_MS);
         } catch (IOException e) {
             // one side has ended the connection: so does the other
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            listener.forget(client);
-            listener.forget(server);
+            listener.untrack(client);
+            listener.untrack(server);
             peers.remove(client);
         }
     }
@@ -149,24 +149,24 @@
         return true;
     }
 
-    private void forwardRequests(
+    private void forwardToTarget(
             DataInputStream in, Socket from, Socket to, LinkFaults faults, byte[] hello, String sender) {
         BlockingQueue<TimedBytes> queue = new LinkedBlockingQueue<>(QUEUE_CAPACITY);
         Thread writer = DaemonThreads.start("proxy-out", () -> write(queue, to, faults));
         try {
             queue.put(TimedBytes.receivedNow(hello));
             while (true) {
-                enqueue(falsified(sender, readFrame(in)), queue, faults, false);
+                enqueue(withFalsifiedLatencies(sender, readFrame(in)), queue, faults, false);
             }
         } catch (IOException e) {
-            end(writer, to, from);
+            endConnection(writer, to, from);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /** The first frame, the answer to the hello, is never lost: without it there is no connection to lose frames on. */
-    private void forwardAnswers(DataInputStream in, Socket from, Socket to, LinkFaults faults) {
+    private void forwardToPeer(DataInputStream in, Socket from, Socket to, LinkFaults faults) {
         BlockingQueue<TimedBytes> queue = new LinkedBlockingQueue<>(QUEUE_CAPACITY);
         Thread writer = DaemonThreads.start("proxy-out", () -> write(queue, to, faults));
         try {
@@ -175,25 +175,25 @@
                 enqueue(readFrame(in), queue, faults, false);
             }
         } catch (IOException e) {
-            end(writer, to, from);
+            endConnection(writer, to, from);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private static void end(Thread writer, Socket to, Socket from) {
+    private static void endConnection(Thread writer, Socket to, Socket from) {
         writer.interrupt();
         Closeables.closeQuietly(to);
         Closeables.closeQuietly(from);
     }
 
-    private void enqueue(byte[] frame, BlockingQueue<TimedBytes> queue, LinkFaults faults, boolean isHelloAnswer)
+    private void enqueue(byte[] frame, BlockingQueue<TimedBytes> queue, LinkFaults faults, boolean isHelloReply)
             throws InterruptedException {
-        if (faults.isPartitioned() || (!isHelloAnswer && isDrawn(faults.lossRate()))) {
+        if (faults.isPartitioned() || (!isHelloReply && nextBoolean(faults.lossRate()))) {
             return;
         }
         queue.put(TimedBytes.receivedNow(frame));
-        if (isDrawn(faults.duplicationRate())) {
+        if (nextBoolean(faults.duplicationRate())) {
             queue.put(TimedBytes.receivedNow(frame));
         }
     }
--- a/src/rig/java/hopdrum/rig/trial/FaultInjector.java
+++ b/src/rig/java/hopdrum/rig/trial/FaultInjector.java
@@ -11,17 +11,22 @@
     private static final double DEFAULT_BYTES_PER_SECOND = 100;
 
     private final Testbed testbed;
-    private final DoorProcesses processes;
-    private final SiteFaults sites;
-    private final LogWatcher logs;
-    private final Path out;
+    private final FrontDoorProcesses processes;
+    private final SiteFaults siteFaults;
+    private final LogWatcher logWatcher;
+    private final Path outputFolder;
 
-    FaultInjector(Testbed testbed, DoorProcesses processes, SiteFaults sites, LogWatcher logs, Path out) {
+    FaultInjector(
+            Testbed testbed,
+            FrontDoorProcesses processes,
+            SiteFaults siteFaults,
+            LogWatcher logWatcher,
+            Path outputFolder) {
         this.testbed = testbed;
         this.processes = processes;
-        this.sites = sites;
-        this.logs = logs;
-        this.out = out;
+        this.siteFaults = siteFaults;
+        this.logWatcher = logWatcher;
+        this.outputFolder = outputFolder;
     }
 
     /** Does one step; an expectation does nothing, the checker reads it from the journal. */
@@ -30,88 +35,91 @@
             case START, KILL, TERM, PAUSE, WAKE -> applyToProcesses(step);
             case CUT, CUT_BOTH, DELAY, LOSE, DUPLICATE, HOLD, TRICKLE, RELEASE -> applyToLinks(step);
             case RESET -> {
-                Set<String> members = Set.copyOf(step.names("from"));
-                step.names("to").forEach(door -> testbed.fleetProxy(door).reset(members));
+                Set<String> members = Set.copyOf(step.frontDoorNames("from"));
+                step.frontDoorNames("to")
+                        .forEach(frontDoor -> testbed.fleetProxy(frontDoor).reset(members));
             }
             case LIE ->
                 step.targets()
-                        .forEach(door -> testbed.network().falsifyLatencies(memberName(door), step.number("times", 1)));
+                        .forEach(frontDoor ->
+                                testbed.network().falsifyLatencies(memberName(frontDoor), step.number("times", 1)));
             case HEAL -> {
                 testbed.network().clear();
-                sites.heal();
+                siteFaults.heal();
             }
-            case SLOW_SITE -> sites.slowSite(step.text("site", ""), step.number("times", 1));
-            case LOSE_SITE -> sites.loseSite(step.text("site", ""));
+            case SLOW_SITE -> siteFaults.slowSite(step.text("site", ""), step.number("times", 1));
+            case LOSE_SITE -> siteFaults.loseSite(step.text("site", ""));
             case LOSE_PASSING, COUNTER -> applyToPlatform(step);
-            case AMEND -> TermsFiles.write(out, step.targets().get(0), step.terms());
-            case AWAIT_REVISION -> logs.awaitRevision(step.targets().get(0));
+            case AMEND -> TermsFiles.write(outputFolder, step.targets().get(0), step.terms());
+            case AWAIT_REVISION -> logWatcher.awaitRevision(step.targets().get(0));
             default -> {} // an expectation
         }
     }
 
     private void applyToProcesses(Step step) throws IOException {
-        for (String door : step.targets()) {
+        for (String frontDoor : step.targets()) {
             switch (step.action()) {
-                case START -> processes.start(door, StoreState.ofKey(step.text("store", "kept")));
-                case KILL -> processes.kill(door);
-                case TERM -> processes.startTerminating(door);
-                case PAUSE -> processes.pause(door);
-                case WAKE -> processes.resume(door);
+                case START -> processes.start(frontDoor, StoreState.ofKey(step.text("store", "kept")));
+                case KILL -> processes.kill(frontDoor);
+                case TERM -> processes.startTerminating(frontDoor);
+                case PAUSE -> processes.pause(frontDoor);
+                case WAKE -> processes.resume(frontDoor);
                 default -> throw new IllegalArgumentException("not about processes: " + step);
             }
         }
     }
 
     private void applyToLinks(Step step) {
-        List<String> from = step.names("from");
-        List<String> to = step.names("to");
+        List<String> from = step.frontDoorNames("from");
+        List<String> to = step.frontDoorNames("to");
         switch (step.action()) {
-            case CUT -> oneWay(from, to, LinkFaults::partition);
-            case CUT_BOTH -> bothWays(from, to, LinkFaults::partition);
-            case DELAY -> bothWays(from, to, link -> link.delay((long) (1_000 * step.number("ms", 0))));
-            case LOSE -> bothWays(from, to, link -> link.lose(step.number("percent", 0) / 100));
-            case DUPLICATE -> bothWays(from, to, link -> link.duplicate(step.number("percent", 0) / 100));
-            case HOLD -> bothWays(from, to, LinkFaults::hold);
+            case CUT -> changeLinks(from, to, LinkFaults::partition);
+            case CUT_BOTH -> changeLinksBothWays(from, to, LinkFaults::partition);
+            case DELAY -> changeLinksBothWays(from, to, link -> link.setDelay((long) (1_000 * step.number("ms", 0))));
+            case LOSE -> changeLinksBothWays(from, to, link -> link.setLossRate(step.number("percent", 0) / 100));
+            case DUPLICATE ->
+                changeLinksBothWays(from, to, link -> link.setDuplicationRate(step.number("percent", 0) / 100));
+            case HOLD -> changeLinksBothWays(from, to, LinkFaults::hold);
             case TRICKLE ->
-                bothWays(
+                changeLinksBothWays(
                         from,
                         to,
-                        link -> link.throttle((long) step.number("bytes_a_second", DEFAULT_BYTES_PER_SECOND)));
-            case RELEASE -> bothWays(from, to, LinkFaults::clear);
+                        link -> link.setBandwidth((long) step.number("bytes_a_second", DEFAULT_BYTES_PER_SECOND)));
+            case RELEASE -> changeLinksBothWays(from, to, LinkFaults::clear);
             default -> throw new IllegalArgumentException("not about links: " + step);
         }
     }
 
     private void applyToPlatform(Step step) {
-        for (String door : step.targets()) {
+        for (String frontDoor : step.targets()) {
             if (step.action() == StepAction.COUNTER) {
                 CounterState state = CounterState.ofKey(step.text("is", "well"));
-                testbed.platformOf(door).counter().set(door, state);
+                testbed.platformOf(frontDoor).counter().setState(frontDoor, state);
             } else if (step.flag("now")) {
-                testbed.forwardingProxy(door).lose();
+                testbed.forwardingProxy(frontDoor).block();
             } else {
-                testbed.forwardingProxy(door).restore();
+                testbed.forwardingProxy(frontDoor).unblock();
             }
         }
     }
 
-    private void oneWay(List<String> from, List<String> to, Consumer<LinkFaults> change) {
+    private void changeLinks(List<String> from, List<String> to, Consumer<LinkFaults> change) {
         for (String sender : from) {
             for (String receiver : to) {
                 if (!sender.equals(receiver)) {
-                    change.accept(testbed.network().between(memberName(sender), memberName(receiver)));
+                    change.accept(testbed.network().linkFaults(memberName(sender), memberName(receiver)));
                 }
             }
         }
     }
 
-    private void bothWays(List<String> from, List<String> to, Consumer<LinkFaults> change) {
-        oneWay(from, to, change);
-        oneWay(to, from, change);
+    private void changeLinksBothWays(List<String> from, List<String> to, Consumer<LinkFaults> change) {
+        changeLinks(from, to, change);
+        changeLinks(to, from, change);
     }
 
     /** The name that a door has in the fleet. */
-    private String memberName(String door) {
-        return testbed.file().door(door).answersTo();
+    private String memberName(String frontDoor) {
+        return testbed.file().frontDoor(frontDoor).memberName();
     }
 }
--- a/src/rig/java/hopdrum/rig/trial/DoorConfiguration.java
+++ b/src/rig/java/hopdrum/rig/trial/FrontDoorConfiguration.java
@@ -1,7 +1,7 @@
 package hopdrum.rig.trial;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import hopdrum.rig.trial.TrialFile.Door;
+import hopdrum.rig.trial.TrialFile.FrontDoor;
 import hopdrum.rig.trial.TrialFile.Load;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -12,7 +12,7 @@
 import java.util.Map;
 
 /** Writes the files that a door's process is started with: its platform configuration and its fleet file. */
-final class DoorConfiguration {
+final class FrontDoorConfiguration {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String LOOPBACK = "127.0.0.1:";
     private static final int MAX_SEEDS = 3;
@@ -20,40 +20,40 @@
 
     private final Testbed testbed;
     private final TrialFile file;
-    private final Path out;
+    private final Path outputFolder;
     private final long seed;
 
     /** Files of all doors are written below a trial's output folder. */
-    DoorConfiguration(Testbed testbed, Path out, long seed) {
+    FrontDoorConfiguration(Testbed testbed, Path outputFolder, long seed) {
         this.testbed = testbed;
         this.file = testbed.file();
-        this.out = out;
+        this.outputFolder = outputFolder;
         this.seed = seed;
     }
 
     /** Writes the platform configuration of a door for its start of this number, from 0 on. */
-    Path writePlatformFile(Door door, int starts) throws IOException {
-        List<String> tier = testbed.tiers().get(door.operator());
-        PlatformStandIns platform = testbed.platformOf(door);
-        long processSeed = seed * 1_000 + starts * 100L + tier.indexOf(door.name()) + 1;
+    Path writePlatformFile(FrontDoor frontDoor, int startCount) throws IOException {
+        List<String> tier = testbed.tiers().get(frontDoor.operator());
+        PlatformStandIns platform = testbed.platformOf(frontDoor);
+        long processSeed = seed * 1_000 + startCount * 100L + tier.indexOf(frontDoor.name()) + 1;
         Map<String, Object> config = new LinkedHashMap<>();
-        config.put("name", door.name());
-        config.put("listen", LOOPBACK + testbed.clientPort(door.name()));
-        config.put("discovery", LOOPBACK + platform.discoveryPortFor(door.name(), door.site()));
-        config.put("counter", LOOPBACK + platform.counter().portFor(door.name()));
+        config.put("name", frontDoor.name());
+        config.put("listen", LOOPBACK + testbed.clientPort(frontDoor.name()));
+        config.put("discovery", LOOPBACK + platform.discoveryPortFor(frontDoor.name(), frontDoor.site()));
+        config.put("counter", LOOPBACK + platform.counter().portFor(frontDoor.name()));
         config.put("peers", List.of());
         config.put("seed", Long.toHexString(processSeed));
         config.put("limits", Map.of("cores", 1.0, "memory_mb", 192, "sockets", 1024));
-        config.put("settings", settings(door, tier));
-        Path path = out.resolve(door.name()).resolve("config.json");
+        config.put("settings", settings(frontDoor, tier));
+        Path path = outputFolder.resolve(frontDoor.name()).resolve("config.json");
         Files.write(path, JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(config));
         return path;
     }
 
-    private Map<String, Object> settings(Door door, List<String> tier) {
+    private Map<String, Object> settings(FrontDoor frontDoor, List<String> tier) {
         Map<String, Object> settings = new LinkedHashMap<>();
         settings.put("NInstances", tier.size());
-        settings.put("Ordinal", tier.indexOf(door.name()));
+        settings.put("Ordinal", tier.indexOf(frontDoor.name()));
         settings.put("TickUs", 1_000);
         settings.put("Azs", new ArrayList<>(file.sites()));
         settings.put("Flavors", List.of("any"));
@@ -113,34 +113,34 @@
     }
 
     /** Writes a door's fleet file. */
-    Path writeFleetFile(Door door) throws IOException {
-        Path folder = out.resolve(door.name());
+    Path writeFleetFile(FrontDoor frontDoor) throws IOException {
+        Path folder = outputFolder.resolve(frontDoor.name());
         List<String> seeds = file.founders().stream()
                 .limit(MAX_SEEDS)
                 .map(founder -> "\"" + LOOPBACK + testbed.fleetProxy(founder).port() + "\"")
                 .toList();
         List<String> lines = new ArrayList<>(List.of(
                 "fleet: trial",
-                "operator: " + door.operator(),
+                "operator: " + frontDoor.operator(),
                 "operators: [" + String.join(", ", testbed.tiers().keySet()) + "]",
-                "site: " + door.site(),
-                "name: " + door.answersTo(),
-                "listen: " + LOOPBACK + testbed.fleetPort(door.name()),
-                "advertise: " + LOOPBACK + testbed.fleetProxy(door.name()).port(),
+                "site: " + frontDoor.site(),
+                "name: " + frontDoor.memberName(),
+                "listen: " + LOOPBACK + testbed.fleetPort(frontDoor.name()),
+                "advertise: " + LOOPBACK + testbed.fleetProxy(frontDoor.name()).port(),
                 "seeds: [" + String.join(", ", seeds) + "]",
                 "founders: [" + String.join(", ", file.founders()) + "]",
                 "store: " + folder.resolve("store"),
-                "log: " + out.resolve(door.name() + ".jsonl"),
+                "log: " + outputFolder.resolve(frontDoor.name() + ".jsonl"),
                 "probe_period_ms: " + file.probePeriodMs(),
                 "lease_ms: " + file.leaseMs(),
                 "placement: " + file.placement()));
         if (file.shards().isUsed()) {
             lines.add("shards: " + file.shards().count());
             lines.add("most_alone_ms: " + file.shards().maxAloneMs());
-            lines.add(
-                    "serves: " + LOOPBACK + testbed.forwardingProxy(door.name()).port());
-            if (file.shards().terms().containsKey(door.operator())) {
-                lines.add("terms: " + TermsFiles.path(out, door.operator()));
+            lines.add("serves: " + LOOPBACK
+                    + testbed.forwardingProxy(frontDoor.name()).port());
+            if (file.shards().terms().containsKey(frontDoor.operator())) {
+                lines.add("terms: " + TermsFiles.path(outputFolder, frontDoor.operator()));
             }
         }
         Path path = folder.resolve("fleet.yaml");
--- a/src/rig/java/hopdrum/rig/trial/DoorProcesses.java
+++ b/src/rig/java/hopdrum/rig/trial/FrontDoorProcesses.java
@@ -1,6 +1,6 @@
 package hopdrum.rig.trial;
 
-import hopdrum.rig.trial.TrialFile.Door;
+import hopdrum.rig.trial.TrialFile.FrontDoor;
 import java.io.File;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -15,43 +15,44 @@
 import java.util.concurrent.TimeUnit;
 
 /** The processes of one trial: starts, signals and ends them, and records each in the journal. */
-final class DoorProcesses {
+final class FrontDoorProcesses {
     private static final int TERM_TIMEOUT_MS = 6_000;
     private static final List<String> JVM_OPTIONS =
             List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-Xss512k");
 
     /** Runs a door with a fault on purpose; by name, because it is started in a process of its own. */
-    private static final String PLANTED_FAULT_CLASS = "hopdrum.rig.faulty.FaultyServer";
+    private static final String FAULTY_SERVER_CLASS = "hopdrum.rig.faulty.FaultyServer";
 
     private final Testbed testbed;
-    private final DoorConfiguration configuration;
+    private final FrontDoorConfiguration configuration;
     private final EventJournal journal;
-    private final Path out;
+    private final Path outputFolder;
     private final Path home;
     private final Map<String, Process> running = new ConcurrentHashMap<>(); // by door
-    private final Map<String, Integer> starts = new HashMap<>(); // by door; the trial's thread alone
+    private final Map<String, Integer> startCounts = new HashMap<>(); // by door; the trial's thread alone
 
     /**
      * None runs yet.
      *
-     * @param out where their files and logs go
+     * @param outputFolder where their files and logs go
      * @param home the checkout whose {@code target} they are started from
      */
-    DoorProcesses(Testbed testbed, DoorConfiguration configuration, EventJournal journal, Path out, Path home) {
+    FrontDoorProcesses(
+            Testbed testbed, FrontDoorConfiguration configuration, EventJournal journal, Path outputFolder, Path home) {
         this.testbed = testbed;
         this.configuration = configuration;
         this.journal = journal;
-        this.out = out;
+        this.outputFolder = outputFolder;
         this.home = home;
     }
 
     void start(String name, StoreState store) throws IOException {
-        Door door = testbed.file().door(name);
-        Path folder = Files.createDirectories(out.resolve(name));
+        FrontDoor frontDoor = testbed.file().frontDoor(name);
+        Path folder = Files.createDirectories(outputFolder.resolve(name));
         damageStore(folder.resolve("store").resolve("member.cbor"), store);
-        Path platformFile = configuration.writePlatformFile(door, starts.getOrDefault(name, 0));
-        Path fleetFile = configuration.writeFleetFile(door);
-        ProcessBuilder builder = new ProcessBuilder(command(door, fleetFile))
+        Path platformFile = configuration.writePlatformFile(frontDoor, startCounts.getOrDefault(name, 0));
+        Path fleetFile = configuration.writeFleetFile(frontDoor);
+        ProcessBuilder builder = new ProcessBuilder(command(frontDoor, fleetFile))
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(
                         folder.resolve("output.txt").toFile()));
@@ -60,7 +61,7 @@
         testbed.ports().release(testbed.clientPort(name));
         Process process = builder.start();
         running.put(name, process);
-        starts.merge(name, 1, Integer::sum);
+        startCounts.merge(name, 1, Integer::sum);
         journal.event("started")
                 .with("door", name)
                 .with("pid", process.pid())
@@ -82,13 +83,13 @@
         }
     }
 
-    private List<String> command(Door door, Path fleetFile) {
+    private List<String> command(FrontDoor frontDoor, Path fleetFile) {
         Path target = home.resolve("target");
         String jar = target.resolve("hopdrum.jar").toString();
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(JVM_OPTIONS);
-        if (door.planted().isEmpty()) {
+        if (frontDoor.injectedFault().isEmpty()) {
             command.addAll(List.of("-jar", jar, "serve", "--fleet", fleetFile.toString()));
         } else {
             String classPath = String.join(
@@ -96,7 +97,8 @@
                     jar,
                     target.resolve("lib") + "/*",
                     target.resolve("test-classes").toString());
-            command.addAll(List.of("-cp", classPath, PLANTED_FAULT_CLASS, door.planted(), fleetFile.toString()));
+            command.addAll(
+                    List.of("-cp", classPath, FAULTY_SERVER_CLASS, frontDoor.injectedFault(), fleetFile.toString()));
         }
         return command;
     }
@@ -107,17 +109,17 @@
     }
 
     /** SIGSTOP. */
-    void pause(String door) {
-        signal(door, "STOP");
+    void pause(String frontDoor) {
+        signal(frontDoor, "STOP");
     }
 
     /** SIGCONT. */
-    void resume(String door) {
-        signal(door, "CONT");
+    void resume(String frontDoor) {
+        signal(frontDoor, "CONT");
     }
 
-    private void signal(String door, String signal) {
-        Process process = running.get(door);
+    private void signal(String frontDoor, String signal) {
+        Process process = running.get(frontDoor);
         if (process == null) {
             return;
         }
@@ -125,7 +127,10 @@
             new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
                     .start()
                     .waitFor();
-            journal.event("signal").with("door", door).with("which", signal).write();
+            journal.event("signal")
+                    .with("door", frontDoor)
+                    .with("which", signal)
+                    .write();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         } catch (InterruptedException e) {
@@ -134,43 +139,43 @@
     }
 
     /** SIGKILL; returns once the process has ended. */
-    void kill(String door) {
-        Process process = running.remove(door);
+    void kill(String frontDoor) {
+        Process process = running.remove(frontDoor);
         if (process != null) {
             process.destroyForcibly();
             process.onExit().join();
-            journal.event("killed").with("door", door).write();
+            journal.event("killed").with("door", frontDoor).write();
         }
     }
 
     /** SIGTERM; returns once the process has ended. One that does not within its time is killed. */
-    void terminate(String door) {
-        Process process = running.get(door);
+    void terminate(String frontDoor) {
+        Process process = running.get(frontDoor);
         if (process == null) {
             return;
         }
-        journal.event("term").with("door", door).write();
+        journal.event("term").with("door", frontDoor).write();
         process.destroy();
         try {
-            boolean isEnded = process.waitFor(TERM_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            boolean hasEnded = process.waitFor(TERM_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             journal.event("ended")
-                    .with("door", door)
-                    .with("by_itself", isEnded)
-                    .with("code", isEnded ? process.exitValue() : -1)
+                    .with("door", frontDoor)
+                    .with("by_itself", hasEnded)
+                    .with("code", hasEnded ? process.exitValue() : -1)
                     .write();
-            if (!isEnded) {
+            if (!hasEnded) {
                 process.destroyForcibly();
                 process.onExit().join();
             }
-            running.remove(door, process);
+            running.remove(frontDoor, process);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /** {@link #terminate} in a thread of its own. */
-    Thread startTerminating(String door) {
-        return DaemonThreads.start("term-" + door, () -> terminate(door));
+    Thread startTerminating(String frontDoor) {
+        return DaemonThreads.start("term-" + frontDoor, () -> terminate(frontDoor));
     }
 
     /** SIGKILL to all; returns once they have ended. May be called from a shutdown hook. */
--- a/src/rig/java/hopdrum/rig/trial/HttpStandIn.java
+++ b/src/rig/java/hopdrum/rig/trial/HttpStandIn.java
@@ -14,7 +14,7 @@
     /** One request; its body is read and dropped. */
     record Request(String method, String path, String head) {
         /** A header field; empty if absent. */
-        String field(String name) {
+        String header(String name) {
             for (String line : head.split("\r\n", -1)) {
                 if (line.regionMatches(true, 0, name + ":", 0, name.length() + 1)) {
                     return line.substring(name.length() + 1).strip();
@@ -27,7 +27,7 @@
     /** Answers requests; called by many threads. */
     interface Handler {
         /** Writes an answer, or none; may wait. The connection ends if it throws. */
-        void answer(Request request, OutputStream to) throws IOException, InterruptedException;
+        void handle(Request request, OutputStream out) throws IOException, InterruptedException;
     }
 
     private final LoopbackListener listener;
@@ -50,16 +50,16 @@
             for (String head = readHead(in); head != null; head = readHead(in)) {
                 String[] requestLine = head.substring(0, head.indexOf('\r')).split(" ", -1);
                 Request request = new Request(requestLine[0], requestLine[1], head);
-                String length = request.field("Content-Length");
+                String length = request.header("Content-Length");
                 in.skipNBytes(length.isEmpty() ? 0 : Integer.parseInt(length));
-                handler.answer(request, socket.getOutputStream());
+                handler.handle(request, socket.getOutputStream());
             }
         } catch (IOException e) {
             // the peer has ended the connection
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            listener.forget(socket);
+            listener.untrack(socket);
         }
     }
 
@@ -75,10 +75,10 @@
         return null;
     }
 
-    static void writeOk(OutputStream to, String body) throws IOException {
-        to.write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+    static void writeOk(OutputStream out, String body) throws IOException {
+        out.write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.US_ASCII));
-        to.flush();
+        out.flush();
     }
 
     void closeConnections() {
--- a/src/rig/java/hopdrum/rig/trial/InvalidTrialFileException.java
+++ b/src/rig/java/hopdrum/rig/trial/InvalidTrialFileException.java
@@ -8,11 +8,11 @@
 public final class InvalidTrialFileException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
-    InvalidTrialFileException(Path file, List<String> faults) {
-        super(faults.stream().map(fault -> file + ": " + fault).collect(Collectors.joining("\n")));
+    InvalidTrialFileException(Path file, List<String> errors) {
+        super(errors.stream().map(error -> file + ": " + error).collect(Collectors.joining("\n")));
     }
 
-    InvalidTrialFileException(Path file, String fault, Throwable cause) {
-        super(file + ": " + fault, cause);
+    InvalidTrialFileException(Path file, String error, Throwable cause) {
+        super(file + ": " + error, cause);
     }
 }
--- a/src/rig/java/hopdrum/rig/trial/LinkFaults.java
+++ b/src/rig/java/hopdrum/rig/trial/LinkFaults.java
@@ -19,21 +19,21 @@
         held = true;
     }
 
-    void delay(long oneWayUs) {
+    void setDelay(long oneWayUs) {
         delayUs = oneWayUs;
     }
 
     /** From now on this part of all messages, 0 to 1, is lost. */
-    void lose(double rate) {
+    void setLossRate(double rate) {
         lossRate = rate;
     }
 
     /** From now on this part of all messages, 0 to 1, arrives twice. */
-    void duplicate(double rate) {
+    void setDuplicationRate(double rate) {
         duplicationRate = rate;
     }
 
-    void throttle(long limitBytesPerSecond) {
+    void setBandwidth(long limitBytesPerSecond) {
         bytesPerSecond = limitBytesPerSecond;
     }
 
--- a/src/rig/java/hopdrum/rig/trial/LoadGenerator.java
+++ b/src/rig/java/hopdrum/rig/trial/LoadGenerator.java
@@ -23,20 +23,20 @@
     private static final int CONNECT_TIMEOUT_MS = 500;
     private static final int READ_SLACK_MS = 3_000; // beyond the deadline
     private static final int CLOSE_SLACK_MS = 4_000;
-    private static final int STATUS_FROM = "HTTP/1.1 ".length();
-    private static final int STATUS_TO = STATUS_FROM + 3;
+    private static final int STATUS_START = "HTTP/1.1 ".length();
+    private static final int STATUS_END = STATUS_START + 3;
     private static final String RETRY_AFTER = "Retry-After: ";
     private static final String CONTENT_LENGTH = "Content-Length: ";
 
     /** One RPC to be sent. */
-    private record Rpc(String traceId, int customer, int spread, String door, String method) {}
+    private record ClientRequest(String traceId, int customer, int spread, String frontDoor, String method) {}
 
     private final EventJournal journal;
     private final Load load;
     private final Map<String, Integer> ports; // of the doors, by name
     private final List<List<String>> tiers; // customers are spread over these
-    private final List<List<String>> entryDoors; // the doors of each tier that clients connect to
-    private final boolean isAnyDoor;
+    private final List<List<String>> entryFrontDoors; // the doors of each tier that clients connect to
+    private final boolean isAnyFrontDoorAllowed;
     private final SplittableRandom random;
     private final ExecutorService pool =
             Executors.newFixedThreadPool(MAX_CONCURRENT, task -> DaemonThreads.create("client", task));
@@ -48,100 +48,100 @@
      *
      * @param ports where each door listens
      * @param tiers groups of doors, in the order of their numbers; a customer belongs to one group
-     * @param isAnyDoor whether any door takes any customer, so that the program says over how many one is spread
+     * @param isAnyFrontDoorAllowed whether any door takes any customer, so that the program says over how many one is spread
      */
     LoadGenerator(
             EventJournal journal,
             Load load,
             Map<String, Integer> ports,
             List<List<String>> tiers,
-            boolean isAnyDoor,
+            boolean isAnyFrontDoorAllowed,
             long seed) {
         this.journal = journal;
         this.load = load;
         this.ports = ports;
         this.tiers = tiers;
-        this.entryDoors = tiers.stream()
-                .map(tier -> tier.stream().filter(load.doors()::contains).toList())
+        this.entryFrontDoors = tiers.stream()
+                .map(tier -> tier.stream().filter(load.frontDoors()::contains).toList())
                 .toList();
-        this.isAnyDoor = isAnyDoor;
+        this.isAnyFrontDoorAllowed = isAnyFrontDoorAllowed;
         this.random = new SplittableRandom(seed);
     }
 
     /** Sends RPCs from so long after now until {@link #close}. */
     void start(long delayMs) {
-        pacer = DaemonThreads.start("pacer", () -> pace(delayMs));
+        pacer = DaemonThreads.start("pacer", () -> sendAtRate(delayMs));
     }
 
-    private void pace(long delayMs) {
+    private void sendAtRate(long delayMs) {
         try {
             Thread.sleep(delayMs);
             long nextUs = EventJournal.nowUs();
             for (long number = 1; !isStopped; number++) {
-                nextUs += (long) (1e6 / load.rpcsPerSecond());
+                nextUs += (long) (1e6 / load.requestsPerSecond());
                 TimeUnit.MICROSECONDS.sleep(nextUs - EventJournal.nowUs()); // none if it is late
-                Rpc rpc = draw(number);
-                pool.execute(() -> send(rpc));
+                ClientRequest request = drawRequest(number);
+                pool.execute(() -> send(request));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private Rpc draw(long number) {
+    private ClientRequest drawRequest(long number) {
         int customer = random.nextInt(load.customers());
         List<String> tier = tiers.get(customer % tiers.size());
-        List<String> open = entryDoors.get(customer % tiers.size());
-        String door = open.get(random.nextInt(open.size()));
+        List<String> candidates = entryFrontDoors.get(customer % tiers.size());
+        String frontDoor = candidates.get(random.nextInt(candidates.size()));
         String method = random.nextInt(4) == 0 ? "once" : random.nextBoolean() ? "read" : "write";
         String traceId = String.format("%016x", number);
-        return new Rpc(traceId, customer, isAnyDoor ? 1 : tier.size(), door, method);
+        return new ClientRequest(traceId, customer, isAnyFrontDoorAllowed ? 1 : tier.size(), frontDoor, method);
     }
 
-    private void send(Rpc rpc) {
+    private void send(ClientRequest request) {
         long sentUs = EventJournal.nowUs();
         String status = "unreachable";
         String retryAfter = "";
         try (Socket socket = new Socket()) {
             InetAddress loopback = InetAddress.getLoopbackAddress();
-            socket.connect(new InetSocketAddress(loopback, ports.get(rpc.door)), CONNECT_TIMEOUT_MS);
+            socket.connect(new InetSocketAddress(loopback, ports.get(request.frontDoor)), CONNECT_TIMEOUT_MS);
             socket.setTcpNoDelay(true);
             status = "none"; // accepted by the door's machine: an answer is owed
-            socket.getOutputStream().write(head(rpc).getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream().write(requestHead(request).getBytes(StandardCharsets.US_ASCII));
             socket.setSoTimeout(load.deadlineMs() + READ_SLACK_MS);
-            String answer = readAnswer(socket.getInputStream());
-            status = answer.substring(STATUS_FROM, STATUS_TO);
-            retryAfter = field(answer, RETRY_AFTER);
+            String response = readResponse(socket.getInputStream());
+            status = response.substring(STATUS_START, STATUS_END);
+            retryAfter = headerField(response, RETRY_AFTER);
         } catch (IOException | StringIndexOutOfBoundsException e) {
             status = status.equals("none") ? "broken" : status;
         }
         journal.event("rpc")
-                .with("rpc", rpc.traceId)
-                .with("customer", rpc.customer)
-                .with("door", rpc.door)
-                .with("method", rpc.method)
+                .with("rpc", request.traceId)
+                .with("customer", request.customer)
+                .with("door", request.frontDoor)
+                .with("method", request.method)
                 .with("sent_us", sentUs)
                 .with("status", status)
                 .with("retry_after", retryAfter)
                 .write();
     }
 
-    private String head(Rpc rpc) {
-        boolean isGet = rpc.method.equals("read");
+    private String requestHead(ClientRequest request) {
+        boolean isGet = request.method.equals("read");
         return (isGet ? "GET" : "POST") + " /api HTTP/1.1\r\n"
                 + "Host: backend.local\r\n"
-                + "X-Trace-Id: " + rpc.traceId + "\r\n"
-                + "X-Qos: " + rpc.method + "\r\n"
+                + "X-Trace-Id: " + request.traceId + "\r\n"
+                + "X-Qos: " + request.method + "\r\n"
                 + "Plan: trial\r\n"
-                + "Cookie: key=" + String.format("%016x", rpc.customer + 1) + "\r\n"
+                + "Cookie: key=" + String.format("%016x", request.customer + 1) + "\r\n"
                 + "X-Expires-In-Ms: " + load.deadlineMs() + "\r\n"
-                + (rpc.method.equals("write") ? "Idempotency-Key: " + rpc.traceId + "\r\n" : "")
+                + (request.method.equals("write") ? "Idempotency-Key: " + request.traceId + "\r\n" : "")
                 + (isGet ? "" : "Content-Length: 0\r\n")
-                + "Quota-Info: units=1,spread=" + rpc.spread + ",first=0\r\n\r\n";
+                + "Quota-Info: units=1,spread=" + request.spread + ",first=0\r\n\r\n";
     }
 
     /** The whole answer; what has come of it if the connection ends. */
-    private static String readAnswer(InputStream in) throws IOException {
+    private static String readResponse(InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
         byte[] bytes = new byte[4096];
         while (true) {
@@ -152,7 +152,7 @@
             text.append(new String(bytes, 0, count, StandardCharsets.US_ASCII));
             int headEnd = text.indexOf("\r\n\r\n");
             if (headEnd >= 0 && text.indexOf(CONTENT_LENGTH) >= 0) {
-                int bodyLength = Integer.parseInt(field(text.toString(), CONTENT_LENGTH));
+                int bodyLength = Integer.parseInt(headerField(text.toString(), CONTENT_LENGTH));
                 if (text.length() >= headEnd + 4 + bodyLength) {
                     return text.toString();
                 }
@@ -161,9 +161,9 @@
     }
 
     /** The value of a header field; empty if absent. */
-    private static String field(String answer, String prefix) {
-        int at = answer.indexOf(prefix);
-        return at < 0 ? "" : answer.substring(at + prefix.length(), answer.indexOf('\r', at));
+    private static String headerField(String response, String prefix) {
+        int at = response.indexOf(prefix);
+        return at < 0 ? "" : response.substring(at + prefix.length(), response.indexOf('\r', at));
     }
 
     /** Sends no more and waits for what is under way. */
--- a/src/rig/java/hopdrum/rig/trial/LogWatcher.java
+++ b/src/rig/java/hopdrum/rig/trial/LogWatcher.java
@@ -1,6 +1,6 @@
 package hopdrum.rig.trial;
 
-import hopdrum.rig.trial.TrialFile.Door;
+import hopdrum.rig.trial.TrialFile.FrontDoor;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -10,25 +10,25 @@
 /** Waits for what the doors' processes log. */
 final class LogWatcher {
     private static final long REVISION_TIMEOUT_US = 10_000_000;
-    private static final long SETTLED_TIMEOUT_US = 60_000_000;
+    private static final long COMPLETE_VIEWS_TIMEOUT_US = 60_000_000;
     private static final int REVISION_POLL_MS = 5;
-    private static final int SETTLED_POLL_MS = 20;
+    private static final int COMPLETE_VIEWS_POLL_MS = 20;
 
     private final TrialFile file;
-    private final Path out;
+    private final Path outputFolder;
 
-    LogWatcher(TrialFile file, Path out) {
+    LogWatcher(TrialFile file, Path outputFolder) {
         this.file = file;
-        this.out = out;
+        this.outputFolder = outputFolder;
     }
 
     /** Waits until some door has a shard assignment by this revision of the agreement, 10 s at most. */
     void awaitRevision(String revision) throws IOException, InterruptedException {
         long timeoutUs = EventJournal.nowUs() + REVISION_TIMEOUT_US;
         while (EventJournal.nowUs() < timeoutUs) {
-            for (Door door : file.doors()) {
+            for (FrontDoor frontDoor : file.frontDoors()) {
                 if (isLogged(
-                        door.name(),
+                        frontDoor.name(),
                         line -> line.contains("\"event\":\"division\"")
                                 && line.contains("\"revision\":" + revision + ","))) {
                     return;
@@ -42,24 +42,24 @@
      * Waits until each of these doors has had a view of all of them, a minute at most: guards verdicts against a machine
      * that is slow to start processes.
      */
-    void awaitSettled(List<String> doors) throws IOException, InterruptedException {
-        long timeoutUs = EventJournal.nowUs() + SETTLED_TIMEOUT_US;
-        List<String> members = doors.stream()
-                .map(door -> "\"" + file.door(door).answersTo() + "\":")
+    void awaitCompleteViews(List<String> frontDoors) throws IOException, InterruptedException {
+        long timeoutUs = EventJournal.nowUs() + COMPLETE_VIEWS_TIMEOUT_US;
+        List<String> members = frontDoors.stream()
+                .map(frontDoor -> "\"" + file.frontDoor(frontDoor).memberName() + "\":")
                 .toList();
-        for (String door : doors) {
+        for (String frontDoor : frontDoors) {
             while (EventJournal.nowUs() < timeoutUs
                     && !isLogged(
-                            door,
+                            frontDoor,
                             line -> line.contains("\"event\":\"view\"")
                                     && members.stream().allMatch(line::contains))) {
-                Thread.sleep(SETTLED_POLL_MS);
+                Thread.sleep(COMPLETE_VIEWS_POLL_MS);
             }
         }
     }
 
-    private boolean isLogged(String door, Predicate<String> wanted) throws IOException {
-        Path log = out.resolve(door + ".jsonl");
+    private boolean isLogged(String frontDoor, Predicate<String> wanted) throws IOException {
+        Path log = outputFolder.resolve(frontDoor + ".jsonl");
         return Files.exists(log) && Files.readAllLines(log).stream().anyMatch(wanted);
     }
 }
--- a/src/rig/java/hopdrum/rig/trial/LoopbackListener.java
+++ b/src/rig/java/hopdrum/rig/trial/LoopbackListener.java
@@ -11,7 +11,7 @@
 /** Accepts connections on a free loopback port and serves each in a thread of its own, until it is closed. */
 final class LoopbackListener implements AutoCloseable {
     private final ServerSocket listener;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
     /** Binds the port; up to so many connections wait to be accepted. */
     LoopbackListener(int backlog) throws IOException {
@@ -22,18 +22,18 @@
      * Accepts connections from now on.
      *
      * @param name the accepting thread's name
-     * @param server serves one connection and returns at its end; called in a thread of the connection's own
+     * @param connectionHandler serves one connection and returns at its end; called in a thread of the connection's own
      */
-    void start(String name, Consumer<Socket> server) {
-        DaemonThreads.start(name, () -> accept(name, server));
+    void start(String name, Consumer<Socket> connectionHandler) {
+        DaemonThreads.start(name, () -> accept(name, connectionHandler));
     }
 
-    private void accept(String name, Consumer<Socket> server) {
+    private void accept(String name, Consumer<Socket> connectionHandler) {
         while (!listener.isClosed()) {
             try {
                 Socket socket = listener.accept();
-                open.add(socket);
-                DaemonThreads.start(name + "-connection", () -> server.accept(socket));
+                openSockets.add(socket);
+                DaemonThreads.start(name + "-connection", () -> connectionHandler.accept(socket));
             } catch (IOException e) {
                 // Closed: the loop ends. Out of descriptors for the moment: the next one may be accepted.
             }
@@ -50,16 +50,16 @@
 
     /** Has a further connection, opened on behalf of an accepted one, closed together with the others. */
     void track(Socket socket) {
-        open.add(socket);
+        openSockets.add(socket);
     }
 
     /** The end of an accepted or tracked connection. */
-    void forget(Socket socket) {
-        open.remove(socket);
+    void untrack(Socket socket) {
+        openSockets.remove(socket);
     }
 
     void closeConnections() {
-        open.forEach(Closeables::closeQuietly);
+        openSockets.forEach(Closeables::closeQuietly);
     }
 
     @Override
--- a/src/rig/java/hopdrum/rig/trial/NetworkFaults.java
+++ b/src/rig/java/hopdrum/rig/trial/NetworkFaults.java
@@ -11,7 +11,7 @@
     private final Map<Link, LinkFaults> links = new ConcurrentHashMap<>();
     private final Map<String, Double> latencyFactors = new ConcurrentHashMap<>(); // by member
 
-    LinkFaults between(String from, String to) {
+    LinkFaults linkFaults(String from, String to) {
         return links.computeIfAbsent(new Link(from, to), link -> new LinkFaults());
     }
 
--- a/src/rig/java/hopdrum/rig/trial/PlatformStandIns.java
+++ b/src/rig/java/hopdrum/rig/trial/PlatformStandIns.java
@@ -27,57 +27,59 @@
     private final EventJournal journal;
     private final String operator;
     private final List<Backend> backends = new ArrayList<>();
-    private final Map<String, HttpStandIn> discoveries = new HashMap<>(); // by door: each has paths of its own
+    private final Map<String, HttpStandIn> discoveryStandIns = new HashMap<>(); // by door: each has paths of its own
     private final Map<SitePair, List<DelayingProxy>> paths = new HashMap<>(); // from doors to backends
     private final CounterStandIns counter;
 
     /** Starts the backends of one operator at each of these sites. */
-    PlatformStandIns(String operator, Collection<String> sites, Backends perSite, EventJournal journal)
+    PlatformStandIns(String operator, Collection<String> sites, Backends backendsPerSite, EventJournal journal)
             throws IOException {
         this.journal = journal;
         this.operator = operator;
         this.counter = new CounterStandIns(journal);
         for (String site : sites) {
-            for (int i = 0; i < perSite.count(); i++) {
-                backends.add(backend(operator + "-" + site + "-b" + i, site, perSite));
+            for (int i = 0; i < backendsPerSite.count(); i++) {
+                backends.add(startBackend(operator + "-" + site + "-b" + i, site, backendsPerSite));
             }
         }
     }
 
-    private Backend backend(String name, String site, Backends perSite) throws IOException {
-        Semaphore slots = new Semaphore(perSite.slots() == 0 ? Integer.MAX_VALUE : perSite.slots(), true);
-        HttpStandIn standIn = new HttpStandIn(name, (request, to) -> {
+    private Backend startBackend(String name, String site, Backends backendsPerSite) throws IOException {
+        Semaphore slots =
+                new Semaphore(backendsPerSite.slots() == 0 ? Integer.MAX_VALUE : backendsPerSite.slots(), true);
+        HttpStandIn standIn = new HttpStandIn(name, (request, out) -> {
             journal.event("ran")
-                    .with("rpc", request.field("X-Trace-Id"))
+                    .with("rpc", request.header("X-Trace-Id"))
                     .with("backend", name)
-                    .with("method", request.field("X-Qos"))
+                    .with("method", request.header("X-Qos"))
                     .with("site", site)
                     .with("operator", operator)
                     .write();
             slots.acquire();
-            Thread.sleep(perSite.workMs());
+            Thread.sleep(backendsPerSite.workMs());
             slots.release();
-            HttpStandIn.writeOk(to, "done");
+            HttpStandIn.writeOk(out, "done");
         });
         return new Backend(name, site, standIn);
     }
 
     /** The port of discovery for one door, whose answers name each backend at the end of a path of the door's own. */
-    int discoveryPortFor(String door, String site) throws IOException {
-        HttpStandIn discovery = discoveries.get(door);
+    int discoveryPortFor(String frontDoor, String site) throws IOException {
+        HttpStandIn discovery = discoveryStandIns.get(frontDoor);
         if (discovery == null) {
             String endpoints = endpointList(site);
-            discovery = new HttpStandIn("discovery-" + door, (request, to) -> discover(endpoints, request, to));
-            discoveries.put(door, discovery);
+            discovery = new HttpStandIn(
+                    "discovery-" + frontDoor, (request, out) -> handleDiscovery(endpoints, request, out));
+            discoveryStandIns.put(frontDoor, discovery);
         }
         return discovery.port();
     }
 
-    private String endpointList(String doorSite) throws IOException {
+    private String endpointList(String frontDoorSite) throws IOException {
         List<Map<String, Object>> hosts = new ArrayList<>();
         for (Backend backend : backends) {
             DelayingProxy path = new DelayingProxy(backend.standIn.port());
-            paths.computeIfAbsent(new SitePair(doorSite, backend.site), pair -> new ArrayList<>())
+            paths.computeIfAbsent(new SitePair(frontDoorSite, backend.site), pair -> new ArrayList<>())
                     .add(path);
             Map<String, Object> host = new LinkedHashMap<>();
             host.put("host", backend.name);
@@ -94,10 +96,10 @@
         list.put("seq", 1);
         list.put("whole", true);
         list.put("hosts", hosts);
-        return json(list);
+        return toJson(list);
     }
 
-    private static String json(Map<String, Object> object) {
+    private static String toJson(Map<String, Object> object) {
         try {
             return JSON.writeValueAsString(object);
         } catch (JsonProcessingException e) {
@@ -106,38 +108,38 @@
     }
 
     /** The endpoint list; to a watch followed by empty lines for as long as the connection stands. */
-    private static void discover(String endpoints, HttpStandIn.Request request, OutputStream to)
+    private static void handleDiscovery(String endpoints, HttpStandIn.Request request, OutputStream out)
             throws IOException, InterruptedException {
         if (!request.path().contains("watch=1")) {
-            HttpStandIn.writeOk(to, endpoints);
+            HttpStandIn.writeOk(out, endpoints);
             return;
         }
-        to.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        writeChunk(to, endpoints + "\n");
+        out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+        writeChunk(out, endpoints + "\n");
         while (true) {
             Thread.sleep(KEEP_ALIVE_MS);
-            writeChunk(to, "\n");
+            writeChunk(out, "\n");
         }
     }
 
-    private static void writeChunk(OutputStream to, String text) throws IOException {
-        to.write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes(StandardCharsets.US_ASCII));
-        to.flush();
+    private static void writeChunk(OutputStream out, String text) throws IOException {
+        out.write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes(StandardCharsets.US_ASCII));
+        out.flush();
     }
 
     /** Sets the delay between the doors at one site and the backends at another. */
-    void delay(String fromSite, String toSite, long oneWayUs) {
-        paths.getOrDefault(new SitePair(fromSite, toSite), List.of()).forEach(path -> path.delay(oneWayUs));
+    void setDelay(String fromSite, String toSite, long oneWayUs) {
+        paths.getOrDefault(new SitePair(fromSite, toSite), List.of()).forEach(path -> path.setDelay(oneWayUs));
     }
 
     /** From now on the backends of a site are unreachable. */
-    void loseSite(String site) {
-        pathsTo(site).forEach(DelayingProxy::lose);
+    void blockSite(String site) {
+        pathsTo(site).forEach(DelayingProxy::block);
     }
 
     /** The backends of a site are reachable again. */
-    void restoreSite(String site) {
-        pathsTo(site).forEach(DelayingProxy::restore);
+    void unblockSite(String site) {
+        pathsTo(site).forEach(DelayingProxy::unblock);
     }
 
     private List<DelayingProxy> pathsTo(String site) {
@@ -154,7 +156,7 @@
 
     @Override
     public void close() throws IOException {
-        for (HttpStandIn discovery : discoveries.values()) {
+        for (HttpStandIn discovery : discoveryStandIns.values()) {
             discovery.close();
         }
         for (List<DelayingProxy> between : paths.values()) {
--- a/src/rig/java/hopdrum/rig/trial/PortReservations.java
+++ b/src/rig/java/hopdrum/rig/trial/PortReservations.java
@@ -13,7 +13,7 @@
  * They are below the ephemeral ports, which connections are given on their way out. Confined to one thread.
  */
 final class PortReservations implements AutoCloseable {
-    private static final int LEAST_PORT = 12_000;
+    private static final int MIN_PORT = 12_000;
     private static final int PORT_COUNT = 20_000;
     private static final int MAX_ATTEMPTS = 1_000;
 
@@ -23,7 +23,7 @@
 
     int reserve() throws IOException {
         for (int i = 0; i < MAX_ATTEMPTS; i++) {
-            int port = LEAST_PORT + random.nextInt(PORT_COUNT);
+            int port = MIN_PORT + random.nextInt(PORT_COUNT);
             try {
                 reserved.put(port, new ServerSocket(port, 1, InetAddress.getLoopbackAddress()));
                 return port;
--- a/src/rig/java/hopdrum/rig/trial/SiteFaults.java
+++ b/src/rig/java/hopdrum/rig/trial/SiteFaults.java
@@ -1,7 +1,7 @@
 package hopdrum.rig.trial;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import hopdrum.rig.trial.TrialFile.Door;
+import hopdrum.rig.trial.TrialFile.FrontDoor;
 import hopdrum.rig.trial.TrialFile.SitePair;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -18,16 +18,16 @@
     private final Testbed testbed;
     private final TrialFile file;
     private final EventJournal journal;
-    private final Path published;
+    private final Path publishedFile;
     private final Map<String, Boolean> lostSites = new LinkedHashMap<>();
     private Map<String, Double> oneWayMs = Map.of(); // by "from-to"
 
     /** No delay is in force before {@link #resetDelays}. */
-    SiteFaults(Testbed testbed, EventJournal journal, Path out) {
+    SiteFaults(Testbed testbed, EventJournal journal, Path outputFolder) {
         this.testbed = testbed;
         this.file = testbed.file();
         this.journal = journal;
-        this.published = out.resolve("ways.json");
+        this.publishedFile = outputFolder.resolve("ways.json");
     }
 
     /** The delays are as the trial file has them. */
@@ -42,15 +42,17 @@
 
     private void applyDelays(String slowSite, double factor) throws IOException {
         Map<String, Double> delaysMs = new LinkedHashMap<>();
-        for (Door from : file.doors()) {
-            for (Door to : file.doors()) {
+        for (FrontDoor from : file.frontDoors()) {
+            for (FrontDoor to : file.frontDoors()) {
                 boolean isSlow = !from.site().equals(to.site())
                         && (from.site().equals(slowSite) || to.site().equals(slowSite));
                 double delayMs = file.delayMs(from.site(), to.site()) * (isSlow ? factor : 1);
                 long delayUs = (long) (1_000 * delayMs);
-                testbed.platforms().forEach(platform -> platform.delay(from.site(), to.site(), delayUs));
+                testbed.platforms().forEach(platform -> platform.setDelay(from.site(), to.site(), delayUs));
                 if (!from.equals(to)) {
-                    testbed.network().between(from.answersTo(), to.answersTo()).delay(delayUs);
+                    testbed.network()
+                            .linkFaults(from.memberName(), to.memberName())
+                            .setDelay(delayUs);
                 }
                 delaysMs.put(new SitePair(from.site(), to.site()).toString(), delayMs);
             }
@@ -64,7 +66,7 @@
 
     /** From now on a site's backends are unreachable. */
     void loseSite(String site) throws IOException {
-        testbed.platforms().forEach(platform -> platform.loseSite(site));
+        testbed.platforms().forEach(platform -> platform.blockSite(site));
         lostSites.put(site, true);
         publish();
     }
@@ -73,12 +75,12 @@
     void heal() throws IOException {
         lostSites.clear();
         resetDelays();
-        for (Door door : file.doors()) {
-            testbed.platformOf(door).restoreSite(door.site());
+        for (FrontDoor frontDoor : file.frontDoors()) {
+            testbed.platformOf(frontDoor).unblockSite(frontDoor.site());
         }
     }
 
     private void publish() throws IOException {
-        AtomicFiles.replace(published, JSON.writeValueAsString(Map.of("one_way_ms", oneWayMs, "lost", lostSites)));
+        AtomicFiles.replace(publishedFile, JSON.writeValueAsString(Map.of("one_way_ms", oneWayMs, "lost", lostSites)));
     }
 }
--- a/src/rig/java/hopdrum/rig/trial/Step.java
+++ b/src/rig/java/hopdrum/rig/trial/Step.java
@@ -18,12 +18,12 @@
         return new Step(atMs, action, List.of(), Map.of("from", from, "to", to));
     }
 
-    double number(String key, double absent) {
-        return arguments.get(key) instanceof Number number ? number.doubleValue() : absent;
+    double number(String key, double defaultValue) {
+        return arguments.get(key) instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
-    String text(String key, String absent) {
-        return arguments.get(key) == null ? absent : arguments.get(key).toString();
+    String text(String key, String defaultValue) {
+        return arguments.get(key) == null ? defaultValue : arguments.get(key).toString();
     }
 
     /** True unless the argument is {@code false}. */
@@ -32,7 +32,7 @@
     }
 
     /** A list of door names; empty if absent. */
-    List<String> names(String key) {
+    List<String> frontDoorNames(String key) {
         return arguments.get(key) instanceof List<?> names
                 ? names.stream().map(String::valueOf).toList()
                 : List.of();
--- a/src/rig/java/hopdrum/rig/trial/TermsFiles.java
+++ b/src/rig/java/hopdrum/rig/trial/TermsFiles.java
@@ -14,25 +14,25 @@
     private TermsFiles() {}
 
     /** An operator's terms file below a trial's output folder. */
-    static Path path(Path out, String operator) {
-        return out.resolve("terms-" + operator + ".yaml");
+    static Path path(Path outputFolder, String operator) {
+        return outputFolder.resolve("terms-" + operator + ".yaml");
     }
 
     /** Replaces an operator's terms file; moments ({@code from_s}, {@code until_s}) are given as seconds from now. */
-    static void write(Path out, String operator, Map<String, Object> terms) throws IOException {
+    static void write(Path outputFolder, String operator, Map<String, Object> terms) throws IOException {
         StringBuilder text = new StringBuilder();
         for (Map.Entry<String, Object> term : terms.entrySet()) {
             String key = term.getKey();
             if (key.equals("until_s") || key.equals("from_s")) {
-                long inMs = (long) (1_000 * ((Number) term.getValue()).doubleValue());
+                long offsetMs = (long) (1_000 * ((Number) term.getValue()).doubleValue());
                 text.append(key, 0, key.length() - SECONDS_SUFFIX.length())
                         .append(": ")
-                        .append(Instant.now().plusMillis(inMs));
+                        .append(Instant.now().plusMillis(offsetMs));
             } else {
                 text.append(key).append(": ").append(JSON.writeValueAsString(term.getValue()));
             }
             text.append('\n');
         }
-        AtomicFiles.replace(path(out, operator), text.toString());
+        AtomicFiles.replace(path(outputFolder, operator), text.toString());
     }
 }
--- a/src/rig/java/hopdrum/rig/trial/Testbed.java
+++ b/src/rig/java/hopdrum/rig/trial/Testbed.java
@@ -1,6 +1,6 @@
 package hopdrum.rig.trial;
 
-import hopdrum.rig.trial.TrialFile.Door;
+import hopdrum.rig.trial.TrialFile.FrontDoor;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -41,28 +41,29 @@
     }
 
     private void openPlatforms(EventJournal journal) throws IOException {
-        for (Door door : file.doors()) {
-            tiers.computeIfAbsent(door.operator(), operator -> new ArrayList<>())
-                    .add(door.name());
+        for (FrontDoor frontDoor : file.frontDoors()) {
+            tiers.computeIfAbsent(frontDoor.operator(), operator -> new ArrayList<>())
+                    .add(frontDoor.name());
         }
         for (String operator : tiers.keySet()) {
             platforms.put(operator, new PlatformStandIns(operator, file.sites(), file.backends(), journal));
         }
-        for (Door door : file.doors()) {
-            platforms.get(door.operator()).discoveryPortFor(door.name(), door.site());
+        for (FrontDoor frontDoor : file.frontDoors()) {
+            platforms.get(frontDoor.operator()).discoveryPortFor(frontDoor.name(), frontDoor.site());
         }
     }
 
     private void openProxies(long seed) throws IOException {
-        for (Door door : file.doors()) {
-            String name = door.name();
+        for (FrontDoor frontDoor : file.frontDoors()) {
+            String name = frontDoor.name();
             fleetPorts.put(name, ports.reserve());
             clientPorts.put(name, ports.reserve());
             if (file.shards().isUsed()) {
                 forwardingProxies.put(name, new DelayingProxy(clientPorts.get(name)));
             }
             long proxySeed = seed + fleetProxies.size();
-            fleetProxies.put(name, new FaultInjectingProxy(door.answersTo(), fleetPorts.get(name), network, proxySeed));
+            fleetProxies.put(
+                    name, new FaultInjectingProxy(frontDoor.memberName(), fleetPorts.get(name), network, proxySeed));
         }
     }
 
@@ -88,23 +89,23 @@
     }
 
     /** The platform of a door's operator. */
-    PlatformStandIns platformOf(Door door) {
-        return platforms.get(door.operator());
+    PlatformStandIns platformOf(FrontDoor frontDoor) {
+        return platforms.get(frontDoor.operator());
     }
 
     /** The platform of a door's operator. */
-    PlatformStandIns platformOf(String door) {
-        return platformOf(file.door(door));
+    PlatformStandIns platformOf(String frontDoor) {
+        return platformOf(file.frontDoor(frontDoor));
     }
 
     /** Where a door's process listens for the fleet, behind its proxy. */
-    int fleetPort(String door) {
-        return fleetPorts.get(door);
+    int fleetPort(String frontDoor) {
+        return fleetPorts.get(frontDoor);
     }
 
     /** Where a door's process listens for clients. */
-    int clientPort(String door) {
-        return clientPorts.get(door);
+    int clientPort(String frontDoor) {
+        return clientPorts.get(frontDoor);
     }
 
     /** Where each door's process listens for clients. */
@@ -113,13 +114,13 @@
     }
 
     /** What stands before a door's fleet address. */
-    FaultInjectingProxy fleetProxy(String door) {
-        return fleetProxies.get(door);
+    FaultInjectingProxy fleetProxy(String frontDoor) {
+        return fleetProxies.get(frontDoor);
     }
 
     /** What others forward to a door passes through this; there is none without shards. */
-    DelayingProxy forwardingProxy(String door) {
-        return forwardingProxies.get(door);
+    DelayingProxy forwardingProxy(String frontDoor) {
+        return forwardingProxies.get(frontDoor);
     }
 
     @Override
--- a/src/rig/java/hopdrum/rig/trial/Trial.java
+++ b/src/rig/java/hopdrum/rig/trial/Trial.java
@@ -13,29 +13,31 @@
 /** Plays one trial and says whether all rules were kept: the program behind the script {@code trial}. */
 public final class Trial {
     private static final String USAGE = "usage: ./trial FILE [--seed N] [--out DIR]";
-    private static final int EXIT_KEPT = 0;
-    private static final int EXIT_BROKEN = 1;
-    private static final int EXIT_UNUSABLE = 2;
+    private static final int EXIT_PASSED = 0;
+    private static final int EXIT_VIOLATED = 1;
+    private static final int EXIT_USAGE = 2;
 
     /** The arguments; without {@code out}, logs are deleted at the end. */
-    private record Arguments(Path file, long seed, Optional<Path> out) {
+    private record Arguments(Path file, long seed, Optional<Path> outputFolder) {
         /** Empty if they cannot be used. */
         static Optional<Arguments> parse(String[] args) {
             Path file = null;
             long seed = 1;
-            Path out = null;
+            Path outputFolder = null;
             for (int i = 0; i < args.length; i++) {
                 if (args[i].equals("--seed") && i + 1 < args.length) {
                     seed = Long.parseLong(args[++i]);
                 } else if (args[i].equals("--out") && i + 1 < args.length) {
-                    out = Path.of(args[++i]);
+                    outputFolder = Path.of(args[++i]);
                 } else if (file == null && !args[i].startsWith("-")) {
                     file = Path.of(args[i]);
                 } else {
                     return Optional.empty();
                 }
             }
-            return file == null ? Optional.empty() : Optional.of(new Arguments(file, seed, Optional.ofNullable(out)));
+            return file == null
+                    ? Optional.empty()
+                    : Optional.of(new Arguments(file, seed, Optional.ofNullable(outputFolder)));
         }
     }
 
@@ -46,7 +48,7 @@
      *
      * @param trialFile docs/trials.md describes it
      * @param seed of all that is drawn at random
-     * @param out where all logs go
+     * @param outputFolder where all logs go
      * @param home the checkout whose {@code target} the processes are started from
      * @param output takes a line for each measurement, then the verdict's
      * @return whether all rules were kept
@@ -54,9 +56,9 @@
      * @throws IOException if a process cannot be started or a file cannot be read or written
      * @throws InterruptedException if the calling thread is interrupted meanwhile
      */
-    public static boolean run(Path trialFile, long seed, Path out, Path home, Consumer<String> output)
+    public static boolean run(Path trialFile, long seed, Path outputFolder, Path home, Consumer<String> output)
             throws IOException, InterruptedException {
-        TrialRun run = new TrialRun(TrialFile.read(trialFile, seed), seed, out, home);
+        TrialRun run = new TrialRun(TrialFile.read(trialFile, seed), seed, outputFolder, home);
         Thread killer = new Thread(run::killProcesses, "trial-end");
         Runtime.getRuntime().addShutdownHook(killer);
         try (run) {
@@ -64,7 +66,7 @@
         } finally {
             Runtime.getRuntime().removeShutdownHook(killer);
         }
-        TrialReport report = TrialChecker.check(out);
+        TrialReport report = TrialChecker.check(outputFolder);
         report.measurements().forEach(line -> output.accept("measured: " + line));
         Optional<String> broken = report.firstViolation();
         output.accept(broken.map(violation -> "verdict: broken " + violation).orElse("verdict: kept"));
@@ -82,7 +84,7 @@
         Optional<Arguments> arguments = Arguments.parse(args);
         if (arguments.isEmpty()) {
             System.err.println(USAGE);
-            System.exit(EXIT_UNUSABLE);
+            System.exit(EXIT_USAGE);
             return;
         }
         System.exit(play(arguments.get()));
@@ -90,16 +92,18 @@
 
     private static int play(Arguments arguments) throws IOException, InterruptedException {
         Path home = Path.of(System.getProperty("trial.home", "")).toAbsolutePath();
-        Path folder = arguments.out.isPresent() ? arguments.out.get() : Files.createTempDirectory("hopdrum-trial");
+        Path folder = arguments.outputFolder.isPresent()
+                ? arguments.outputFolder.get()
+                : Files.createTempDirectory("hopdrum-trial");
         int code;
         try {
-            boolean isKept = run(arguments.file, arguments.seed, folder, home, System.out::println);
-            code = isKept ? EXIT_KEPT : EXIT_BROKEN;
+            boolean hasPassed = run(arguments.file, arguments.seed, folder, home, System.out::println);
+            code = hasPassed ? EXIT_PASSED : EXIT_VIOLATED;
         } catch (IllegalArgumentException e) {
             System.err.println(e.getMessage());
-            code = EXIT_UNUSABLE;
+            code = EXIT_USAGE;
         }
-        if (arguments.out.isEmpty()) {
+        if (arguments.outputFolder.isEmpty()) {
             delete(folder);
         }
         return code;
--- a/src/rig/java/hopdrum/rig/trial/TrialFile.java
+++ b/src/rig/java/hopdrum/rig/trial/TrialFile.java
@@ -17,7 +17,7 @@
  * @param load what clients send
  * @param lengthMs when the trial ends, after its begin
  * @param shards how customers are shared between operators
- * @param doors the processes
+ * @param frontDoors the processes
  * @param delaysMs one way between two sites, as it is written
  * @param founders the names of the members of the fleet's first view
  * @param warm doors that are settled before the trial begins
@@ -32,7 +32,7 @@
         Load load,
         long lengthMs,
         Shards shards,
-        List<Door> doors,
+        List<FrontDoor> frontDoors,
         Map<SitePair, Double> delaysMs,
         List<String> founders,
         List<String> warm,
@@ -44,10 +44,10 @@
      * @param name its name in the trial
      * @param operator whose it is
      * @param site where it is
-     * @param answersTo its name in the fleet
-     * @param planted the fault that it has on purpose; empty: none
+     * @param memberName its name in the fleet
+     * @param injectedFault the fault that it has on purpose; empty: none
      */
-    record Door(String name, String operator, String site, String answersTo, String planted) {}
+    record FrontDoor(String name, String operator, String site, String memberName, String injectedFault) {}
 
     /**
      * Backends of one operator at one site.
@@ -61,27 +61,28 @@
     /**
      * What clients send, and each customer's plan.
      *
-     * @param rpcsPerSecond of all clients together; 0: there are none
+     * @param requestsPerSecond of all clients together; 0: there are none
      * @param customers how many
      * @param rate a customer's quota, RPCs a second
      * @param burst a customer's burst, RPCs
      * @param ceilingRate a customer's ceiling over all operators, RPCs a second; 0: none
      * @param ceilingBurst the ceiling's burst, RPCs
      * @param deadlineMs the deadline of each RPC; the soft deadline is half of it
-     * @param doors the doors that clients connect to
+     * @param frontDoors the doors that clients connect to
      */
     record Load(
-            double rpcsPerSecond,
+            double requestsPerSecond,
             int customers,
             double rate,
             double burst,
             double ceilingRate,
             double ceilingBurst,
             int deadlineMs,
-            List<String> doors) {
+            List<String> frontDoors) {
 
-        Load withDoors(List<String> entryDoors) {
-            return new Load(rpcsPerSecond, customers, rate, burst, ceilingRate, ceilingBurst, deadlineMs, entryDoors);
+        Load withFrontDoors(List<String> entryFrontDoors) {
+            return new Load(
+                    requestsPerSecond, customers, rate, burst, ceilingRate, ceilingBurst, deadlineMs, entryFrontDoors);
         }
     }
 
@@ -121,16 +122,16 @@
     }
 
     /** The door of this name; there is one. */
-    Door door(String name) {
-        return doors.stream()
-                .filter(door -> door.name().equals(name))
+    FrontDoor frontDoor(String name) {
+        return frontDoors.stream()
+                .filter(frontDoor -> frontDoor.name().equals(name))
                 .findFirst()
                 .orElseThrow();
     }
 
     /** All sites that have doors, sorted. */
     TreeSet<String> sites() {
-        return new TreeSet<>(doors.stream().map(Door::site).toList());
+        return new TreeSet<>(frontDoors.stream().map(FrontDoor::site).toList());
     }
 
     /** The delay between two sites, one way, in milliseconds. */
--- a/src/rig/java/hopdrum/rig/trial/TrialFileParser.java
+++ b/src/rig/java/hopdrum/rig/trial/TrialFileParser.java
@@ -1,7 +1,7 @@
 package hopdrum.rig.trial;
 
 import hopdrum.rig.trial.TrialFile.Backends;
-import hopdrum.rig.trial.TrialFile.Door;
+import hopdrum.rig.trial.TrialFile.FrontDoor;
 import hopdrum.rig.trial.TrialFile.Load;
 import hopdrum.rig.trial.TrialFile.Shards;
 import hopdrum.rig.trial.TrialFile.SitePair;
@@ -43,7 +43,7 @@
             "shards",
             "most_alone_ms",
             "terms");
-    private static final Set<String> DOOR_KEYS = Set.of("name", "operator", "site", "answers_to", "planted");
+    private static final Set<String> FRONT_DOOR_KEYS = Set.of("name", "operator", "site", "answers_to", "planted");
     private static final Set<String> LOAD_KEYS = Set.of(
             "rpcs_a_second", "customers", "rate", "burst", "deadline_ms", "doors", "ceiling_rate", "ceiling_burst");
     private static final Set<String> RANDOM_KEYS = Set.of("from_s", "to_s", "every_s", "of", "most_down", "hold_s");
@@ -68,8 +68,8 @@
             "most_s");
 
     private final Path file;
-    private final List<String> faults = new ArrayList<>();
-    private final List<Door> doors = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
+    private final List<FrontDoor> frontDoors = new ArrayList<>();
     private final List<Step> steps = new ArrayList<>();
 
     TrialFileParser(Path file) {
@@ -86,20 +86,20 @@
         int shardCount = (int) number(trial, "shards", 0);
         int maxAloneMs = (int) number(trial, "most_alone_ms", 2_000);
         long lengthMs = milliseconds(trial, "length_s", 20);
-        Map<?, ?> loadKeys = trial.get("load") instanceof Map<?, ?> given ? given : Map.of();
-        Load load = parseLoad(loadKeys);
-        list(trial, "doors").forEach(this::parseDoor);
+        Map<?, ?> loadMap = trial.get("load") instanceof Map<?, ?> node ? node : Map.of();
+        Load load = parseLoad(loadMap);
+        list(trial, "doors").forEach(this::parseFrontDoor);
         Map<SitePair, Double> delaysMs = parseDelays(trial.get("delays_ms"));
-        List<String> warm = doorNames(trial.get("warm"));
-        load = load.withDoors(loadKeys.get("doors") == null ? doorNames() : doorNames(loadKeys.get("doors")));
+        List<String> warm = parseNames(trial.get("warm"));
+        load = load.withFrontDoors(loadMap.get("doors") == null ? frontDoorNames() : parseNames(loadMap.get("doors")));
         Map<String, Map<String, Object>> terms = parseAllTerms(trial.get("terms"));
         list(trial, "steps").forEach(this::parseStep);
         if (trial.get("random") instanceof Map<?, ?> random) {
             parseRandom(random, seed);
         }
-        checkLength(lengthMs);
-        if (!faults.isEmpty()) {
-            throw new InvalidTrialFileException(file, faults);
+        sortAndCheckSteps(lengthMs);
+        if (!errors.isEmpty()) {
+            throw new InvalidTrialFileException(file, errors);
         }
         return new TrialFile(
                 String.valueOf(trial.get("about")),
@@ -110,7 +110,7 @@
                 load,
                 lengthMs,
                 new Shards(shardCount, maxAloneMs, terms),
-                doors,
+                frontDoors,
                 delaysMs,
                 list(trial, "founders").stream().map(String::valueOf).toList(),
                 warm,
@@ -139,61 +139,62 @@
                 List.of());
     }
 
-    private void parseDoor(Object given) {
-        Map<?, ?> door = given instanceof Map<?, ?> keys ? keys : Map.of();
-        checkKeys("a door", door, DOOR_KEYS);
-        String name = String.valueOf(door.get("name"));
-        doors.add(new Door(
+    private void parseFrontDoor(Object node) {
+        Map<?, ?> frontDoor = node instanceof Map<?, ?> keys ? keys : Map.of();
+        checkKeys("a door", frontDoor, FRONT_DOOR_KEYS);
+        String name = String.valueOf(frontDoor.get("name"));
+        frontDoors.add(new FrontDoor(
                 name,
-                text(door, "operator", "north"),
-                text(door, "site", "here"),
-                text(door, "answers_to", name),
-                text(door, "planted", "")));
+                text(frontDoor, "operator", "north"),
+                text(frontDoor, "site", "here"),
+                text(frontDoor, "answers_to", name),
+                text(frontDoor, "planted", "")));
     }
 
-    private Map<SitePair, Double> parseDelays(Object given) {
+    private Map<SitePair, Double> parseDelays(Object node) {
         Map<SitePair, Double> delaysMs = new LinkedHashMap<>();
-        if (given instanceof Map<?, ?> delays) {
-            Set<String> sites = new HashSet<>(doors.stream().map(Door::site).toList());
+        if (node instanceof Map<?, ?> delays) {
+            Set<String> sites =
+                    new HashSet<>(frontDoors.stream().map(FrontDoor::site).toList());
             delays.forEach((key, value) -> {
-                String[] ends = String.valueOf(key).split("-", -1);
-                if (ends.length != 2
-                        || !sites.contains(ends[0])
-                        || !sites.contains(ends[1])
+                String[] siteNames = String.valueOf(key).split("-", -1);
+                if (siteNames.length != 2
+                        || !sites.contains(siteNames[0])
+                        || !sites.contains(siteNames[1])
                         || !(value instanceof Number delayMs && delayMs.doubleValue() >= 0)) {
-                    faults.add("delays_ms: " + key + ": " + value
+                    errors.add("delays_ms: " + key + ": " + value
                             + ", expected SITE-SITE: milliseconds one way, of sites that doors have");
                 } else {
-                    delaysMs.put(new SitePair(ends[0], ends[1]), delayMs.doubleValue());
+                    delaysMs.put(new SitePair(siteNames[0], siteNames[1]), delayMs.doubleValue());
                 }
             });
         }
         return delaysMs;
     }
 
-    private Map<String, Map<String, Object>> parseAllTerms(Object given) {
+    private Map<String, Map<String, Object>> parseAllTerms(Object node) {
         Map<String, Map<String, Object>> terms = new LinkedHashMap<>();
-        if (given instanceof Map<?, ?> byOperator) {
+        if (node instanceof Map<?, ?> byOperator) {
             byOperator.forEach((operator, keys) -> terms.put(String.valueOf(operator), parseTerms(operator, keys)));
         }
         return terms;
     }
 
-    private Map<String, Object> parseTerms(Object operator, Object given) {
-        if (doors.stream().noneMatch(door -> door.operator().equals(String.valueOf(operator)))) {
-            faults.add("terms: no door is " + operator + "'s");
+    private Map<String, Object> parseTerms(Object operator, Object node) {
+        if (frontDoors.stream().noneMatch(frontDoor -> frontDoor.operator().equals(String.valueOf(operator)))) {
+            errors.add("terms: no door is " + operator + "'s");
         }
         Map<String, Object> terms = new LinkedHashMap<>();
-        if (given instanceof Map<?, ?> keys) {
+        if (node instanceof Map<?, ?> keys) {
             keys.forEach((key, value) -> terms.put(String.valueOf(key), value));
         } else {
-            faults.add("terms: of " + operator + ": are no keys and values");
+            errors.add("terms: of " + operator + ": are no keys and values");
         }
         return terms;
     }
 
-    private void parseStep(Object given) {
-        Map<?, ?> keys = given instanceof Map<?, ?> map ? map : Map.of();
+    private void parseStep(Object node) {
+        Map<?, ?> keys = node instanceof Map<?, ?> map ? map : Map.of();
         Map<String, Object> arguments = new LinkedHashMap<>();
         StepAction action = null;
         List<String> targets = List.of();
@@ -202,16 +203,16 @@
             Optional<StepAction> known = StepAction.ofKey(key);
             if (known.isPresent()) {
                 action = known.get();
-                targets = action.takesText() ? List.of(String.valueOf(entry.getValue())) : doorNames(entry.getValue());
+                targets = action.takesText() ? List.of(String.valueOf(entry.getValue())) : parseNames(entry.getValue());
             } else if (ARGUMENT_KEYS.contains(key)) {
-                boolean isDoors = key.equals("from") || key.equals("to");
-                arguments.put(key, isDoors ? doorNames(entry.getValue()) : entry.getValue());
+                boolean isFrontDoorList = key.equals("from") || key.equals("to");
+                arguments.put(key, isFrontDoorList ? parseNames(entry.getValue()) : entry.getValue());
             } else if (!key.equals("at_s")) {
-                faults.add("a step has the unknown key " + key);
+                errors.add("a step has the unknown key " + key);
             }
         }
         if (action == null || !(keys.get("at_s") instanceof Number atS)) {
-            faults.add("a step lacks what it does or its at_s: " + keys);
+            errors.add("a step lacks what it does or its at_s: " + keys);
             return;
         }
         if (action == StepAction.AMEND) {
@@ -229,36 +230,36 @@
                 milliseconds(random, "hold_s", 2),
                 (int) number(random, "most_down", 1),
                 list(random, "of").stream().map(String::valueOf).toList());
-        steps.addAll(drawn.draw(doorNames(), new SplittableRandom(seed), faults));
+        steps.addAll(drawn.drawSteps(frontDoorNames(), new SplittableRandom(seed), errors));
     }
 
-    private void checkLength(long lengthMs) {
+    private void sortAndCheckSteps(long lengthMs) {
         steps.sort(Comparator.comparingLong(Step::atMs));
         for (Step step : steps) {
             if (step.atMs() > lengthMs) {
-                faults.add("the step " + step.action().key() + " at " + step.atMs() / 1000.0
+                errors.add("the step " + step.action().key() + " at " + step.atMs() / 1000.0
                         + " s comes after the trial's end, " + lengthMs / 1000.0 + " s");
             }
         }
     }
 
-    private List<String> doorNames() {
-        return doors.stream().map(Door::name).toList();
+    private List<String> frontDoorNames() {
+        return frontDoors.stream().map(FrontDoor::name).toList();
     }
 
     /** "all", a name, or a list of names. */
-    private List<String> doorNames(Object given) {
-        List<String> known = doorNames();
-        if ("all".equals(given)) {
+    private List<String> parseNames(Object node) {
+        List<String> known = frontDoorNames();
+        if ("all".equals(node)) {
             return known;
         }
-        List<?> names = given instanceof List<?> list ? list : given == null ? List.of() : List.of(given);
+        List<?> names = node instanceof List<?> list ? list : node == null ? List.of() : List.of(node);
         List<String> found = new ArrayList<>();
         for (Object name : names) {
             if (known.contains(String.valueOf(name))) {
                 found.add(String.valueOf(name));
             } else {
-                faults.add("no door has the name " + name);
+                errors.add("no door has the name " + name);
             }
         }
         return found;
@@ -267,28 +268,28 @@
     private void checkKeys(String where, Map<?, ?> map, Set<String> known) {
         for (Object key : map.keySet()) {
             if (!known.contains(String.valueOf(key))) {
-                faults.add(where + " has the unknown key " + key + ", expected one of "
+                errors.add(where + " has the unknown key " + key + ", expected one of "
                         + known.stream().sorted().toList());
             }
         }
     }
 
-    private double number(Map<?, ?> map, String key, double absent) {
+    private double number(Map<?, ?> map, String key, double defaultValue) {
         Object value = map.get(key);
         if (value != null && !(value instanceof Number number && number.doubleValue() >= 0)) {
-            faults.add(key + " is no figure from 0 on: " + value);
-            return absent;
+            errors.add(key + " is no figure from 0 on: " + value);
+            return defaultValue;
         }
-        return value instanceof Number number ? number.doubleValue() : absent;
+        return value instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
     /** A key in seconds, as milliseconds. */
-    private long milliseconds(Map<?, ?> map, String key, double absentS) {
-        return (long) (1_000 * number(map, key, absentS));
+    private long milliseconds(Map<?, ?> map, String key, double defaultSeconds) {
+        return (long) (1_000 * number(map, key, defaultSeconds));
     }
 
-    private static String text(Map<?, ?> map, String key, String absent) {
-        return map.get(key) == null ? absent : map.get(key).toString();
+    private static String text(Map<?, ?> map, String key, String defaultValue) {
+        return map.get(key) == null ? defaultValue : map.get(key).toString();
     }
 
     private static List<?> list(Map<?, ?> map, String key) {
--- a/src/rig/java/hopdrum/rig/trial/TrialRun.java
+++ b/src/rig/java/hopdrum/rig/trial/TrialRun.java
@@ -1,6 +1,6 @@
 package hopdrum.rig.trial;
 
-import hopdrum.rig.trial.TrialFile.Door;
+import hopdrum.rig.trial.TrialFile.FrontDoor;
 import hopdrum.rig.trial.TrialFile.Load;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -14,33 +14,34 @@
 /** Plays one trial: the processes, everything around them, and the schedule of the trial file. Played by one thread. */
 final class TrialRun implements AutoCloseable {
     private final TrialFile file;
-    private final Path out;
+    private final Path outputFolder;
     private final long seed;
     private final EventJournal journal;
     private final Testbed testbed;
-    private final DoorProcesses processes;
-    private final SiteFaults sites;
-    private final LogWatcher logs;
-    private final FaultInjector faults;
+    private final FrontDoorProcesses processes;
+    private final SiteFaults siteFaults;
+    private final LogWatcher logWatcher;
+    private final FaultInjector faultInjector;
     private LoadGenerator clients; // null until the first view is expected
     private SchedulingDelayMonitor schedulingDelay; // null until the trial begins
 
     /**
      * Prepares everything; no process is started yet.
      *
-     * @param out where all logs go
+     * @param outputFolder where all logs go
      * @param home the checkout whose {@code target} the processes are started from
      */
-    TrialRun(TrialFile file, long seed, Path out, Path home) throws IOException {
+    TrialRun(TrialFile file, long seed, Path outputFolder, Path home) throws IOException {
         this.file = file;
         this.seed = seed;
-        this.out = Files.createDirectories(out);
-        this.journal = new EventJournal(out.resolve("rig.jsonl"));
+        this.outputFolder = Files.createDirectories(outputFolder);
+        this.journal = new EventJournal(outputFolder.resolve("rig.jsonl"));
         this.testbed = openTestbed();
-        this.processes = new DoorProcesses(testbed, new DoorConfiguration(testbed, out, seed), journal, out, home);
-        this.sites = new SiteFaults(testbed, journal, out);
-        this.logs = new LogWatcher(file, out);
-        this.faults = new FaultInjector(testbed, processes, sites, logs, out);
+        this.processes = new FrontDoorProcesses(
+                testbed, new FrontDoorConfiguration(testbed, outputFolder, seed), journal, outputFolder, home);
+        this.siteFaults = new SiteFaults(testbed, journal, outputFolder);
+        this.logWatcher = new LogWatcher(file, outputFolder);
+        this.faultInjector = new FaultInjector(testbed, processes, siteFaults, logWatcher, outputFolder);
     }
 
     private Testbed openTestbed() throws IOException {
@@ -57,13 +58,13 @@
         logSetup();
         for (Map.Entry<String, Map<String, Object>> terms :
                 file.shards().terms().entrySet()) {
-            TermsFiles.write(out, terms.getKey(), terms.getValue());
+            TermsFiles.write(outputFolder, terms.getKey(), terms.getValue());
         }
-        sites.resetDelays();
-        for (String door : file.warm()) {
-            processes.start(door, StoreState.KEPT);
+        siteFaults.resetDelays();
+        for (String frontDoor : file.warm()) {
+            processes.start(frontDoor, StoreState.KEPT);
         }
-        logs.awaitSettled(file.warm());
+        logWatcher.awaitCompleteViews(file.warm());
         long beginUs = EventJournal.nowUs();
         journal.event("begin").write();
         schedulingDelay = new SchedulingDelayMonitor(journal);
@@ -75,15 +76,15 @@
                     .with("more", step.arguments())
                     .with("at_ms", step.atMs())
                     .write();
-            faults.apply(step);
+            faultInjector.apply(step);
             if (clients == null
                     && step.action() == StepAction.EXPECT_SETTLED
-                    && file.load().rpcsPerSecond() > 0) {
+                    && file.load().requestsPerSecond() > 0) {
                 clients = startClients((long) (1_000 * step.number("within_s", 0)));
             }
         }
         sleepUntil(beginUs + file.lengthMs() * 1_000);
-        end();
+        endTrial();
     }
 
     private static void sleepUntil(long atUs) throws InterruptedException {
@@ -93,9 +94,9 @@
     private void logSetup() {
         Map<String, String> operators = new LinkedHashMap<>();
         Map<String, String> siteNames = new LinkedHashMap<>();
-        for (Door door : file.doors()) {
-            operators.put(door.name(), door.operator());
-            siteNames.put(door.name(), door.site());
+        for (FrontDoor frontDoor : file.frontDoors()) {
+            operators.put(frontDoor.name(), frontDoor.operator());
+            siteNames.put(frontDoor.name(), frontDoor.site());
         }
         Load load = file.load();
         journal.event("trial")
@@ -119,9 +120,9 @@
 
     /** Clients come once the first view is due. */
     private LoadGenerator startClients(long delayMs) {
-        List<String> allDoors = List.copyOf(testbed.clientPorts().keySet());
+        List<String> allFrontDoors = List.copyOf(testbed.clientPorts().keySet());
         List<List<String>> tiers = file.shards().isUsed()
-                ? List.of(allDoors)
+                ? List.of(allFrontDoors)
                 : List.copyOf(testbed.tiers().values());
         LoadGenerator generator = new LoadGenerator(
                 journal,
@@ -134,16 +135,16 @@
         return generator;
     }
 
-    private void end() throws InterruptedException {
+    private void endTrial() throws InterruptedException {
         if (clients != null) {
             clients.close();
         }
         journal.event("end").write();
         testbed.network().clear();
         List<Thread> terminating = new ArrayList<>();
-        for (String door : processes.running()) {
-            processes.resume(door);
-            terminating.add(processes.startTerminating(door));
+        for (String frontDoor : processes.running()) {
+            processes.resume(frontDoor);
+            terminating.add(processes.startTerminating(frontDoor));
         }
         for (Thread thread : terminating) {
             thread.join();
--- a/src/rig/java/hopdrum/rig/trial/package-info.java
+++ b/src/rig/java/hopdrum/rig/trial/package-info.java
@@ -4,8 +4,8 @@
  *
  * <p>{@link hopdrum.rig.trial.Trial} is the command line and the entry point of tests. The other classes by concern: the trial
  * file ({@code TrialFile}, {@code TrialFileParser}, {@code RandomFaults}), the schedule ({@code TrialRun}), fault injection
- * ({@code FaultInjector}, {@code FaultInjectingProxy}, {@code DelayingProxy}), processes ({@code DoorProcesses},
- * {@code DoorConfiguration}), stand-ins for the platform ({@code PlatformStandIns}, {@code CounterStandIns}), clients
+ * ({@code FaultInjector}, {@code FaultInjectingProxy}, {@code DelayingProxy}), processes ({@code FrontDoorProcesses},
+ * {@code FrontDoorConfiguration}), stand-ins for the platform ({@code PlatformStandIns}, {@code CounterStandIns}), clients
  * ({@code LoadGenerator}) and the event log ({@code EventJournal}). All threads are daemons, so that none outlives the rig.
  */
 package hopdrum.rig.trial;
--- a/src/test/java/hopdrum/rig/trial/DelayingProxyTest.java
+++ b/src/test/java/hopdrum/rig/trial/DelayingProxyTest.java
@@ -52,7 +52,7 @@
 
     @Test
     void aConnectionsFirstBytesTakeARoundTripMore() throws IOException {
-        proxy.delay(50_000);
+        proxy.setDelay(50_000);
         long sentUs = EventJournal.nowUs();
         try (Socket client = connect()) {
             client.getOutputStream().write(1);
@@ -69,10 +69,10 @@
         try (Socket client = connect();
                 Socket server = target.accept()) {
             server.setSoTimeout(SILENCE_MS);
-            proxy.lose();
+            proxy.block();
             client.getOutputStream().write(1);
             assertThatThrownBy(() -> server.getInputStream().read()).isInstanceOf(SocketTimeoutException.class);
-            proxy.restore();
+            proxy.unblock();
             assertThat(server.getInputStream().read()).isNegative();
         }
         try (Socket client = connect();
--- a/src/test/java/hopdrum/rig/trial/FaultInjectingProxyTest.java
+++ b/src/test/java/hopdrum/rig/trial/FaultInjectingProxyTest.java
@@ -28,7 +28,7 @@
     private static final int SILENCE_MS = 300;
 
     private final NetworkFaults network = new NetworkFaults();
-    private final LinkFaults link = network.between("a", "b");
+    private final LinkFaults link = network.linkFaults("a", "b");
     private ServerSocket target;
     private FaultInjectingProxy proxy;
     private Socket sender;
@@ -113,11 +113,11 @@
 
     @Test
     void aMessageIsLostOrDuplicatedAtTheGivenRate() throws IOException {
-        link.duplicate(1);
+        link.setDuplicationRate(1);
         send(1);
         assertThat(receiveNumber()).isEqualTo(1);
         assertThat(receiveNumber()).isEqualTo(1);
-        link.lose(1);
+        link.setLossRate(1);
         send(2);
         assertSilence();
     }
@@ -125,7 +125,7 @@
     @Test
     void aDelayedMessageArrivesNoSoonerThanItsDelay() throws IOException {
         receiver.setSoTimeout(0);
-        link.delay(200_000);
+        link.setDelay(200_000);
         long sentUs = EventJournal.nowUs();
         send(1);
         assertThat(receiveNumber()).isEqualTo(1);
@@ -135,7 +135,7 @@
     @Test
     void aThrottledMessageArrivesNoSoonerThanItsBytesTake() throws IOException {
         receiver.setSoTimeout(0);
-        link.throttle(100);
+        link.setBandwidth(100);
         long sentUs = EventJournal.nowUs();
         send(Map.of("is", "test", "text", "x".repeat(40)));
         receive();
--- a/src/test/java/hopdrum/rig/trial/TrialFileTest.java
+++ b/src/test/java/hopdrum/rig/trial/TrialFileTest.java
@@ -27,7 +27,7 @@
                     files.filter(file -> file.toString().endsWith(".yaml")).toList();
             assertThat(trials).isNotEmpty();
             for (Path trial : trials) {
-                assertThat(TrialFile.read(trial, 1).doors())
+                assertThat(TrialFile.read(trial, 1).frontDoors())
                         .as(trial.toString())
                         .isNotEmpty();
             }
@@ -37,7 +37,7 @@
     @Test
     void keysThatAreLeftOutHaveDefaults() throws IOException {
         TrialFile file = read("doors: [{name: a}]\nfounders: [a]\nsteps: []\n", 1);
-        assertThat(file.doors()).containsExactly(new TrialFile.Door("a", "north", "here", "a", ""));
+        assertThat(file.frontDoors()).containsExactly(new TrialFile.FrontDoor("a", "north", "here", "a", ""));
         assertThat(file.probePeriodMs()).isEqualTo(200);
         assertThat(file.leaseMs()).isEqualTo(1_500);
         assertThat(file.backends()).isEqualTo(new TrialFile.Backends(4, 5, 0));
