--- a/src/rig/java/hopdrum/rig/simulation/EventRecorder.java
+++ b/src/rig/java/hopdrum/rig/simulation/EventRecorder.java
@@ -21,7 +21,7 @@
     private final FleetTiming timing;
     private final Map<String, SimulatedNode> nodes;
     private final List<String> events = new ArrayList<>();
-    private final Map<String, Integer> wronglyDropped = new TreeMap<>();
+    private final Map<String, Integer> falsePositives = new TreeMap<>();
     private boolean recording;
 
     EventRecorder(SimulatedClock clock, FleetTiming timing, Map<String, SimulatedNode> nodes) {
@@ -40,12 +40,12 @@
     }
 
     /** How often each member was declared dead while it was up and had run for the suspicion time, by name. */
-    Map<String, Integer> wronglyDropped() {
-        return Collections.unmodifiableMap(wronglyDropped);
+    Map<String, Integer> falsePositives() {
+        return Collections.unmodifiableMap(falsePositives);
     }
 
-    void clearWronglyDropped() {
-        wronglyDropped.clear();
+    void clearFalsePositives() {
+        falsePositives.clear();
     }
 
     void event(SimulatedNode observer, String event, Object... pairs) {
@@ -57,7 +57,7 @@
             if (subject.isUp()
                     && subject.self().start() == (long) pairs[START]
                     && subject.pausedUntilUs() + timing.minSuspicionUs() <= clock.nowUs()) {
-                wronglyDropped.merge(subject.name(), 1, Integer::sum);
+                falsePositives.merge(subject.name(), 1, Integer::sum);
             }
         }
     }
--- a/src/rig/java/hopdrum/rig/simulation/FleetSimulation.java
+++ b/src/rig/java/hopdrum/rig/simulation/FleetSimulation.java
@@ -76,7 +76,7 @@
         founders = nodes.keySet().stream().limit(founding).toList();
         network = new SimulatedNetwork(clock, random, nodes);
         recorder = new EventRecorder(clock, timing, nodes);
-        checker = new InvariantChecker(clock, nodes.values(), sharding.shards());
+        checker = new InvariantChecker(clock, nodes.values(), sharding.shardCount());
     }
 
     /** All nodes, by number. */
@@ -138,8 +138,8 @@
     private ShardCoordinator newCoordinator(SimulatedNode node, Member self) {
         ShardCoordinator coordinator = new ShardCoordinator(
                 self,
-                sharding.shards(),
-                sharding.mostAloneMs(),
+                sharding.shardCount(),
+                sharding.maxAloneMs(),
                 timing,
                 random.split(),
                 (to, message) -> network.send(node, self, to, message),
@@ -154,8 +154,8 @@
     }
 
     /** Gives the node's operator other terms there, from now on and after restarts. */
-    public void follow(SimulatedNode node, AgreementTerms terms) {
-        node.follow(terms);
+    public void setTerms(SimulatedNode node, AgreementTerms terms) {
+        node.setTerms(terms);
     }
 
     /** Ends a process at once; what it had not written to its disk is lost. */
@@ -187,13 +187,13 @@
     }
 
     /** Sets the probability that a message is lost. */
-    public void setLoss(double probability) {
-        network.setLoss(probability);
+    public void setLossProbability(double probability) {
+        network.setLossProbability(probability);
     }
 
     /** Sets the mean time that a message takes one way; each takes between a half and one and a half of it. */
-    public void setDelayUs(long us) {
-        network.setDelayUs(us);
+    public void setMeanDelayUs(long us) {
+        network.setMeanDelayUs(us);
     }
 
     /** Sets what a message takes on top of that, one way, by the names of sender and receiver. */
@@ -202,8 +202,8 @@
     }
 
     /** Sets what a sender, by name, says in place of a message of its own: how members lie. */
-    public void setTamper(BiFunction<String, Message, Message> alters) {
-        network.setTamper(alters);
+    public void setMessageRewriter(BiFunction<String, Message, Message> alters) {
+        network.setMessageRewriter(alters);
     }
 
     /** Sets how long a write to disk takes, by the node's name. */
@@ -229,7 +229,7 @@
     }
 
     /** Runs until the condition holds, for {@code us} at most; returns whether it came to hold. */
-    public boolean until(long us, BooleanSupplier condition) {
+    public boolean runUntil(long us, BooleanSupplier condition) {
         long end = clock.nowUs() + us;
         while (clock.nowUs() < end) {
             step();
@@ -241,8 +241,8 @@
     }
 
     /** Runs for {@code us}. */
-    public void run(long us) {
-        until(us, () -> false);
+    public void runFor(long us) {
+        runUntil(us, () -> false);
     }
 
     private void step() {
@@ -262,7 +262,7 @@
     // ---- What came of it ----
 
     /** Whether all members that run have one view, and it holds exactly them, by their present starts. */
-    public boolean isSettled() {
+    public boolean hasConverged() {
         View first = null;
         int up = 0;
         for (SimulatedNode node : nodes.values()) {
@@ -281,7 +281,7 @@
     }
 
     /** How many shards each operator's members act on now, by operator; without those that act on none. */
-    public Map<String, Integer> acting() {
+    public Map<String, Integer> activeShardCounts() {
         Map<String, BitSet> shards = new TreeMap<>();
         for (SimulatedNode node : nodes.values()) {
             shards.computeIfAbsent(node.operator(), operator -> new BitSet()).or(node.actingShards(clock.nowUs()));
@@ -311,13 +311,13 @@
     }
 
     /** How often members were declared dead that were up and not just paused, by name; since it was last cleared. */
-    public Map<String, Integer> wronglyDropped() {
-        return recorder.wronglyDropped();
+    public Map<String, Integer> falsePositives() {
+        return recorder.falsePositives();
     }
 
-    /** Empties {@link #wronglyDropped()}. */
-    public void clearWronglyDropped() {
-        recorder.clearWronglyDropped();
+    /** Empties {@link #falsePositives()}. */
+    public void clearFalsePositives() {
+        recorder.clearFalsePositives();
     }
 
     /** Keeps the members' log events from now on, for {@link #events()}. */
--- a/src/rig/java/hopdrum/rig/simulation/LatencyMapAccuracyReport.java
+++ b/src/rig/java/hopdrum/rig/simulation/LatencyMapAccuracyReport.java
@@ -44,7 +44,7 @@
                 "one of 20 lies, a tenth of what it measures",
                 seeds,
                 false,
-                sites -> sites.fleet.setTamper(LatencyMapAccuracyReport::lie));
+                sites -> sites.fleet.setMessageRewriter(LatencyMapAccuracyReport::lie));
         printTimeToLearnAChange(seeds);
     }
 
@@ -57,7 +57,7 @@
             sites.startAll();
             int lastS = 0;
             for (int i = 0; i < MOMENTS_S.length; i++) {
-                sites.fleet.run((MOMENTS_S[i] - lastS) * SECOND_US);
+                sites.fleet.runFor((MOMENTS_S[i] - lastS) * SECOND_US);
                 lastS = MOMENTS_S[i];
                 sites.addErrors(onlyCutPair, errors.get(i));
             }
@@ -73,10 +73,10 @@
             Sites sites = new Sites(FIRST_CHANGE_SEED + seed);
             FleetSimulation fleet = sites.fleet;
             sites.startAll();
-            fleet.run(40 * SECOND_US);
+            fleet.runFor(40 * SECOND_US);
             sites.slowDown();
             long fromUs = fleet.nowUs();
-            learntS[seed] = fleet.until(60 * SECOND_US, sites::isSlowSiteKnownToAll)
+            learntS[seed] = fleet.runUntil(60 * SECOND_US, sites::isSlowSiteKnownToAll)
                     ? (fleet.nowUs() - fromUs) / 1e6
                     : Double.POSITIVE_INFINITY;
         }
@@ -165,7 +165,7 @@
             placeSites(new SplittableRandom(seed));
             fleet = new FleetSimulation(SITES * MEMBERS_EACH, FOUNDERS, TIMING, seed);
             fleet.setStepUs(GRAIN_US);
-            fleet.setDelayUs(GRAIN_US);
+            fleet.setMeanDelayUs(GRAIN_US);
             fleet.nodes().forEach(node -> node.setSite(siteOf(node.name())));
             fleet.setExtraDelayUs((from, to) -> oneWayUs(siteOf(from), siteOf(to)));
         }
--- a/src/rig/java/hopdrum/rig/simulation/ShardHandOverReport.java
+++ b/src/rig/java/hopdrum/rig/simulation/ShardHandOverReport.java
@@ -66,7 +66,7 @@
             amend(fleet);
         });
         printAmendment("the same, a fifth of messages lost", seeds, (fleet, random) -> {
-            fleet.setLoss(0.2);
+            fleet.setLossProbability(0.2);
             amend(fleet);
         });
         printAmendment("the same, one giver's link takes 0.4 periods each way", seeds, (fleet, random) -> {
@@ -85,12 +85,12 @@
             amendAndAwait(fleet);
             List<SimulatedNode> killed = membersOf(fleet, PROPOSER).toList();
             killed.forEach(fleet::kill);
-            fleet.run(5 * SECOND_US);
+            fleet.runFor(5 * SECOND_US);
             killed.forEach(node -> fleet.start(node, false));
         });
         printAmendment("the same, the decider paused for 8 s as it is agreed", seeds, (fleet, random) -> {
             amend(fleet);
-            fleet.run(random.nextLong(3 * SECOND_US));
+            fleet.runFor(random.nextLong(3 * SECOND_US));
             fleet.pause(fleet.node(0), 8 * SECOND_US);
         });
         printAmendment("the same, a giver cut off for 15 s as it is settled", seeds, (fleet, random) -> {
@@ -107,7 +107,7 @@
                 (fleet, random) -> isolate(fleet, GIVING_OPERATORS_MEMBERS, 30 * SECOND_US));
         printRow("all restarted at once", seeds, 1, (fleet, random) -> {
             fleet.nodes().forEach(fleet::kill);
-            fleet.run(SECOND_US);
+            fleet.runFor(SECOND_US);
             fleet.nodes().forEach(node -> fleet.start(node, true));
         });
     }
@@ -122,21 +122,21 @@
                 case 0 -> restart(fleet, node, random.nextLong(8 * SECOND_US), random.nextInt(4) > 0);
                 case 1 -> fleet.pause(node, random.nextLong(12 * SECOND_US));
                 case 2 -> isolate(fleet, List.of(node.name()), random.nextLong(10 * SECOND_US));
-                default -> fleet.run(random.nextLong(5 * SECOND_US));
+                default -> fleet.runFor(random.nextLong(5 * SECOND_US));
             }
-            fleet.run(random.nextLong(8 * SECOND_US));
+            fleet.runFor(random.nextLong(8 * SECOND_US));
         }
     }
 
     private static void isolate(FleetSimulation fleet, List<String> names, long us) {
         fleet.setLinkFilter((from, to) -> names.contains(from) == names.contains(to));
-        fleet.run(us);
+        fleet.runFor(us);
         fleet.heal();
     }
 
     private static void restart(FleetSimulation fleet, SimulatedNode node, long afterUs, boolean withStore) {
         fleet.kill(node);
-        fleet.run(afterUs);
+        fleet.runFor(afterUs);
         fleet.start(node, withStore);
     }
 
@@ -163,7 +163,7 @@
 
     private static void amendAndAwait(FleetSimulation fleet) {
         amend(fleet);
-        fleet.until(20 * SECOND_US, () -> revision(fleet) == AMENDED_REVISION);
+        fleet.runUntil(20 * SECOND_US, () -> revision(fleet) == AMENDED_REVISION);
     }
 
     private static void amend(FleetSimulation fleet, int revision, String proposer, int... owed) {
@@ -173,7 +173,7 @@
         }
         PartnerAgreement agreement =
                 new PartnerAgreement("pact", revision, parties, 0, NO_END_MS, 5_000, false, SHARDS / 4, 10_000, 0);
-        membersOf(fleet, proposer).forEach(node -> fleet.follow(node, termsThatAcceptAll(agreement)));
+        membersOf(fleet, proposer).forEach(node -> fleet.setTerms(node, termsThatAcceptAll(agreement)));
     }
 
     private static AgreementTerms termsThatAcceptAll(PartnerAgreement proposes) {
@@ -198,7 +198,7 @@
             fleet.resetLongestOwnerless();
             long beganUs = fleet.nowUs();
             change.apply(fleet, new SplittableRandom(seed));
-            if (fleet.until(120 * SECOND_US, () -> revision(fleet) >= wantedRevision && areSharesMet(fleet))) {
+            if (fleet.runUntil(120 * SECOND_US, () -> revision(fleet) >= wantedRevision && areSharesMet(fleet))) {
                 met.add((fleet.nowUs() - beganUs) / (double) SECOND_US);
             }
             ownerless.add(fleet.longestOwnerlessUs() / (double) SECOND_US);
@@ -234,26 +234,26 @@
                 new FleetSimulation(MEMBERS, MEMBERS, TIMING, seed, new ShardSettings(SHARDS, ALONE_MS));
         fleet.nodes().forEach(node -> {
             node.setOperator(OPERATORS.get(node.gateway() % OPERATORS.size()));
-            fleet.follow(node, termsThatAcceptAll(null));
+            fleet.setTerms(node, termsThatAcceptAll(null));
             fleet.start(node, false);
         });
-        fleet.until(60 * SECOND_US, fleet::isSettled);
+        fleet.runUntil(60 * SECOND_US, fleet::hasConverged);
         amend(fleet, 1, PROPOSER, EVEN);
-        fleet.until(60 * SECOND_US, () -> revision(fleet) == 1 && areSharesMet(fleet));
-        fleet.run(20 * SECOND_US);
+        fleet.runUntil(60 * SECOND_US, () -> revision(fleet) == 1 && areSharesMet(fleet));
+        fleet.runFor(20 * SECOND_US);
         return fleet;
     }
 
     /** Whether all have one view, and each operator acts on as many shards as the terms in force owe it, to within one. */
     private static boolean areSharesMet(FleetSimulation fleet) {
-        if (!fleet.isSettled()) {
+        if (!fleet.hasConverged()) {
             return false;
         }
         PartnerAgreement agreement = fleet.node(0).view().shardAssignment().agreement();
         double owedToAll = agreement == null
                 ? 0
                 : agreement.parties().stream().mapToInt(Party::share).sum();
-        Map<String, Integer> acting = fleet.acting();
+        Map<String, Integer> acting = fleet.activeShardCounts();
         for (String operator : OPERATORS) {
             double owed = owedToAll == 0
                     ? SHARDS / (double) OPERATORS.size()
--- a/src/rig/java/hopdrum/rig/simulation/SimulatedNetwork.java
+++ b/src/rig/java/hopdrum/rig/simulation/SimulatedNetwork.java
@@ -61,11 +61,11 @@
         nodes.values().forEach(node -> nameByAddress.put(node.address(), node.name()));
     }
 
-    void setLoss(double probability) {
+    void setLossProbability(double probability) {
         loss = probability;
     }
 
-    void setDelayUs(long us) {
+    void setMeanDelayUs(long us) {
         delayUs = us;
     }
 
@@ -77,7 +77,7 @@
         linkFilter = passes;
     }
 
-    void setTamper(BiFunction<String, Message, Message> alters) {
+    void setMessageRewriter(BiFunction<String, Message, Message> alters) {
         tamper = alters;
     }
 
--- a/src/rig/java/hopdrum/rig/simulation/SimulatedNode.java
+++ b/src/rig/java/hopdrum/rig/simulation/SimulatedNode.java
@@ -146,7 +146,7 @@
         return terms;
     }
 
-    void follow(AgreementTerms newTerms) {
+    void setTerms(AgreementTerms newTerms) {
         terms = newTerms;
         if (isUp() && shardCoordinator != null) {
             shardCoordinator.updateTerms(newTerms);
--- a/src/rig/java/hopdrum/rig/simulation/ViewConvergenceReport.java
+++ b/src/rig/java/hopdrum/rig/simulation/ViewConvergenceReport.java
@@ -61,13 +61,13 @@
         printRow("a crash and restart after 1 s", members, members, seeds, (fleet, random) -> {
             SimulatedNode node = fleet.node(random.nextInt(members));
             fleet.kill(node);
-            fleet.run(SECOND_US);
+            fleet.runFor(SECOND_US);
             fleet.start(node, true);
             return periodsToSettle(fleet);
         });
         printRow("paused 8 s: from its waking", members, members, seeds, (fleet, random) -> {
             fleet.pause(fleet.node(random.nextInt(members)), 8 * SECOND_US);
-            fleet.run(8 * SECOND_US);
+            fleet.runFor(8 * SECOND_US);
             return periodsToSettle(fleet);
         });
     }
@@ -76,9 +76,9 @@
         printRow("all restarted one after another: from the last", members, members, seeds, (fleet, random) -> {
             for (SimulatedNode node : fleet.nodes()) {
                 fleet.leave(node);
-                fleet.run(SECOND_US / 2);
+                fleet.runFor(SECOND_US / 2);
                 fleet.start(node, true);
-                fleet.run(3 * SECOND_US);
+                fleet.runFor(3 * SECOND_US);
             }
             return periodsToSettle(fleet);
         });
@@ -94,7 +94,7 @@
 
     private static void restartAll(FleetSimulation fleet, boolean withStores) {
         fleet.nodes().forEach(fleet::kill);
-        fleet.run(SECOND_US);
+        fleet.runFor(SECOND_US);
         fleet.nodes().forEach(node -> fleet.start(node, withStores));
     }
 
@@ -108,15 +108,15 @@
             String deaf = fleet.node(members - 1).name();
             String near = fleet.node(0).name();
             fleet.setLinkFilter((from, to) -> !(from.equals(near) && to.equals(deaf)));
-            fleet.run(30 * SECOND_US);
+            fleet.runFor(30 * SECOND_US);
             return periodsToSettle(fleet);
         });
         printRow(
                 "20% of messages lost for 60 s",
                 members, members, seeds, (fleet, random) -> {
-                    fleet.setLoss(0.2);
-                    fleet.run(60 * SECOND_US);
-                    fleet.setLoss(0);
+                    fleet.setLossProbability(0.2);
+                    fleet.runFor(60 * SECOND_US);
+                    fleet.setLossProbability(0);
                     return periodsToSettle(fleet);
                 });
     }
@@ -125,7 +125,7 @@
         printRow("7 of 9 killed at once and restarted after 5 s: from the restart", 9, 9, seeds, (fleet, random) -> {
             List<SimulatedNode> killed = fleet.nodes().subList(2, 9);
             killed.forEach(fleet::kill);
-            fleet.run(5 * SECOND_US);
+            fleet.runFor(5 * SECOND_US);
             killed.forEach(node -> fleet.start(node, true));
             return periodsToSettle(fleet);
         });
@@ -137,7 +137,7 @@
 
     private static void splitFor30Seconds(FleetSimulation fleet, int firstSide) {
         fleet.setLinkFilter((from, to) -> isBelow(from, firstSide) == isBelow(to, firstSide));
-        fleet.run(30 * SECOND_US);
+        fleet.runFor(30 * SECOND_US);
         fleet.heal();
     }
 
@@ -147,7 +147,7 @@
 
     private static double periodsToSettle(FleetSimulation fleet) {
         long fromUs = fleet.nowUs();
-        return fleet.until(SETTLE_LIMIT_US, fleet::isSettled)
+        return fleet.runUntil(SETTLE_LIMIT_US, fleet::hasConverged)
                 ? (double) (fleet.nowUs() - fromUs) / TIMING.probePeriodUs()
                 : NOT_SETTLED;
     }
@@ -160,13 +160,13 @@
             FleetSimulation fleet =
                     new FleetSimulation(members, Math.min(MOST_FOUNDERS, started), TIMING, FIRST_SEED + seed);
             fleet.nodes().subList(0, started).forEach(node -> fleet.start(node, false));
-            if (!fleet.until(SETTLE_LIMIT_US, fleet::isSettled)) {
+            if (!fleet.runUntil(SETTLE_LIMIT_US, fleet::hasConverged)) {
                 violations.add("did not found");
             }
-            fleet.run(15 * SECOND_US);
-            fleet.clearWronglyDropped();
+            fleet.runFor(15 * SECOND_US);
+            fleet.clearFalsePositives();
             periods[seed] = change.periods(fleet, new SplittableRandom(seed));
-            dropped += fleet.wronglyDropped().values().stream()
+            dropped += fleet.falsePositives().values().stream()
                     .mapToInt(Integer::intValue)
                     .sum();
             violations.addAll(fleet.violations());
@@ -191,10 +191,10 @@
         for (int members : sizes) {
             FleetSimulation fleet = new FleetSimulation(members, Math.min(MOST_FOUNDERS, members), TIMING, COST_SEED);
             fleet.nodes().forEach(node -> fleet.start(node, false));
-            boolean settled = fleet.until(300 * SECOND_US, fleet::isSettled);
-            fleet.run(20 * SECOND_US);
+            boolean settled = fleet.runUntil(300 * SECOND_US, fleet::hasConverged);
+            fleet.runFor(20 * SECOND_US);
             fleet.nodes().forEach(SimulatedNode::resetCounters);
-            fleet.run(COST_SECONDS * SECOND_US);
+            fleet.runFor(COST_SECONDS * SECOND_US);
             System.out.printf(
                     Locale.ROOT,
                     "| %d%s | %.1f (%.1f) | %.0f (%.0f) | %.0f |%n",
--- a/src/test/java/hopdrum/fleet/SettledViewsTest.java
+++ b/src/test/java/hopdrum/fleet/SettledViewsTest.java
@@ -23,8 +23,8 @@
     private static FleetSimulation settledFleet(int members, long seed) {
         FleetSimulation fleet = new FleetSimulation(members, Math.min(5, members), TIMING, seed);
         fleet.nodes().forEach(node -> fleet.start(node, false));
-        assertThat(fleet.until(60 * SECOND_US, fleet::isSettled)).isTrue();
-        fleet.run(12 * SECOND_US); // leases of an earlier era would have expired
+        assertThat(fleet.runUntil(60 * SECOND_US, fleet::hasConverged)).isTrue();
+        fleet.runFor(12 * SECOND_US); // leases of an earlier era would have expired
         return fleet;
     }
 
@@ -41,10 +41,10 @@
         FleetSimulation fleet = settledFleet(5, 1);
         long numberBefore = fleet.node(0).view().number();
         fleet.setLinkFilter((a, b) -> a.compareTo("m002") < 0 == b.compareTo("m002") < 0);
-        assertThat(fleet.until(
+        assertThat(fleet.runUntil(
                         20 * SECOND_US, () -> fleet.node(3).view().members().size() == 3))
                 .isTrue();
-        fleet.run(6 * SECOND_US);
+        fleet.runFor(6 * SECOND_US);
         for (SimulatedNode cut : fleet.nodes().subList(0, 2)) {
             assertThat(cut.view().number()).isEqualTo(numberBefore);
             assertThat(cut.membership().viewConsensus().lease().isCutOff()).isTrue();
@@ -54,7 +54,7 @@
         assertThat(fleet.node(3).membership().viewConsensus().lease().liveViews(fleet.nowUs()))
                 .hasSize(1);
         fleet.heal();
-        assertThat(fleet.until(20 * SECOND_US, fleet::isSettled)).isTrue();
+        assertThat(fleet.runUntil(20 * SECOND_US, fleet::hasConverged)).isTrue();
         assertThat(fleet.violations()).isEmpty();
     }
 
@@ -68,9 +68,9 @@
         fleet.recordEvents();
         fleet.setDiskWriteUs(name -> name.equals("m001") ? 4 * SECOND_US : 0);
         fleet.kill(fleet.node(4));
-        assertThat(fleet.until(12 * SECOND_US, fleet::isSettled)).isTrue();
+        assertThat(fleet.runUntil(12 * SECOND_US, fleet::hasConverged)).isTrue();
         fleet.kill(fleet.node(3)); // without the slow member, two of four voters are left, which is no majority
-        assertThat(fleet.until(90 * SECOND_US, fleet::isSettled)).isTrue();
+        assertThat(fleet.runUntil(90 * SECOND_US, fleet::hasConverged)).isTrue();
         assertThat(fleet.events()).noneMatch(e -> e.contains(" m001 woke") || e.contains("member [who, m001"));
         assertThat(fleet.violations()).isEmpty();
     }
@@ -83,9 +83,9 @@
     void theFirstByNameRestartedWithoutItsStoreHasNoVoteAndAnotherCoordinatorAdmitsIt() {
         FleetSimulation fleet = settledFleet(5, 4);
         fleet.kill(fleet.node(0));
-        fleet.run(SECOND_US);
+        fleet.runFor(SECOND_US);
         fleet.start(fleet.node(0), false);
-        assertThat(fleet.until(15 * SECOND_US, fleet::isSettled)).isTrue();
+        assertThat(fleet.runUntil(15 * SECOND_US, fleet::hasConverged)).isTrue();
         assertThat(fleet.violations()).isEmpty();
     }
 
@@ -95,10 +95,10 @@
         FleetSimulation fleet = settledFleet(4, 2);
         long numberBefore = fleet.node(0).view().number();
         fleet.setLinkFilter((a, b) -> a.compareTo("m002") < 0 == b.compareTo("m002") < 0);
-        fleet.run(40 * SECOND_US);
+        fleet.runFor(40 * SECOND_US);
         assertThat(fleet.nodes()).allMatch(n -> n.view().number() == numberBefore && !holdsLease(fleet, n));
         fleet.heal();
-        assertThat(fleet.until(20 * SECOND_US, fleet::isSettled)).isTrue();
+        assertThat(fleet.runUntil(20 * SECOND_US, fleet::hasConverged)).isTrue();
         assertThat(fleet.violations()).isEmpty();
     }
 
@@ -112,9 +112,10 @@
         SimulatedNode node = fleet.node(1);
         fleet.kill(node);
         fleet.start(node, true);
-        assertThat(fleet.until(10 * SECOND_US, fleet::isSettled)).isTrue();
+        assertThat(fleet.runUntil(10 * SECOND_US, fleet::hasConverged)).isTrue();
         assertThat(holdsLease(fleet, node)).isFalse();
-        assertThat(fleet.until(12 * SECOND_US, () -> holdsLease(fleet, node))).isTrue();
+        assertThat(fleet.runUntil(12 * SECOND_US, () -> holdsLease(fleet, node)))
+                .isTrue();
         assertThat(fleet.violations()).isEmpty();
     }
 
@@ -127,12 +128,12 @@
         FleetSimulation fleet = settledFleet(5, 4);
         SimulatedNode coordinator = fleet.node(0);
         fleet.pause(coordinator, 15 * SECOND_US);
-        assertThat(fleet.until(
+        assertThat(fleet.runUntil(
                         15 * SECOND_US, () -> fleet.node(1).view().members().size() == 4))
                 .isTrue();
-        assertThat(fleet.until(16 * SECOND_US, () -> fleet.nowUs() > 0 && !holdsLease(fleet, coordinator)))
+        assertThat(fleet.runUntil(16 * SECOND_US, () -> fleet.nowUs() > 0 && !holdsLease(fleet, coordinator)))
                 .isTrue();
-        assertThat(fleet.until(30 * SECOND_US, fleet::isSettled)).isTrue();
+        assertThat(fleet.runUntil(30 * SECOND_US, fleet::hasConverged)).isTrue();
         assertThat(fleet.violations()).isEmpty();
     }
 
@@ -146,7 +147,7 @@
         View viewBefore = fleet.node(0).view();
         fleet.nodes().forEach(fleet::kill);
         fleet.nodes().forEach(node -> fleet.start(node, false));
-        assertThat(fleet.until(30 * SECOND_US, fleet::isSettled)).isTrue();
+        assertThat(fleet.runUntil(30 * SECOND_US, fleet::hasConverged)).isTrue();
         assertThat(fleet.node(0).view().era()).isNotEqualTo(viewBefore.era());
         assertThat(fleet.violations()).isEmpty();
     }
@@ -160,9 +161,9 @@
         FleetSimulation fleet = settledFleet(3, 6);
         long era = fleet.node(0).view().era();
         fleet.kill(fleet.node(2));
-        fleet.run(10 * SECOND_US);
+        fleet.runFor(10 * SECOND_US);
         fleet.start(fleet.node(2), false);
-        assertThat(fleet.until(20 * SECOND_US, fleet::isSettled)).isTrue();
+        assertThat(fleet.runUntil(20 * SECOND_US, fleet::hasConverged)).isTrue();
         assertThat(fleet.node(2).view().era()).isEqualTo(era);
     }
 
@@ -173,11 +174,11 @@
     @Test
     void anObserverThatWasPausedDoesNotDropOthers() {
         FleetSimulation fleet = settledFleet(7, 7);
-        fleet.clearWronglyDropped();
+        fleet.clearFalsePositives();
         fleet.pause(fleet.node(3), 2_500_000); // less than the minimum suspicion timeout
-        fleet.run(20 * SECOND_US);
-        assertThat(fleet.wronglyDropped()).isEmpty();
-        assertThat(fleet.isSettled()).isTrue();
+        fleet.runFor(20 * SECOND_US);
+        assertThat(fleet.falsePositives()).isEmpty();
+        assertThat(fleet.hasConverged()).isTrue();
     }
 
     /**
@@ -205,17 +206,17 @@
                 case 3 ->
                     fleet.setLinkFilter(
                             (a, b) -> (cut >> Integer.parseInt(a.substring(1)) & 1) == 0 || a.compareTo(b) < 0);
-                case 4 -> fleet.setLoss(random.nextDouble() / 2);
-                case 5 -> fleet.setDelayUs(1_000 + random.nextLong(SECOND_US));
+                case 4 -> fleet.setLossProbability(random.nextDouble() / 2);
+                case 5 -> fleet.setMeanDelayUs(1_000 + random.nextLong(SECOND_US));
                 default -> {
                     fleet.heal();
-                    fleet.setLoss(0);
+                    fleet.setLossProbability(0);
                 }
             }
             fleet.nodes().stream()
                     .filter(x -> !x.isUp() && random.nextInt(3) == 0)
                     .forEach(x -> fleet.start(x, random.nextInt(5) > 0));
-            fleet.run(random.nextLong(4 * SECOND_US));
+            fleet.runFor(random.nextLong(4 * SECOND_US));
             assertThat(fleet.violations()).as("seed %d, step %d", seed, i).isEmpty();
         }
     }
--- a/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
+++ b/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
@@ -53,7 +53,7 @@
                 new FleetSimulation(members, members, TIMING, seed, new ShardSettings(SHARDS, ALONE_MS));
         for (SimulatedNode node : fleet.nodes()) {
             node.setOperator("op" + node.gateway() % operators);
-            fleet.follow(node, new AgreementTerms(null, 0, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false));
+            fleet.setTerms(node, new AgreementTerms(null, 0, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false));
         }
         return fleet;
     }
@@ -61,10 +61,13 @@
     private static FleetSimulation settledFleet(int members, int operators, long seed) {
         FleetSimulation fleet = fleet(members, operators, seed);
         fleet.nodes().forEach(node -> fleet.start(node, false));
-        assertThat(fleet.until(60 * S, fleet::isSettled)).isTrue();
-        assertThat(fleet.until(
+        assertThat(fleet.runUntil(60 * S, fleet::hasConverged)).isTrue();
+        assertThat(fleet.runUntil(
                         40 * S,
-                        () -> fleet.acting().values().stream().mapToInt(n -> n).sum() == SHARDS))
+                        () -> fleet.activeShardCounts().values().stream()
+                                        .mapToInt(n -> n)
+                                        .sum()
+                                == SHARDS))
                 .isTrue();
         return fleet;
     }
@@ -72,13 +75,13 @@
     private static boolean shares(FleetSimulation fleet, Integer... counts) {
         List<Integer> now = new ArrayList<>();
         for (int i = 0; i < counts.length; i++) {
-            now.add(fleet.acting().getOrDefault("op" + i, 0));
+            now.add(fleet.activeShardCounts().getOrDefault("op" + i, 0));
         }
         return now.equals(List.of(counts));
     }
 
     private static void updateTerms(FleetSimulation fleet, String operator, AgreementTerms terms) {
-        fleet.nodes().stream().filter(n -> n.operator().equals(operator)).forEach(n -> fleet.follow(n, terms));
+        fleet.nodes().stream().filter(n -> n.operator().equals(operator)).forEach(n -> fleet.setTerms(n, terms));
     }
 
     @Test
@@ -86,11 +89,11 @@
         FleetSimulation fleet = settledFleet(6, 2, 1);
         assertThat(shares(fleet, 16, 16)).isTrue();
         updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25)));
-        assertThat(fleet.until(30 * S, () -> shares(fleet, 24, 8))).isTrue();
+        assertThat(fleet.runUntil(30 * S, () -> shares(fleet, 24, 8))).isTrue();
         updateTerms(fleet, "op1", proposes(terms(2, 0, fleet.wallMs() + 3_600_000, false, 25, 75)));
-        fleet.until(20 * S, () -> !shares(fleet, 24, 8));
+        fleet.runUntil(20 * S, () -> !shares(fleet, 24, 8));
         assertThat(fleet.node(0).view().shardAssignment().shardCountOf("op1")).isLessThan(24); // 8 an epoch at most
-        assertThat(fleet.until(60 * S, () -> shares(fleet, 8, 24))).isTrue();
+        assertThat(fleet.runUntil(60 * S, () -> shares(fleet, 8, 24))).isTrue();
         assertThat(fleet.violations()).isEmpty();
     }
 
@@ -111,7 +114,7 @@
                         SHARDS,
                         400L * 86_400_000,
                         false));
-        assertThat(fleet.until(
+        assertThat(fleet.runUntil(
                         40 * S, () -> fleet.node(0).view().shardAssignment().agreement() != null))
                 .isTrue();
         assertThat(fleet.events())
@@ -132,11 +135,11 @@
         updateTerms(fleet, "op1", AgreementTerms.NONE);
         for (int i = 0; i < 40; i++) { // more than are known at once
             updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000 + i, false, 75, 25)));
-            fleet.run(S / 2);
+            fleet.runFor(S / 2);
         }
-        fleet.run(62 * S);
+        fleet.runFor(62 * S);
         updateTerms(fleet, "op1", proposes(terms(1, 0, fleet.wallMs() + 1_800_000, false, 25, 75)));
-        assertThat(fleet.until(
+        assertThat(fleet.runUntil(
                         60 * S, () -> fleet.node(0).view().shardAssignment().agreement() != null))
                 .isTrue();
         assertThat(fleet.violations()).isEmpty();
@@ -151,13 +154,13 @@
             if (node.name().equals("m003")) { // op1's other one is in the majority and agrees for it
                 continue;
             }
-            fleet.follow(
+            fleet.setTerms(
                     node,
                     node.operator().equals("op0")
                             ? proposes(terms(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25))
                             : AgreementTerms.NONE);
         }
-        fleet.run(40 * S);
+        fleet.runFor(40 * S);
         assertThat(fleet.node(0).view().shardAssignment().agreement()).isNull();
         assertThat(fleet.violations()).isEmpty();
     }
@@ -167,18 +170,18 @@
         for (boolean standIn : new boolean[] {false, true}) {
             FleetSimulation fleet = settledFleet(5, 2, 4); // op0 has three, op1 two
             updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, standIn, 50, 50)));
-            assertThat(fleet.until(
+            assertThat(fleet.runUntil(
                             30 * S, () -> fleet.node(0).view().shardAssignment().agreement() != null))
                     .isTrue();
-            fleet.run(12 * S);
+            fleet.runFor(12 * S);
             Set<String> cut = Set.of("m001", "m003");
             fleet.setLinkFilter((a, b) -> cut.contains(a) == cut.contains(b));
-            fleet.run(2 * S);
+            fleet.runFor(2 * S);
             assertThat(shares(fleet, 16, 16)).isTrue();
-            fleet.run(76 * S);
+            fleet.runFor(76 * S);
             assertThat(shares(fleet, standIn ? 32 : 16, 0)).isTrue();
             fleet.heal();
-            assertThat(fleet.until(60 * S, () -> shares(fleet, 16, 16))).isTrue();
+            assertThat(fleet.runUntil(60 * S, () -> shares(fleet, 16, 16))).isTrue();
             assertThat(fleet.violations()).isEmpty();
         }
     }
@@ -187,15 +190,15 @@
     void aNoticeEndsAnAgreementAfterItsNoticePeriodAndLeavesEachPartyItsFloor() {
         FleetSimulation fleet = settledFleet(4, 2, 5);
         updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25)));
-        assertThat(fleet.until(40 * S, () -> shares(fleet, 24, 8))).isTrue();
+        assertThat(fleet.runUntil(40 * S, () -> shares(fleet, 24, 8))).isTrue();
         updateTerms(fleet, "op1", new AgreementTerms(null, 2, 0, 0, 0, 0, 0, true));
-        assertThat(fleet.until(
+        assertThat(fleet.runUntil(
                         20 * S,
                         () -> fleet.node(0).view().shardAssignment().agreement().revision() == 2))
                 .isTrue();
-        fleet.run(8 * S);
+        fleet.runFor(8 * S);
         assertThat(shares(fleet, 24, 8)).isTrue(); // 20 s of notice
-        assertThat(fleet.until(60 * S, () -> shares(fleet, 16, 16))).isTrue();
+        assertThat(fleet.runUntil(60 * S, () -> shares(fleet, 16, 16))).isTrue();
         assertThat(fleet.node(0).view().shardAssignment().expired()).isTrue();
         assertThat(fleet.violations()).isEmpty();
     }
@@ -204,13 +207,13 @@
     void agreementsAndOwnersSurviveARestartOfAllMembersAndOneOperatorsLossOfItsStores() {
         FleetSimulation fleet = settledFleet(6, 2, 6);
         updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25)));
-        assertThat(fleet.until(40 * S, () -> shares(fleet, 24, 8))).isTrue();
+        assertThat(fleet.runUntil(40 * S, () -> shares(fleet, 24, 8))).isTrue();
         PartnerAgreement before = fleet.node(0).view().shardAssignment().agreement();
         fleet.nodes().forEach(fleet::kill);
-        fleet.run(2 * S);
+        fleet.runFor(2 * S);
         fleet.nodes().forEach(n -> fleet.start(n, !n.operator().equals("op1") || n.gateway() == 1));
-        assertThat(fleet.until(60 * S, fleet::isSettled)).isTrue();
-        assertThat(fleet.until(40 * S, () -> shares(fleet, 24, 8))).isTrue();
+        assertThat(fleet.runUntil(60 * S, fleet::hasConverged)).isTrue();
+        assertThat(fleet.runUntil(40 * S, () -> shares(fleet, 24, 8))).isTrue();
         assertThat(fleet.node(0).view().shardAssignment().agreement()).isEqualTo(before);
         assertThat(fleet.violations()).isEmpty();
     }
@@ -239,19 +242,19 @@
                             1_000,
                             0)));
             int wanted = revision;
-            assertThat(fleet.until(
+            assertThat(fleet.runUntil(
                             30 * S,
                             () -> fleet.node(1).view().shardAssignment().shardCountOf("op" + (wanted - 1)) >= 25))
                     .isTrue();
             if (revision == 1) {
-                fleet.run(25 * S);
-                assertThat(fleet.acting().get("op0")).isEqualTo(26);
+                fleet.runFor(25 * S);
+                assertThat(fleet.activeShardCounts().get("op0")).isEqualTo(26);
                 fleet.setLinkFilter(
                         (a, b) -> a.equals("m003") == b.equals("m003")); // one of op0's is cut off, and acts for 10 s
             }
         }
-        assertThat(fleet.acting().getOrDefault("op2", 0)).isLessThan(10);
-        assertThat(fleet.until(30 * S, () -> fleet.acting().getOrDefault("op2", 0) == 26))
+        assertThat(fleet.activeShardCounts().getOrDefault("op2", 0)).isLessThan(10);
+        assertThat(fleet.runUntil(30 * S, () -> fleet.activeShardCounts().getOrDefault("op2", 0) == 26))
                 .isTrue();
         assertThat(fleet.violations()).isEmpty();
     }
@@ -264,11 +267,11 @@
         fleet.setStepUs(20_000);
         fleet.nodes().forEach(node -> node.setClockOffsetMs(random.nextLong(-3_000, 3_000)));
         fleet.nodes().forEach(node -> fleet.start(node, false));
-        fleet.until(60 * S, fleet::isSettled);
+        fleet.runUntil(60 * S, fleet::hasConverged);
         for (int i = 0; i < 25; i++) {
             injectRandomFault(fleet, random);
-            fleet.run(random.nextLong(10 * S));
-            fleet.setLoss(0);
+            fleet.runFor(random.nextLong(10 * S));
+            fleet.setLossProbability(0);
             if (random.nextInt(3) == 0) {
                 fleet.heal();
             }
@@ -290,7 +293,7 @@
             case 2 -> fleet.setLinkFilter((a, b) -> a.equals(node.name()) == b.equals(node.name()));
             case 3 -> fleet.setLinkFilter((a, b) -> a.compareTo(node.name()) < 0 == b.compareTo(node.name()) < 0);
             case 4 -> fleet.setLinkFilter((a, b) -> !a.equals(node.name()));
-            case 5 -> fleet.setLoss(random.nextDouble() * 0.4);
+            case 5 -> fleet.setLossProbability(random.nextDouble() * 0.4);
             default -> {
                 ShardAssignment assignment = node.isUp() ? node.view().shardAssignment() : null;
                 int next = assignment == null || assignment.agreement() == null
