--- a/src/rig/java/hopdrum/rig/trial/AtomicFiles.java
+++ b/src/rig/java/hopdrum/rig/trial/AtomicFiles.java
@@ -5,11 +5,15 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 
-/** Replaces files that other processes watch. */
+/** Atomic replacement of files that other processes watch. */
 final class AtomicFiles {
     private AtomicFiles() {}
 
-    /** Replaces a file by a move, so that no reader sees half of it. */
+    /**
+     * Replaces a file by an atomic move of a complete new one, so that no reader sees a partly written file.
+     *
+     * @throws IOException if the new file cannot be written or moved
+     */
     static void replace(Path file, String content) throws IOException {
         Path temporary = file.resolveSibling(file.getFileName() + ".new");
         Files.writeString(temporary, content);
--- a/src/rig/java/hopdrum/rig/trial/Closeables.java
+++ b/src/rig/java/hopdrum/rig/trial/Closeables.java
@@ -3,15 +3,16 @@
 import java.io.Closeable;
 import java.io.IOException;
 
-/** Closes what may have failed already. */
+/** Closing of resources whose errors no longer matter. */
 final class Closeables {
     private Closeables() {}
 
+    /** Closes a resource and ignores an error of its {@code close}. */
     static void closeQuietly(Closeable closeable) {
         try {
             closeable.close();
         } catch (IOException e) {
-            // closed either way
+            // The resource counts as closed even if close() reports an error.
         }
     }
 }
--- a/src/rig/java/hopdrum/rig/trial/CounterStandIns.java
+++ b/src/rig/java/hopdrum/rig/trial/CounterStandIns.java
@@ -10,8 +10,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A stand-in for the platform's counter, of one operator: one set of totals, behind an address for each door so that the
- * counter can fail towards one door alone.
+ * Stand-ins for one operator's counter service. They share one set of totals, and each front door has an address of its own,
+ * so that the counter can fail for a single front door.
  */
 final class CounterStandIns implements AutoCloseable {
     private static final long SILENT_DELAY_MS = 10_000;
@@ -20,14 +20,18 @@
 
     private final EventJournal journal;
     private final Map<String, HttpStandIn> standInsByFrontDoor = new HashMap<>();
-    private final Map<String, CounterState> states = new ConcurrentHashMap<>(); // by door
-    private final Map<String, Double> totals = new HashMap<>(); // guarded by itself
+    private final Map<String, CounterState> states = new ConcurrentHashMap<>(); // by front door
+    private final Map<String, Double> totals = new HashMap<>(); // by the name in the path; guarded by itself
 
     CounterStandIns(EventJournal journal) {
         this.journal = journal;
     }
 
-    /** The port at which a door reaches the counter. */
+    /**
+     * Returns the port at which a front door reaches the counter, and opens the port at the first call.
+     *
+     * @throws IOException if no port can be opened
+     */
     int portFor(String frontDoor) throws IOException {
         HttpStandIn counter = standInsByFrontDoor.get(frontDoor);
         if (counter == null) {
@@ -60,7 +64,7 @@
         HttpStandIn.writeOk(out, String.format(Locale.ROOT, "%.6f", total));
     }
 
-    /** From now on the counter behaves like this towards a door; the door's connections to it are closed. */
+    /** Sets how the counter behaves towards a front door, and closes the front door's connections to the counter. */
     void setState(String frontDoor, CounterState state) {
         journal.event("counter").with("door", frontDoor).with("is", state.key()).write();
         if (state == CounterState.EMPTIED) {
--- a/src/rig/java/hopdrum/rig/trial/CounterState.java
+++ b/src/rig/java/hopdrum/rig/trial/CounterState.java
@@ -3,17 +3,18 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** How the counter behaves towards one door; the keys of a trial file's {@code is}. */
+/** How the counter behaves towards one front door: the values of a trial file's key {@code is}. */
 enum CounterState {
+    /** Answers each request at once. */
     WELL,
-    /** Takes requests and answers none. */
+    /** Accepts requests and never answers them. */
     SILENT,
-    /** Answers late. */
+    /** Answers each request after a delay. */
     SLOW,
-    /** Well, but all its numbers were lost just now. */
+    /** Loses all totals once, then answers as in {@link #WELL}. */
     EMPTIED;
 
-    /** By its key in a trial file; a key that is not known means {@link #WELL}. */
+    /** Returns the state with this key in a trial file; {@link #WELL} for an unknown key. */
     static CounterState ofKey(String key) {
         return Arrays.stream(values())
                 .filter(state -> state.key().equals(key))
@@ -21,6 +22,7 @@
                 .orElse(WELL);
     }
 
+    /** Returns the key in trial files and in the journal: the name in lower case. */
     String key() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/rig/java/hopdrum/rig/trial/DelayingProxy.java
+++ b/src/rig/java/hopdrum/rig/trial/DelayingProxy.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A TCP proxy that stands for the network path to one backend or door: bytes arrive after a delay, a connection's first ones
- * after one round trip more; or not at all.
+ * A TCP proxy that emulates the network path to one backend or front door. Bytes arrive after a one-way delay, the first bytes
+ * of a connection one round trip later still, as after a TCP handshake. A blocked path drops all bytes.
  */
 final class DelayingProxy implements AutoCloseable {
     private static final int BACKLOG = 256;
@@ -28,27 +28,34 @@
     private volatile long delayUs;
     private volatile boolean blocked;
 
-    /** Accepts connections at once, for a port on loopback. */
+    /**
+     * Starts a proxy without delay; it accepts connections at once.
+     *
+     * @param targetPort the loopback port that connections are forwarded to
+     * @throws IOException if no port can be opened
+     */
     DelayingProxy(int targetPort) throws IOException {
         this.targetPort = targetPort;
         this.listener = new LoopbackListener(BACKLOG);
         listener.start("path", this::serve);
     }
 
+    /** Returns the loopback port on which the proxy accepts connections. */
     int port() {
         return listener.port();
     }
 
+    /** Sets the delay in each direction, in microseconds; it also applies to open connections. */
     void setDelay(long oneWayUs) {
         delayUs = oneWayUs;
     }
 
-    /** From now on nothing gets through. */
+    /** Drops all bytes from now on, in both directions. */
     void block() {
         blocked = true;
     }
 
-    /** Bytes get through again; the connections so far are closed. */
+    /** Lets bytes pass again, and closes the open connections because bytes of theirs may be missing. */
     void unblock() {
         blocked = false;
         listener.closeConnections();
@@ -66,7 +73,7 @@
             pump(client, server);
             backward.join(BACKWARD_DRAIN_MS);
         } catch (IOException e) {
-            // one side has ended the connection
+            // One side has ended the connection; both sockets are closed.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -83,7 +90,7 @@
             for (int length = in.read(buffer); length >= 0; length = in.read(buffer)) {
                 queue.put(TimedBytes.receivedNow(Arrays.copyOf(buffer, length)));
             }
-            queue.put(TimedBytes.receivedNow(new byte[0])); // the connection's end takes as long as its bytes
+            queue.put(TimedBytes.receivedNow(new byte[0])); // the end of the stream is delayed like its bytes
             writer.join(DRAIN_MS);
         } catch (IOException e) {
             Closeables.closeQuietly(to);
--- a/src/rig/java/hopdrum/rig/trial/EventJournal.java
+++ b/src/rig/java/hopdrum/rig/trial/EventJournal.java
@@ -10,11 +10,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What the rig itself saw and did, as JSON lines: the event, its time and its fields. Many threads write to one journal. */
+/** Writes what the trial itself does and observes as JSON lines: each has an event, its time and its fields. Thread-safe. */
 final class EventJournal implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** An event under construction; its time is that of {@link #write}. Confined to one thread. */
+    /** Builder of one event, whose time is that of {@link #write}. Confined to one thread. */
     final class Event {
         private final String name;
         private final Map<String, Object> fields = new LinkedHashMap<>();
@@ -23,11 +23,13 @@
             this.name = name;
         }
 
+        /** Adds a field, which is written as JSON. */
         Event with(String key, Object value) {
             fields.put(key, value);
             return this;
         }
 
+        /** Appends the event to the journal. */
         void write() {
             EventJournal.this.write(name, fields);
         }
@@ -35,15 +37,17 @@
 
     private final PrintStream out;
 
+    /** Creates the journal file, or empties it if it exists. */
     EventJournal(Path file) throws IOException {
         out = new PrintStream(Files.newOutputStream(file), false, StandardCharsets.UTF_8);
     }
 
-    /** The machine's monotonic clock, in microseconds; the processes of a trial log the same clock. */
+    /** Returns the machine's monotonic clock in microseconds; the front doors' logs use the same clock. */
     static long nowUs() {
         return System.nanoTime() / 1000;
     }
 
+    /** Starts an event of this name. */
     Event event(String name) {
         return new Event(name);
     }
@@ -56,7 +60,7 @@
         try {
             out.println(JSON.writeValueAsString(line));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("an event's field cannot be written as JSON: " + name, e);
+            throw new IllegalStateException("cannot write a field as JSON, of the event " + name, e);
         }
         out.flush();
     }
--- a/src/rig/java/hopdrum/rig/trial/FaultInjectingProxy.java
+++ b/src/rig/java/hopdrum/rig/trial/FaultInjectingProxy.java
@@ -22,9 +22,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A proxy before the fleet address of one process. Who connects is read from the first frame; from then on each frame of
- * either direction is subject to the faults of the link between the two. It knows frames' lengths, a hello's name and a
- * latency message's readings, and nothing else.
+ * A TCP proxy in front of the fleet address of one front door. It learns the connecting member from the first frame, the hello,
+ * and applies the faults of the link between the two members to each frame of either direction. It interprets only the lengths
+ * of frames, the member name in a hello and the readings in a latency message.
  */
 final class FaultInjectingProxy implements AutoCloseable {
     private static final ObjectMapper CBOR = new CBORMapper();
@@ -44,11 +44,13 @@
     private final SplittableRandom random;
 
     /**
-     * Accepts connections at once.
+     * Starts a proxy; it accepts connections at once.
      *
-     * @param target the fleet's name for the process behind it
-     * @param targetPort where that process listens, on loopback
-     * @param seed of what is lost and duplicated
+     * @param target the member name of the front door behind the proxy
+     * @param targetPort the loopback port on which that front door listens for the fleet
+     * @param network the faults of all links
+     * @param seed the seed of the random choice of lost and duplicated frames
+     * @throws IOException if no port can be opened
      */
     FaultInjectingProxy(String target, int targetPort, NetworkFaults network, long seed) throws IOException {
         this.target = target;
@@ -59,6 +61,7 @@
         listener.start("proxy-" + target, this::serve);
     }
 
+    /** Returns the loopback port on which the proxy accepts connections. */
     int port() {
         return listener.port();
     }
@@ -70,7 +73,7 @@
     private static byte[] readFrame(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < 0 || length > MAX_FRAME_BYTES) {
-            throw new IOException("not a frame: its length is " + length);
+            throw new IOException("invalid frame length: " + length);
         }
         byte[] frame = new byte[HEADER_BYTES + length];
         ByteBuffer.wrap(frame).putInt(length);
@@ -82,7 +85,10 @@
         return CBOR.readTree(frame, HEADER_BYTES, frame.length - HEADER_BYTES);
     }
 
-    /** A frame as its sender sent it; of a member whose latencies are falsified, with its own readings changed. */
+    /**
+     * Returns the frame that is forwarded for a sender's frame: the same one, except that the sender's own readings in a latency
+     * message are multiplied if its latencies are to be falsified.
+     */
     private byte[] withFalsifiedLatencies(String sender, byte[] frame) throws IOException {
         Double factor = network.latencyFactor(sender);
         if (factor == null) {
@@ -128,7 +134,7 @@
             forwardToTarget(incoming, client, server, forward, hello, peer);
             replyThread.join(DRAIN_MS);
         } catch (IOException e) {
-            // one side has ended the connection: so does the other
+            // One side has ended the connection; both sockets are closed.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -138,7 +144,11 @@
         }
     }
 
-    /** While a link is partitioned nothing gets through, not even a refused connection. False if there is no more need. */
+    /**
+     * Waits while the link is partitioned or held, so that the peer sees neither an accepted hello nor a refused connection.
+     *
+     * @return whether the link is reachable; false if the proxy or the peer's connection was closed meanwhile
+     */
     private boolean awaitReachable(LinkFaults faults, Socket client) throws InterruptedException {
         while (faults.isPartitioned() || faults.isHeld()) {
             Thread.sleep(PARTITION_POLL_MS);
@@ -165,7 +175,10 @@
         }
     }
 
-    /** The first frame, the answer to the hello, is never lost: without it there is no connection to lose frames on. */
+    /**
+     * Forwards frames to the peer. The first one, the answer to the hello, is never lost at random: without this frame there is no
+     * connection on which further frames could be lost.
+     */
     private void forwardToPeer(DataInputStream in, Socket from, Socket to, LinkFaults faults) {
         BlockingQueue<TimedBytes> queue = new LinkedBlockingQueue<>(QUEUE_CAPACITY);
         Thread writer = DaemonThreads.start("proxy-out", () -> write(queue, to, faults));
@@ -225,14 +238,14 @@
         }
     }
 
-    /** Resets the connections that these members have opened to the target. */
+    /** Resets the connections that these members have opened to the target (TCP RST instead of FIN). */
     void reset(Set<String> members) {
         for (Map.Entry<Socket, String> peer : new HashSet<>(peers.entrySet())) {
             if (members.contains(peer.getValue())) {
                 try {
                     peer.getKey().setSoLinger(true, 0);
                 } catch (IOException e) {
-                    // it has ended by itself
+                    // The connection has already ended.
                 }
                 Closeables.closeQuietly(peer.getKey());
             }
--- a/src/rig/java/hopdrum/rig/trial/FaultInjector.java
+++ b/src/rig/java/hopdrum/rig/trial/FaultInjector.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Does what the steps of a trial file say: faults of processes, links, sites and the platform, and their ends. */
+/** Applies the steps of a trial file: starts and ends faults of processes, links, sites and the platform. */
 final class FaultInjector {
     private static final double DEFAULT_BYTES_PER_SECOND = 100;
 
@@ -29,7 +29,7 @@
         this.outputFolder = outputFolder;
     }
 
-    /** Does one step; an expectation does nothing, the checker reads it from the journal. */
+    /** Applies one step. An expectation has no effect here: the checker reads it from the journal. */
     void apply(Step step) throws IOException, InterruptedException {
         switch (step.action()) {
             case START, KILL, TERM, PAUSE, WAKE -> applyToProcesses(step);
@@ -52,7 +52,7 @@
             case LOSE_PASSING, COUNTER -> applyToPlatform(step);
             case AMEND -> TermsFiles.write(outputFolder, step.targets().get(0), step.terms());
             case AWAIT_REVISION -> logWatcher.awaitRevision(step.targets().get(0));
-            default -> {} // an expectation
+            default -> {} // The checker evaluates expectations.
         }
     }
 
@@ -64,7 +64,7 @@
                 case TERM -> processes.startTerminating(frontDoor);
                 case PAUSE -> processes.pause(frontDoor);
                 case WAKE -> processes.resume(frontDoor);
-                default -> throw new IllegalArgumentException("not about processes: " + step);
+                default -> throw new IllegalArgumentException("not an action on processes: " + step);
             }
         }
     }
@@ -86,7 +86,7 @@
                         to,
                         link -> link.setBandwidth((long) step.number("bytes_a_second", DEFAULT_BYTES_PER_SECOND)));
             case RELEASE -> changeLinksBothWays(from, to, LinkFaults::clear);
-            default -> throw new IllegalArgumentException("not about links: " + step);
+            default -> throw new IllegalArgumentException("not an action on links: " + step);
         }
     }
 
@@ -118,7 +118,7 @@
         changeLinks(to, from, change);
     }
 
-    /** The name that a door has in the fleet. */
+    /** Returns the name under which a front door is a member of the fleet. */
     private String memberName(String frontDoor) {
         return testbed.file().frontDoor(frontDoor).memberName();
     }
--- a/src/rig/java/hopdrum/rig/trial/FrontDoorConfiguration.java
+++ b/src/rig/java/hopdrum/rig/trial/FrontDoorConfiguration.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Writes the files that a door's process is started with: its platform configuration and its fleet file. */
+/** Writes the files that a front door is started with: its platform configuration and its fleet file. */
 final class FrontDoorConfiguration {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String LOOPBACK = "127.0.0.1:";
@@ -23,7 +23,12 @@
     private final Path outputFolder;
     private final long seed;
 
-    /** Files of all doors are written below a trial's output folder. */
+    /**
+     * Creates a writer for the front doors of one trial.
+     *
+     * @param outputFolder the trial's output folder, which has a subfolder for each front door
+     * @param seed the trial's seed, from which each process gets a seed of its own
+     */
     FrontDoorConfiguration(Testbed testbed, Path outputFolder, long seed) {
         this.testbed = testbed;
         this.file = testbed.file();
@@ -31,7 +36,13 @@
         this.seed = seed;
     }
 
-    /** Writes the platform configuration of a door for its start of this number, from 0 on. */
+    /**
+     * Writes the platform configuration of a front door.
+     *
+     * @param startCount how often the front door has been started before
+     * @return the written file
+     * @throws IOException if the file cannot be written or a stand-in's port cannot be opened
+     */
     Path writePlatformFile(FrontDoor frontDoor, int startCount) throws IOException {
         List<String> tier = testbed.tiers().get(frontDoor.operator());
         PlatformStandIns platform = testbed.platformOf(frontDoor);
@@ -59,7 +70,7 @@
         settings.put("Flavors", List.of("any"));
         settings.put("Weights", "none");
         settings.put("RegistryMode", "push");
-        settings.put("Lanes", lanes());
+        settings.put("Lanes", methods());
         settings.put("Packages", List.of(plan()));
         settings.put("FamilyInfo", Map.of("MayCount", true, "CountWaitUs", 50_000));
         settings.put("Bounds", bounds());
@@ -70,21 +81,21 @@
         return settings;
     }
 
-    private List<Map<String, Object>> lanes() {
-        Map<String, Object> write = lane("write", "dedup");
+    private List<Map<String, Object>> methods() {
+        Map<String, Object> write = method("write", "dedup");
         write.put("Group", "all");
         write.put("WindowUs", IDEMPOTENCY_WINDOW_US);
-        return List.of(lane("read", "retryable"), write, lane("once", "fragile"));
+        return List.of(method("read", "retryable"), write, method("once", "fragile"));
     }
 
-    private Map<String, Object> lane(String name, String effect) {
+    private Map<String, Object> method(String name, String effect) {
         long deadlineUs = file.load().deadlineMs() * 1_000L;
-        Map<String, Object> lane = new LinkedHashMap<>();
-        lane.put("Name", name);
-        lane.put("AimUs", deadlineUs / 2);
-        lane.put("GiveUpUs", deadlineUs);
-        lane.put("Effect", effect);
-        return lane;
+        Map<String, Object> method = new LinkedHashMap<>();
+        method.put("Name", name);
+        method.put("AimUs", deadlineUs / 2);
+        method.put("GiveUpUs", deadlineUs);
+        method.put("Effect", effect);
+        return method;
     }
 
     private Map<String, Object> plan() {
@@ -112,7 +123,12 @@
         return bounds;
     }
 
-    /** Writes a door's fleet file. */
+    /**
+     * Writes the fleet file of a front door.
+     *
+     * @return the written file
+     * @throws IOException if the file cannot be written
+     */
     Path writeFleetFile(FrontDoor frontDoor) throws IOException {
         Path folder = outputFolder.resolve(frontDoor.name());
         List<String> seeds = file.founders().stream()
--- a/src/rig/java/hopdrum/rig/trial/FrontDoorProcesses.java
+++ b/src/rig/java/hopdrum/rig/trial/FrontDoorProcesses.java
@@ -14,13 +14,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** The processes of one trial: starts, signals and ends them, and records each in the journal. */
+/** Starts, signals and ends the front doors' processes of one trial, and records each of these actions in the journal. */
 final class FrontDoorProcesses {
     private static final int TERM_TIMEOUT_MS = 6_000;
     private static final List<String> JVM_OPTIONS =
             List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-Xss512k");
 
-    /** Runs a door with a fault on purpose; by name, because it is started in a process of its own. */
+    /** The main class of a front door with a deliberate fault; given by name because it runs in a process of its own. */
     private static final String FAULTY_SERVER_CLASS = "hopdrum.rig.faulty.FaultyServer";
 
     private final Testbed testbed;
@@ -28,14 +28,14 @@
     private final EventJournal journal;
     private final Path outputFolder;
     private final Path home;
-    private final Map<String, Process> running = new ConcurrentHashMap<>(); // by door
-    private final Map<String, Integer> startCounts = new HashMap<>(); // by door; the trial's thread alone
+    private final Map<String, Process> running = new ConcurrentHashMap<>(); // by front door
+    private final Map<String, Integer> startCounts = new HashMap<>(); // by front door; used by the trial's thread only
 
     /**
-     * None runs yet.
+     * Creates the object without starting a process.
      *
-     * @param outputFolder where their files and logs go
-     * @param home the checkout whose {@code target} they are started from
+     * @param outputFolder the folder for the processes' files and logs
+     * @param home the checkout whose {@code target} folder has the program to start
      */
     FrontDoorProcesses(
             Testbed testbed, FrontDoorConfiguration configuration, EventJournal journal, Path outputFolder, Path home) {
@@ -46,6 +46,12 @@
         this.home = home;
     }
 
+    /**
+     * Starts a front door's process and returns without waiting for it to be ready.
+     *
+     * @param store the state into which the front door's stored data is brought before
+     * @throws IOException if a file cannot be written or the process cannot be started
+     */
     void start(String name, StoreState store) throws IOException {
         FrontDoor frontDoor = testbed.file().frontDoor(name);
         Path folder = Files.createDirectories(outputFolder.resolve(name));
@@ -103,17 +109,17 @@
         return command;
     }
 
-    /** The doors whose processes run, paused ones too. */
+    /** Returns the names of the front doors whose processes are running, including paused ones. */
     List<String> running() {
         return List.copyOf(running.keySet());
     }
 
-    /** SIGSTOP. */
+    /** Pauses a process by SIGSTOP; has no effect if it is not running. */
     void pause(String frontDoor) {
         signal(frontDoor, "STOP");
     }
 
-    /** SIGCONT. */
+    /** Resumes a process by SIGCONT; has no effect if it is not running. */
     void resume(String frontDoor) {
         signal(frontDoor, "CONT");
     }
@@ -138,7 +144,7 @@
         }
     }
 
-    /** SIGKILL; returns once the process has ended. */
+    /** Ends a process by SIGKILL and waits until it has ended. */
     void kill(String frontDoor) {
         Process process = running.remove(frontDoor);
         if (process != null) {
@@ -148,7 +154,7 @@
         }
     }
 
-    /** SIGTERM; returns once the process has ended. One that does not within its time is killed. */
+    /** Ends a process by SIGTERM and waits until it has ended; kills it if it has not ended within 6 s. */
     void terminate(String frontDoor) {
         Process process = running.get(frontDoor);
         if (process == null) {
@@ -173,12 +179,12 @@
         }
     }
 
-    /** {@link #terminate} in a thread of its own. */
+    /** Runs {@link #terminate} in a new thread and returns the thread. */
     Thread startTerminating(String frontDoor) {
         return DaemonThreads.start("term-" + frontDoor, () -> terminate(frontDoor));
     }
 
-    /** SIGKILL to all; returns once they have ended. May be called from a shutdown hook. */
+    /** Ends all processes by SIGKILL and waits until they have ended. May be called from a shutdown hook. */
     void killAll() {
         running.values().forEach(Process::destroyForcibly);
         running.values().forEach(process -> process.onExit().join());
--- a/src/rig/java/hopdrum/rig/trial/HttpStandIn.java
+++ b/src/rig/java/hopdrum/rig/trial/HttpStandIn.java
@@ -7,13 +7,22 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A stand-in for one HTTP service of the platform, on loopback: one thread a connection, one request after another. */
+/**
+ * A stand-in for one HTTP service of the platform, on loopback. Each connection has a thread, which handles one request after
+ * another.
+ */
 final class HttpStandIn implements AutoCloseable {
     private static final int BACKLOG = 512;
 
-    /** One request; its body is read and dropped. */
+    /**
+     * One request without its body, which is discarded.
+     *
+     * @param method the HTTP method
+     * @param path the request target, with its query
+     * @param head the request line and the header, up to and including the empty line
+     */
     record Request(String method, String path, String head) {
-        /** A header field; empty if absent. */
+        /** Returns the value of a header field, whose name is compared without case; empty if the field is absent. */
         String header(String name) {
             for (String line : head.split("\r\n", -1)) {
                 if (line.regionMatches(true, 0, name + ":", 0, name.length() + 1)) {
@@ -24,21 +33,33 @@
         }
     }
 
-    /** Answers requests; called by many threads. */
+    /** Responds to requests; called by several threads at once. */
     interface Handler {
-        /** Writes an answer, or none; may wait. The connection ends if it throws. */
+        /**
+         * Writes the response to a request; may block.
+         *
+         * @throws IOException to close the connection
+         * @throws InterruptedException if the thread is interrupted, which closes the connection as well
+         */
         void handle(Request request, OutputStream out) throws IOException, InterruptedException;
     }
 
     private final LoopbackListener listener;
     private final Handler handler;
 
+    /**
+     * Starts a service on a free port.
+     *
+     * @param name the name of the service's threads
+     * @throws IOException if no port can be opened
+     */
     HttpStandIn(String name, Handler handler) throws IOException {
         this.handler = handler;
         this.listener = new LoopbackListener(BACKLOG);
         listener.start(name, this::serve);
     }
 
+    /** Returns the loopback port on which the service accepts connections. */
     int port() {
         return listener.port();
     }
@@ -55,7 +76,7 @@
                 handler.handle(request, socket.getOutputStream());
             }
         } catch (IOException e) {
-            // the peer has ended the connection
+            // The peer has ended the connection.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -63,7 +84,7 @@
         }
     }
 
-    /** Null at the end of the connection. */
+    /** Reads a request's head, including the empty line at its end; null if the connection ends before. */
     private static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         for (int next = in.read(); next >= 0; next = in.read()) {
@@ -75,12 +96,14 @@
         return null;
     }
 
+    /** Writes a response with status 200 and an ASCII body. */
     static void writeOk(OutputStream out, String body) throws IOException {
         out.write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.US_ASCII));
         out.flush();
     }
 
+    /** Closes all open connections; the service accepts further ones. */
     void closeConnections() {
         listener.closeConnections();
     }
--- a/src/rig/java/hopdrum/rig/trial/InvalidTrialFileException.java
+++ b/src/rig/java/hopdrum/rig/trial/InvalidTrialFileException.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A trial file that cannot be used; the message has one line for each fault. */
+/** Thrown for a trial file that cannot be used; the message has one line for each error in the file. */
 public final class InvalidTrialFileException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
--- a/src/rig/java/hopdrum/rig/trial/LinkFaults.java
+++ b/src/rig/java/hopdrum/rig/trial/LinkFaults.java
@@ -1,6 +1,6 @@
 package hopdrum.rig.trial;
 
-/** The faults of one direction of the link between two processes; changed while messages are under way. Thread-safe. */
+/** The faults of one direction of the link between two members; a change also affects messages in transit. Thread-safe. */
 final class LinkFaults {
     private volatile boolean partitioned;
     private volatile boolean held;
@@ -9,35 +9,37 @@
     private volatile double duplicationRate;
     private volatile long bytesPerSecond;
 
-    /** From now on nothing gets through. */
+    /** Drops all messages from now on. */
     void partition() {
         partitioned = true;
     }
 
-    /** From now on messages wait. */
+    /** Holds all messages back from now on, until {@link #clear}. */
     void hold() {
         held = true;
     }
 
+    /** Sets the one-way delay in microseconds. */
     void setDelay(long oneWayUs) {
         delayUs = oneWayUs;
     }
 
-    /** From now on this part of all messages, 0 to 1, is lost. */
+    /** Sets the fraction of messages, 0 to 1, that are lost. */
     void setLossRate(double rate) {
         lossRate = rate;
     }
 
-    /** From now on this part of all messages, 0 to 1, arrives twice. */
+    /** Sets the fraction of messages, 0 to 1, that arrive twice. */
     void setDuplicationRate(double rate) {
         duplicationRate = rate;
     }
 
+    /** Limits the bandwidth in bytes per second; 0 means no limit. */
     void setBandwidth(long limitBytesPerSecond) {
         bytesPerSecond = limitBytesPerSecond;
     }
 
-    /** Ends all faults. */
+    /** Ends all faults; messages that were held back are delivered. */
     void clear() {
         partitioned = false;
         held = false;
@@ -67,7 +69,7 @@
         return duplicationRate;
     }
 
-    /** 0: no limit. */
+    /** Returns the bandwidth limit in bytes per second; 0 means no limit. */
     long bytesPerSecond() {
         return bytesPerSecond;
     }
--- a/src/rig/java/hopdrum/rig/trial/LoadGenerator.java
+++ b/src/rig/java/hopdrum/rig/trial/LoadGenerator.java
@@ -15,27 +15,35 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The clients of one trial: an open loop, so many RPCs a second whatever comes back, each on a connection of its own. What
- * was sent and what came back is recorded in the journal; nothing is judged here.
+ * The clients of one trial: an open loop that sends requests at a fixed rate whatever the responses are, each on a connection of
+ * its own. Each request and its outcome are recorded in the journal, from which the checker evaluates them.
  */
 final class LoadGenerator implements AutoCloseable {
     private static final int MAX_CONCURRENT = 200;
     private static final int CONNECT_TIMEOUT_MS = 500;
-    private static final int READ_SLACK_MS = 3_000; // beyond the deadline
+    private static final int READ_SLACK_MS = 3_000; // beyond the deadline of a request
     private static final int CLOSE_SLACK_MS = 4_000;
     private static final int STATUS_START = "HTTP/1.1 ".length();
     private static final int STATUS_END = STATUS_START + 3;
     private static final String RETRY_AFTER = "Retry-After: ";
     private static final String CONTENT_LENGTH = "Content-Length: ";
 
-    /** One RPC to be sent. */
+    /**
+     * One request to be sent.
+     *
+     * @param traceId identifies the request, in 16 hexadecimal digits
+     * @param customer the customer's index, from 0 on
+     * @param spread the number of front doors over which the customer is spread; 1 if the front doors determine it
+     * @param frontDoor the front door to which the request is sent
+     * @param method the name of the configured method
+     */
     private record ClientRequest(String traceId, int customer, int spread, String frontDoor, String method) {}
 
     private final EventJournal journal;
     private final Load load;
-    private final Map<String, Integer> ports; // of the doors, by name
-    private final List<List<String>> tiers; // customers are spread over these
-    private final List<List<String>> entryFrontDoors; // the doors of each tier that clients connect to
+    private final Map<String, Integer> ports; // by front door
+    private final List<List<String>> tiers; // customer i belongs to tier i modulo the number of tiers
+    private final List<List<String>> entryFrontDoors; // by tier: the front doors that clients connect to
     private final boolean isAnyFrontDoorAllowed;
     private final SplittableRandom random;
     private final ExecutorService pool =
@@ -44,11 +52,13 @@
     private Thread pacer;
 
     /**
-     * Sends nothing before {@link #start}.
+     * Creates a generator that sends nothing before {@link #start}.
      *
-     * @param ports where each door listens
-     * @param tiers groups of doors, in the order of their numbers; a customer belongs to one group
-     * @param isAnyFrontDoorAllowed whether any door takes any customer, so that the program says over how many one is spread
+     * @param ports the port on which each front door listens for clients
+     * @param tiers groups of front doors, in the order of their ordinals; a customer belongs to one group
+     * @param isAnyFrontDoorAllowed whether each front door accepts each customer, so that the front doors determine over how many
+     *     of them a customer is spread
+     * @param seed the seed of the random choice of customers, front doors and methods
      */
     LoadGenerator(
             EventJournal journal,
@@ -68,7 +78,7 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Sends RPCs from so long after now until {@link #close}. */
+    /** Starts sending requests after a delay, until {@link #close}. */
     void start(long delayMs) {
         pacer = DaemonThreads.start("pacer", () -> sendAtRate(delayMs));
     }
@@ -79,7 +89,7 @@
             long nextUs = EventJournal.nowUs();
             for (long number = 1; !isStopped; number++) {
                 nextUs += (long) (1e6 / load.requestsPerSecond());
-                TimeUnit.MICROSECONDS.sleep(nextUs - EventJournal.nowUs()); // none if it is late
+                TimeUnit.MICROSECONDS.sleep(nextUs - EventJournal.nowUs()); // no sleep if the loop is late
                 ClientRequest request = drawRequest(number);
                 pool.execute(() -> send(request));
             }
@@ -106,7 +116,7 @@
             InetAddress loopback = InetAddress.getLoopbackAddress();
             socket.connect(new InetSocketAddress(loopback, ports.get(request.frontDoor)), CONNECT_TIMEOUT_MS);
             socket.setTcpNoDelay(true);
-            status = "none"; // accepted by the door's machine: an answer is owed
+            status = "none"; // the connection was accepted, so a response is due
             socket.getOutputStream().write(requestHead(request).getBytes(StandardCharsets.US_ASCII));
             socket.setSoTimeout(load.deadlineMs() + READ_SLACK_MS);
             String response = readResponse(socket.getInputStream());
@@ -140,7 +150,7 @@
                 + "Quota-Info: units=1,spread=" + request.spread + ",first=0\r\n\r\n";
     }
 
-    /** The whole answer; what has come of it if the connection ends. */
+    /** Reads a whole response; only its received part if the connection ends early. */
     private static String readResponse(InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
         byte[] bytes = new byte[4096];
@@ -160,20 +170,20 @@
         }
     }
 
-    /** The value of a header field; empty if absent. */
+    /** Returns the value of the header field with this prefix; empty if the field is absent. */
     private static String headerField(String response, String prefix) {
         int at = response.indexOf(prefix);
         return at < 0 ? "" : response.substring(at + prefix.length(), response.indexOf('\r', at));
     }
 
-    /** Sends no more and waits for what is under way. */
+    /** Stops sending and waits for requests in flight, up to their deadline and 4 s more. */
     @Override
     public void close() {
         isStopped = true;
         try {
             if (pacer != null) {
                 pacer.interrupt();
-                pacer.join(); // it gives the pool nothing more
+                pacer.join(); // afterwards no more requests are submitted to the pool
             }
             pool.shutdown();
             if (!pool.awaitTermination(load.deadlineMs() + CLOSE_SLACK_MS, TimeUnit.MILLISECONDS)) {
--- a/src/rig/java/hopdrum/rig/trial/LogWatcher.java
+++ b/src/rig/java/hopdrum/rig/trial/LogWatcher.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Waits for what the doors' processes log. */
+/** Waits for events in the front doors' logs. */
 final class LogWatcher {
     private static final long REVISION_TIMEOUT_US = 10_000_000;
     private static final long COMPLETE_VIEWS_TIMEOUT_US = 60_000_000;
@@ -22,7 +22,12 @@
         this.outputFolder = outputFolder;
     }
 
-    /** Waits until some door has a shard assignment by this revision of the agreement, 10 s at most. */
+    /**
+     * Waits until a front door has logged a shard assignment by this revision of the agreement, for 10 s at most.
+     *
+     * @throws IOException if a log cannot be read
+     * @throws InterruptedException if the thread is interrupted while it waits
+     */
     void awaitRevision(String revision) throws IOException, InterruptedException {
         long timeoutUs = EventJournal.nowUs() + REVISION_TIMEOUT_US;
         while (EventJournal.nowUs() < timeoutUs) {
@@ -39,8 +44,11 @@
     }
 
     /**
-     * Waits until each of these doors has had a view of all of them, a minute at most: guards verdicts against a machine
-     * that is slow to start processes.
+     * Waits until each of these front doors has logged a view with all of them as members, for 60 s at most, so that a machine
+     * that is slow to start processes does not affect the verdict.
+     *
+     * @throws IOException if a log cannot be read
+     * @throws InterruptedException if the thread is interrupted while it waits
      */
     void awaitCompleteViews(List<String> frontDoors) throws IOException, InterruptedException {
         long timeoutUs = EventJournal.nowUs() + COMPLETE_VIEWS_TIMEOUT_US;
--- a/src/rig/java/hopdrum/rig/trial/LoopbackListener.java
+++ b/src/rig/java/hopdrum/rig/trial/LoopbackListener.java
@@ -8,21 +8,26 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 
-/** Accepts connections on a free loopback port and serves each in a thread of its own, until it is closed. */
+/** Accepts connections on a free loopback port until it is closed, and handles each in a thread of its own. */
 final class LoopbackListener implements AutoCloseable {
     private final ServerSocket listener;
     private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
-    /** Binds the port; up to so many connections wait to be accepted. */
+    /**
+     * Binds a free port.
+     *
+     * @param backlog the maximum number of connections that wait to be accepted
+     * @throws IOException if no port can be bound
+     */
     LoopbackListener(int backlog) throws IOException {
         listener = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
     }
 
     /**
-     * Accepts connections from now on.
+     * Starts accepting connections.
      *
-     * @param name the accepting thread's name
-     * @param connectionHandler serves one connection and returns at its end; called in a thread of the connection's own
+     * @param name the name of the accepting thread
+     * @param connectionHandler handles one connection until its end; called in a thread of that connection
      */
     void start(String name, Consumer<Socket> connectionHandler) {
         DaemonThreads.start(name, () -> accept(name, connectionHandler));
@@ -35,11 +40,12 @@
                 openSockets.add(socket);
                 DaemonThreads.start(name + "-connection", () -> connectionHandler.accept(socket));
             } catch (IOException e) {
-                // Closed: the loop ends. Out of descriptors for the moment: the next one may be accepted.
+                // After close() the loop ends. If file descriptors ran out, a later connection may be accepted.
             }
         }
     }
 
+    /** Returns the bound port. */
     int port() {
         return listener.getLocalPort();
     }
@@ -48,16 +54,17 @@
         return listener.isClosed();
     }
 
-    /** Has a further connection, opened on behalf of an accepted one, closed together with the others. */
+    /** Registers a connection opened on behalf of an accepted one, so that it is closed together with the accepted ones. */
     void track(Socket socket) {
         openSockets.add(socket);
     }
 
-    /** The end of an accepted or tracked connection. */
+    /** Removes an accepted or tracked connection that has ended. */
     void untrack(Socket socket) {
         openSockets.remove(socket);
     }
 
+    /** Closes all open connections; further ones are accepted. */
     void closeConnections() {
         openSockets.forEach(Closeables::closeQuietly);
     }
--- a/src/rig/java/hopdrum/rig/trial/NetworkFaults.java
+++ b/src/rig/java/hopdrum/rig/trial/NetworkFaults.java
@@ -5,27 +5,28 @@
 
 /** The faults of all fleet links of one trial. Thread-safe. */
 final class NetworkFaults {
-    /** One direction between two members of the fleet, by the names that they have in it. */
+    /** One direction of the link between two members of the fleet, by their member names. */
     private record Link(String from, String to) {}
 
     private final Map<Link, LinkFaults> links = new ConcurrentHashMap<>();
     private final Map<String, Double> latencyFactors = new ConcurrentHashMap<>(); // by member
 
+    /** Returns the faults of one direction of a link; their later changes take effect at once. */
     LinkFaults linkFaults(String from, String to) {
         return links.computeIfAbsent(new Link(from, to), link -> new LinkFaults());
     }
 
-    /** From now on the latencies that a member says it has measured are so many times what it says. */
+    /** Multiplies by a factor the latencies that a member reports as measured by itself, from now on. */
     void falsifyLatencies(String member, double factor) {
         latencyFactors.put(member, factor);
     }
 
-    /** By which factor a member's measured latencies are falsified; null if they are not. */
+    /** Returns the factor that falsifies a member's measured latencies; null if they are not falsified. */
     Double latencyFactor(String member) {
         return latencyFactors.get(member);
     }
 
-    /** Ends all faults. */
+    /** Ends the faults of all links and the falsification of latencies. */
     void clear() {
         latencyFactors.clear();
         links.values().forEach(LinkFaults::clear);
--- a/src/rig/java/hopdrum/rig/trial/PlatformStandIns.java
+++ b/src/rig/java/hopdrum/rig/trial/PlatformStandIns.java
@@ -14,24 +14,31 @@
 import java.util.Map;
 import java.util.concurrent.Semaphore;
 
-/** Stand-ins for the platform around one operator's doors: backends, discovery and the counter. */
+/** Stand-ins for the platform services of one operator's front doors: backends, discovery and the counter. */
 final class PlatformStandIns implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long KEEP_ALIVE_MS = 1_000;
 
+    /** A backend at a site. */
     private record Backend(String name, String site, HttpStandIn standIn) {}
 
-    /** A direction between two sites. */
+    /** One direction between two sites. */
     private record SitePair(String from, String to) {}
 
     private final EventJournal journal;
     private final String operator;
     private final List<Backend> backends = new ArrayList<>();
-    private final Map<String, HttpStandIn> discoveryStandIns = new HashMap<>(); // by door: each has paths of its own
-    private final Map<SitePair, List<DelayingProxy>> paths = new HashMap<>(); // from doors to backends
+    private final Map<String, HttpStandIn> discoveryStandIns =
+            new HashMap<>(); // by front door, as each has paths of its own
+    private final Map<SitePair, List<DelayingProxy>> paths = new HashMap<>(); // from front doors to backends
     private final CounterStandIns counter;
 
-    /** Starts the backends of one operator at each of these sites. */
+    /**
+     * Starts the backends of one operator.
+     *
+     * @param sites the sites; each has the backends that {@code backendsPerSite} describes
+     * @throws IOException if no port can be opened
+     */
     PlatformStandIns(String operator, Collection<String> sites, Backends backendsPerSite, EventJournal journal)
             throws IOException {
         this.journal = journal;
@@ -63,7 +70,12 @@
         return new Backend(name, site, standIn);
     }
 
-    /** The port of discovery for one door, whose answers name each backend at the end of a path of the door's own. */
+    /**
+     * Returns the port of discovery for one front door. Discovery lists each backend under the address of a path that only this
+     * front door uses. The first call starts the stand-in and opens the paths.
+     *
+     * @throws IOException if no port can be opened
+     */
     int discoveryPortFor(String frontDoor, String site) throws IOException {
         HttpStandIn discovery = discoveryStandIns.get(frontDoor);
         if (discovery == null) {
@@ -107,7 +119,7 @@
         }
     }
 
-    /** The endpoint list; to a watch followed by empty lines for as long as the connection stands. */
+    /** Responds with the endpoint list; to a watch also with an empty line per second until the connection ends. */
     private static void handleDiscovery(String endpoints, HttpStandIn.Request request, OutputStream out)
             throws IOException, InterruptedException {
         if (!request.path().contains("watch=1")) {
@@ -127,17 +139,17 @@
         out.flush();
     }
 
-    /** Sets the delay between the doors at one site and the backends at another. */
+    /** Sets the one-way delay, in microseconds, between the front doors at one site and the backends at another. */
     void setDelay(String fromSite, String toSite, long oneWayUs) {
         paths.getOrDefault(new SitePair(fromSite, toSite), List.of()).forEach(path -> path.setDelay(oneWayUs));
     }
 
-    /** From now on the backends of a site are unreachable. */
+    /** Makes the backends of a site unreachable. */
     void blockSite(String site) {
         pathsTo(site).forEach(DelayingProxy::block);
     }
 
-    /** The backends of a site are reachable again. */
+    /** Makes the backends of a site reachable again. */
     void unblockSite(String site) {
         pathsTo(site).forEach(DelayingProxy::unblock);
     }
@@ -149,7 +161,7 @@
                 .toList();
     }
 
-    /** The operator's counter. */
+    /** Returns the stand-ins for the operator's counter. */
     CounterStandIns counter() {
         return counter;
     }
--- a/src/rig/java/hopdrum/rig/trial/PortReservations.java
+++ b/src/rig/java/hopdrum/rig/trial/PortReservations.java
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Free loopback ports, held until the process that they are for starts: guards against another process taking one meanwhile.
- * They are below the ephemeral ports, which connections are given on their way out. Confined to one thread.
+ * Reserves free loopback ports by binding them until the process that needs them starts, so that no other process takes them
+ * meanwhile. The ports are below the ephemeral range, from which outgoing connections get their ports. Confined to one thread.
  */
 final class PortReservations implements AutoCloseable {
     private static final int MIN_PORT = 12_000;
@@ -21,6 +21,11 @@
             new SplittableRandom(System.nanoTime() ^ ProcessHandle.current().pid());
     private final Map<Integer, ServerSocket> reserved = new HashMap<>();
 
+    /**
+     * Reserves a free port.
+     *
+     * @throws IOException if no free port was found in 1000 attempts
+     */
     int reserve() throws IOException {
         for (int i = 0; i < MAX_ATTEMPTS; i++) {
             int port = MIN_PORT + random.nextInt(PORT_COUNT);
@@ -28,13 +33,13 @@
                 reserved.put(port, new ServerSocket(port, 1, InetAddress.getLoopbackAddress()));
                 return port;
             } catch (BindException e) {
-                // another's: try the next
+                // The port is in use: try another one.
             }
         }
-        throw new IOException("no free port after " + MAX_ATTEMPTS + " attempts");
+        throw new IOException("found no free port in " + MAX_ATTEMPTS + " attempts");
     }
 
-    /** Gives a port up to the process that it was reserved for. */
+    /** Releases a port so that the process for which it was reserved can bind it. */
     void release(int port) throws IOException {
         ServerSocket socket = reserved.remove(port);
         if (socket != null) {
--- a/src/rig/java/hopdrum/rig/trial/RandomFaults.java
+++ b/src/rig/java/hopdrum/rig/trial/RandomFaults.java
@@ -7,25 +7,29 @@
 import java.util.SplittableRandom;
 
 /**
- * Faults drawn at random, each undone after a while. The same seed draws the same.
+ * Faults that are drawn at random, each of which ends after some time. The same seed draws the same faults.
  *
- * @param fromMs the first fault's time, after the trial's begin
- * @param toMs when all are undone and no more are drawn
- * @param meanIntervalMs between two faults, on average
- * @param meanDurationMs how long a fault lasts, on average
- * @param maxFaulty how many doors have a fault at once
- * @param kinds the kinds of faults to draw from
+ * @param fromMs the time of the first fault, after the trial's begin
+ * @param toMs the time at which faults end at the latest (except a restart after SIGTERM) and after which none is drawn
+ * @param meanIntervalMs the mean time between two faults
+ * @param meanDurationMs the mean duration of a fault
+ * @param maxFaulty how many front doors may have a fault at once
+ * @param kinds the kinds of faults to draw from: kill, term, pause, cut or lose
  */
 record RandomFaults(
         long fromMs, long toMs, long meanIntervalMs, long meanDurationMs, int maxFaulty, List<String> kinds) {
-    private static final long RECOVERY_MS = 1_500; // after a fault a door is left alone for so long
-    private static final long MIN_RESTART_MS = 2_000; // after SIGTERM
+    private static final long RECOVERY_MS = 1_500; // the minimum time between two faults of a front door
+    private static final long MIN_RESTART_MS = 2_000; // between SIGTERM and the restart
     private static final int LOSS_PERCENT = 30;
 
-    /** One fault of a door, and its end. */
+    /** One front door, all others, and the times at which the front door's fault begins and ends. */
     private record FaultWindow(List<String> target, List<String> others, long fromMs, long untilMs) {}
 
-    /** The steps of all faults; kinds that are not known are added to the file's faults. */
+    /**
+     * Draws the steps that begin and end all faults.
+     *
+     * @param fileErrors the errors found in the trial file, to which unknown kinds are added
+     */
     List<Step> drawSteps(List<String> frontDoors, SplittableRandom random, List<String> fileErrors) {
         List<Step> steps = new ArrayList<>();
         long[] faultyUntilMs = new long[frontDoors.size()];
@@ -51,7 +55,7 @@
                 case "cut" -> steps.addAll(partition(window));
                 case "lose" -> steps.addAll(loseMessages(window));
                 default ->
-                    fileErrors.add("random: of: " + kind + " is not known, expected kill, term, pause, cut or lose");
+                    fileErrors.add("random: of: unknown kind " + kind + ", expected kill, term, pause, cut or lose");
             }
         }
         return steps;
--- a/src/rig/java/hopdrum/rig/trial/SchedulingDelayMonitor.java
+++ b/src/rig/java/hopdrum/rig/trial/SchedulingDelayMonitor.java
@@ -1,6 +1,9 @@
 package hopdrum.rig.trial;
 
-/** Records how late the rig's own threads wake, the worst of each second: tells a slow machine from a slow program. */
+/**
+ * Records the maximum delay with which a thread of the trial wakes from sleep, for each second. The delays tell a slow machine from
+ * a slow program.
+ */
 final class SchedulingDelayMonitor implements AutoCloseable {
     private static final long WINDOW_US = 1_000_000;
     private static final int SLEEP_MS = 5;
@@ -8,7 +11,7 @@
     private final EventJournal journal;
     private final Thread thread;
 
-    /** Starts at once. */
+    /** Starts measuring at once. */
     SchedulingDelayMonitor(EventJournal journal) {
         this.journal = journal;
         this.thread = DaemonThreads.create("scheduling-delay", this::measure);
@@ -18,13 +21,13 @@
     private void measure() {
         try {
             while (true) {
-                long worstUs = 0;
+                long maxDelayUs = 0;
                 for (long endUs = EventJournal.nowUs() + WINDOW_US; EventJournal.nowUs() < endUs; ) {
                     long beforeUs = EventJournal.nowUs();
                     Thread.sleep(SLEEP_MS);
-                    worstUs = Math.max(worstUs, EventJournal.nowUs() - beforeUs - SLEEP_MS * 1_000L);
+                    maxDelayUs = Math.max(maxDelayUs, EventJournal.nowUs() - beforeUs - SLEEP_MS * 1_000L);
                 }
-                journal.event("late").with("us", worstUs).write();
+                journal.event("late").with("us", maxDelayUs).write();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/rig/java/hopdrum/rig/trial/SiteFaults.java
+++ b/src/rig/java/hopdrum/rig/trial/SiteFaults.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * The delays between sites and which sites' backends are lost, on fleet links and on the doors' paths to backends alike.
- * Published in {@code ways.json} for the baselines of placement, which know them. Confined to one thread.
+ * Sets the delays between sites, both on fleet links and on the front doors' paths to backends, and makes the backends of sites
+ * unreachable. Publishes both in {@code ways.json} for the reference placements, which know them in advance. Confined to one thread.
  */
 final class SiteFaults {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -22,7 +22,7 @@
     private final Map<String, Boolean> lostSites = new LinkedHashMap<>();
     private Map<String, Double> oneWayMs = Map.of(); // by "from-to"
 
-    /** No delay is in force before {@link #resetDelays}. */
+    /** Creates the object; no delay applies before {@link #resetDelays}. */
     SiteFaults(Testbed testbed, EventJournal journal, Path outputFolder) {
         this.testbed = testbed;
         this.file = testbed.file();
@@ -30,12 +30,12 @@
         this.publishedFile = outputFolder.resolve("ways.json");
     }
 
-    /** The delays are as the trial file has them. */
+    /** Sets all delays to those of the trial file. */
     void resetDelays() throws IOException {
         applyDelays("", 1);
     }
 
-    /** The delays are as the trial file has them, but those from and to one site are so many times as long. */
+    /** Sets all delays to those of the trial file, with the delays between one site and all others multiplied by a factor. */
     void slowSite(String site, double factor) throws IOException {
         applyDelays(site, factor);
     }
@@ -64,14 +64,14 @@
         }
     }
 
-    /** From now on a site's backends are unreachable. */
+    /** Makes the backends of a site unreachable. */
     void loseSite(String site) throws IOException {
         testbed.platforms().forEach(platform -> platform.blockSite(site));
         lostSites.put(site, true);
         publish();
     }
 
-    /** All delays are as the trial file has them, and all backends are reachable. */
+    /** Sets all delays to those of the trial file, and makes all backends reachable. */
     void heal() throws IOException {
         lostSites.clear();
         resetDelays();
--- a/src/rig/java/hopdrum/rig/trial/StepAction.java
+++ b/src/rig/java/hopdrum/rig/trial/StepAction.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** What a step of a trial file does or expects; docs/trials.md describes each. */
+/** What a step of a trial file does or expects; docs/trials.md describes each action. */
 enum StepAction {
     START,
     KILL,
@@ -41,19 +41,19 @@
     EXPECT_OWNED,
     EXPECT_REFUSAL;
 
-    /** The action with this key in a trial file. */
+    /** Returns the action with this key in a trial file; empty for an unknown key. */
     static Optional<StepAction> ofKey(String key) {
         return Arrays.stream(values())
                 .filter(action -> action.key().equals(key))
                 .findFirst();
     }
 
-    /** The key in trial files and in the journal. */
+    /** Returns the key in trial files and in the journal: the name in lower case. */
     String key() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Whether the key's value is one text, and not the names of doors. */
+    /** Returns whether the value of the key is a single text instead of names of front doors. */
     boolean takesText() {
         return this == AMEND || this == AWAIT_REVISION;
     }
--- a/src/rig/java/hopdrum/rig/trial/StoreState.java
+++ b/src/rig/java/hopdrum/rig/trial/StoreState.java
@@ -3,15 +3,16 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** What a process finds in its store when it starts; the keys of a trial file's {@code store}. */
+/** The state of a front door's stored data when its process starts: the values of a trial file's key {@code store}. */
 enum StoreState {
+    /** The file is unchanged. */
     KEPT,
-    /** The file is gone. */
+    /** The file does not exist. */
     LOST,
-    /** The file was cut off in mid-write. */
+    /** The file is truncated, as by a crash during a write. */
     TORN;
 
-    /** By its key in a trial file; a key that is not known means {@link #KEPT}. */
+    /** Returns the state with this key in a trial file; {@link #KEPT} for an unknown key. */
     static StoreState ofKey(String key) {
         return Arrays.stream(values())
                 .filter(state -> state.key().equals(key))
@@ -19,6 +20,7 @@
                 .orElse(KEPT);
     }
 
+    /** Returns the key in trial files and in the journal: the name in lower case. */
     String key() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/rig/java/hopdrum/rig/trial/TermsFiles.java
+++ b/src/rig/java/hopdrum/rig/trial/TermsFiles.java
@@ -6,19 +6,24 @@
 import java.time.Instant;
 import java.util.Map;
 
-/** Each operator's terms file, which its doors watch; docs/shards.md has the keys. */
+/** Writes each operator's terms file, which the operator's front doors watch; docs/shards.md describes the keys. */
 final class TermsFiles {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String SECONDS_SUFFIX = "_s";
 
     private TermsFiles() {}
 
-    /** An operator's terms file below a trial's output folder. */
+    /** Returns the path of an operator's terms file in a trial's output folder. */
     static Path path(Path outputFolder, String operator) {
         return outputFolder.resolve("terms-" + operator + ".yaml");
     }
 
-    /** Replaces an operator's terms file; moments ({@code from_s}, {@code until_s}) are given as seconds from now. */
+    /**
+     * Replaces an operator's terms file. Times are given in seconds from now under {@code from_s} and {@code until_s}, and are
+     * written as absolute times under {@code from} and {@code until}.
+     *
+     * @throws IOException if the file cannot be written
+     */
     static void write(Path outputFolder, String operator, Map<String, Object> terms) throws IOException {
         StringBuilder text = new StringBuilder();
         for (Map.Entry<String, Object> term : terms.entrySet()) {
--- a/src/rig/java/hopdrum/rig/trial/Testbed.java
+++ b/src/rig/java/hopdrum/rig/trial/Testbed.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * Everything around the processes of one trial: their ports, the proxies before them and the stand-ins for each operator's
- * platform. Built before any process starts; only the ports change afterwards, in the trial's thread.
+ * The environment of the processes of one trial: their ports, the proxies in front of them and the stand-ins for each operator's
+ * platform. It is complete before any process starts; afterwards only the port reservations change, in the trial's thread.
  */
 final class Testbed implements AutoCloseable {
     private final TrialFile file;
@@ -18,7 +18,7 @@
     private final PortReservations ports = new PortReservations();
     private final Map<String, List<String>> tiers = new LinkedHashMap<>();
     private final Map<String, PlatformStandIns> platforms = new LinkedHashMap<>(); // by operator
-    private final Map<String, Integer> fleetPorts = new LinkedHashMap<>(); // by door, as the maps below
+    private final Map<String, Integer> fleetPorts = new LinkedHashMap<>(); // by front door, as the maps below
     private final Map<String, Integer> clientPorts = new LinkedHashMap<>();
     private final Map<String, FaultInjectingProxy> fleetProxies = new LinkedHashMap<>();
     private final Map<String, DelayingProxy> forwardingProxies = new LinkedHashMap<>();
@@ -27,7 +27,11 @@
         this.file = file;
     }
 
-    /** Opens all sockets; none stays open if one cannot be opened. */
+    /**
+     * Opens all sockets.
+     *
+     * @throws IOException if a socket cannot be opened; all others are closed then
+     */
     static Testbed open(TrialFile file, long seed, EventJournal journal) throws IOException {
         Testbed testbed = new Testbed(file);
         try {
@@ -79,7 +83,7 @@
         return ports;
     }
 
-    /** By operator: its doors, in the order of their numbers. */
+    /** Returns the names of each operator's front doors, in the order of their ordinals. */
     Map<String, List<String>> tiers() {
         return tiers;
     }
@@ -88,37 +92,37 @@
         return platforms.values();
     }
 
-    /** The platform of a door's operator. */
+    /** Returns the platform of a front door's operator. */
     PlatformStandIns platformOf(FrontDoor frontDoor) {
         return platforms.get(frontDoor.operator());
     }
 
-    /** The platform of a door's operator. */
+    /** Returns the platform of a front door's operator. */
     PlatformStandIns platformOf(String frontDoor) {
         return platformOf(file.frontDoor(frontDoor));
     }
 
-    /** Where a door's process listens for the fleet, behind its proxy. */
+    /** Returns the port on which a front door's process listens for the fleet, behind its proxy. */
     int fleetPort(String frontDoor) {
         return fleetPorts.get(frontDoor);
     }
 
-    /** Where a door's process listens for clients. */
+    /** Returns the port on which a front door's process listens for clients. */
     int clientPort(String frontDoor) {
         return clientPorts.get(frontDoor);
     }
 
-    /** Where each door's process listens for clients. */
+    /** Returns, by front door, the port on which its process listens for clients. */
     Map<String, Integer> clientPorts() {
         return clientPorts;
     }
 
-    /** What stands before a door's fleet address. */
+    /** Returns the proxy in front of a front door's fleet address. */
     FaultInjectingProxy fleetProxy(String frontDoor) {
         return fleetProxies.get(frontDoor);
     }
 
-    /** What others forward to a door passes through this; there is none without shards. */
+    /** Returns the proxy through which other front doors forward requests to a front door; null in a trial without shards. */
     DelayingProxy forwardingProxy(String frontDoor) {
         return forwardingProxies.get(frontDoor);
     }
--- a/src/rig/java/hopdrum/rig/trial/TimedBytes.java
+++ b/src/rig/java/hopdrum/rig/trial/TimedBytes.java
@@ -1,6 +1,6 @@
 package hopdrum.rig.trial;
 
-/** Bytes on their way through a proxy, and when they came in. The array is not copied: nobody changes it. */
+/** Bytes in transit through a proxy and the time of their receipt. The array is not copied and must not be changed. */
 final class TimedBytes {
     private final byte[] bytes;
     private final long receivedUs;
@@ -10,6 +10,7 @@
         this.receivedUs = receivedUs;
     }
 
+    /** Creates bytes that are received now. */
     static TimedBytes receivedNow(byte[] bytes) {
         return new TimedBytes(bytes, EventJournal.nowUs());
     }
@@ -22,6 +23,7 @@
         return bytes.length;
     }
 
+    /** Returns the time of receipt in microseconds, by {@link EventJournal#nowUs}. */
     long receivedUs() {
         return receivedUs;
     }
--- a/src/rig/java/hopdrum/rig/trial/Trial.java
+++ b/src/rig/java/hopdrum/rig/trial/Trial.java
@@ -10,16 +10,16 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** Plays one trial and says whether all rules were kept: the program behind the script {@code trial}. */
+/** Plays one trial and reports whether all rules were kept; the main class behind the script {@code trial}. */
 public final class Trial {
     private static final String USAGE = "usage: ./trial FILE [--seed N] [--out DIR]";
     private static final int EXIT_PASSED = 0;
     private static final int EXIT_VIOLATED = 1;
     private static final int EXIT_USAGE = 2;
 
-    /** The arguments; without {@code out}, logs are deleted at the end. */
+    /** The command line's arguments; without an output folder, the logs are deleted at the end. */
     private record Arguments(Path file, long seed, Optional<Path> outputFolder) {
-        /** Empty if they cannot be used. */
+        /** Parses a command line; empty if it has an unknown option or not exactly one trial file. */
         static Optional<Arguments> parse(String[] args) {
             Path file = null;
             long seed = 1;
@@ -44,17 +44,17 @@
     private Trial() {}
 
     /**
-     * Plays a trial to its verdict. Whatever ends it, its processes are ended too.
+     * Plays a trial and checks its logs. The trial's processes are ended in any case, also if the trial fails.
      *
-     * @param trialFile docs/trials.md describes it
-     * @param seed of all that is drawn at random
-     * @param outputFolder where all logs go
-     * @param home the checkout whose {@code target} the processes are started from
-     * @param output takes a line for each measurement, then the verdict's
+     * @param trialFile the trial file, as docs/trials.md describes it
+     * @param seed the seed of everything that is drawn at random
+     * @param outputFolder the folder for all logs
+     * @param home the checkout whose {@code target} folder has the program to start
+     * @param output receives one line for each measurement, then the line of the verdict
      * @return whether all rules were kept
      * @throws InvalidTrialFileException if the file cannot be used
      * @throws IOException if a process cannot be started or a file cannot be read or written
-     * @throws InterruptedException if the calling thread is interrupted meanwhile
+     * @throws InterruptedException if the calling thread is interrupted during the trial
      */
     public static boolean run(Path trialFile, long seed, Path outputFolder, Path home, Consumer<String> output)
             throws IOException, InterruptedException {
@@ -68,14 +68,15 @@
         }
         TrialReport report = TrialChecker.check(outputFolder);
         report.measurements().forEach(line -> output.accept("measured: " + line));
-        Optional<String> broken = report.firstViolation();
-        output.accept(broken.map(violation -> "verdict: broken " + violation).orElse("verdict: kept"));
-        return broken.isEmpty();
+        Optional<String> firstViolation = report.firstViolation();
+        output.accept(
+                firstViolation.map(violation -> "verdict: broken " + violation).orElse("verdict: kept"));
+        return firstViolation.isEmpty();
     }
 
     /**
-     * {@code ./trial FILE [--seed N] [--out DIR]}: exits with 0 if all rules were kept, 1 if one was broken, 2 if the file or
-     * the arguments cannot be used.
+     * Runs {@code ./trial FILE [--seed N] [--out DIR]}. The exit code is 0 if all rules were kept, 1 if a rule was broken, and 2
+     * if the file or the arguments cannot be used.
      *
      * @throws IOException as {@link #run}
      * @throws InterruptedException as {@link #run}
