--- a/src/rig/java/hopdrum/rig/trial/CounterStandIns.java
+++ b/src/rig/java/hopdrum/rig/trial/CounterStandIns.java
@@ -10,8 +10,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Stand-ins for one operator's counter service. They share one set of totals, and each front door has an address of its own,
- * so that the counter can fail for a single front door.
+ * Stand-ins for one operator's counter service. They share one set of totals, and each front door has an address of its
+ * own, so that the counter can fail for a single front door.
  */
 final class CounterStandIns implements AutoCloseable {
     private static final long SILENT_DELAY_MS = 10_000;
--- a/src/rig/java/hopdrum/rig/trial/DaemonThreads.java
+++ b/src/rig/java/hopdrum/rig/trial/DaemonThreads.java
@@ -1,8 +1,8 @@
 package hopdrum.rig.trial;
 
 /**
- * Creates named daemon threads. Their stacks are small because a trial has hundreds of threads; they are daemons so that none
- * keeps the process of the trial alive.
+ * Creates named daemon threads. Their stacks are small because a trial has hundreds of threads; they are daemons so
+ * that none keeps the process of the trial alive.
  */
 final class DaemonThreads {
     private static final long STACK_BYTES = 256 << 10;
--- a/src/rig/java/hopdrum/rig/trial/DelayingProxy.java
+++ b/src/rig/java/hopdrum/rig/trial/DelayingProxy.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A TCP proxy that emulates the network path to one backend or front door. Bytes arrive after a one-way delay, the first bytes
- * of a connection one round trip later still, as after a TCP handshake. A blocked path drops all bytes.
+ * A TCP proxy that emulates the network path to one backend or front door. Bytes arrive after a one-way delay, the
+ * first bytes of a connection one round trip later still, as after a TCP handshake. A blocked path drops all bytes.
  */
 final class DelayingProxy implements AutoCloseable {
     private static final int BACKLOG = 256;
--- a/src/rig/java/hopdrum/rig/trial/EventJournal.java
+++ b/src/rig/java/hopdrum/rig/trial/EventJournal.java
@@ -10,7 +10,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Writes what the trial itself does and observes as JSON lines: each has an event, its time and its fields. Thread-safe. */
+/**
+ * Writes what the trial itself does and observes as JSON lines: each has an event, its time and its fields.
+ * Thread-safe.
+ */
 final class EventJournal implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
--- a/src/rig/java/hopdrum/rig/trial/FaultInjectingProxy.java
+++ b/src/rig/java/hopdrum/rig/trial/FaultInjectingProxy.java
@@ -22,9 +22,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A TCP proxy in front of the fleet address of one front door. It learns the connecting member from the first frame, the hello,
- * and applies the faults of the link between the two members to each frame of either direction. It interprets only the lengths
- * of frames, the member name in a hello and the readings in a latency message.
+ * A TCP proxy in front of the fleet address of one front door. It learns the connecting member from the first frame,
+ * the hello, and applies the faults of the link between the two members to each frame of either direction. It
+ * interprets only the lengths of frames, the member name in a hello and the readings in a latency message.
  */
 final class FaultInjectingProxy implements AutoCloseable {
     private static final ObjectMapper CBOR = new CBORMapper();
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Returns the frame that is forwarded for a sender's frame: the same one, except that the sender's own readings in a latency
-     * message are multiplied if its latencies are to be falsified.
+     * Returns the frame that is forwarded for a sender's frame: the same one, except that the sender's own readings in
+     * a latency message are multiplied if its latencies are to be falsified.
      */
     private byte[] withFalsifiedLatencies(String sender, byte[] frame) throws IOException {
         Double factor = network.latencyFactor(sender);
@@ -145,7 +145,8 @@
     }
 
     /**
-     * Waits while the link is partitioned or held, so that the peer sees neither an accepted hello nor a refused connection.
+     * Waits while the link is partitioned or held, so that the peer sees neither an accepted hello nor a refused
+     * connection.
      *
      * @return whether the link is reachable; false if the proxy or the peer's connection was closed meanwhile
      */
@@ -176,8 +177,8 @@
     }
 
     /**
-     * Forwards frames to the peer. The first one, the answer to the hello, is never lost at random: without this frame there is no
-     * connection on which further frames could be lost.
+     * Forwards frames to the peer. The first one, the answer to the hello, is never lost at random: without this frame
+     * there is no connection on which further frames could be lost.
      */
     private void forwardToPeer(DataInputStream in, Socket from, Socket to, LinkFaults faults) {
         BlockingQueue<TimedBytes> queue = new LinkedBlockingQueue<>(QUEUE_CAPACITY);
--- a/src/rig/java/hopdrum/rig/trial/FrontDoorProcesses.java
+++ b/src/rig/java/hopdrum/rig/trial/FrontDoorProcesses.java
@@ -14,13 +14,17 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** Starts, signals and ends the front doors' processes of one trial, and records each of these actions in the journal. */
+/**
+ * Starts, signals and ends the front doors' processes of one trial, and records each of these actions in the journal.
+ */
 final class FrontDoorProcesses {
     private static final int TERM_TIMEOUT_MS = 6_000;
     private static final List<String> JVM_OPTIONS =
             List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-Xss512k");
 
-    /** The main class of a front door with a deliberate fault; given by name because it runs in a process of its own. */
+    /**
+     * The main class of a front door with a deliberate fault; given by name because it runs in a process of its own.
+     */
     private static final String FAULTY_SERVER_CLASS = "hopdrum.rig.faulty.FaultyServer";
 
     private final Testbed testbed;
--- a/src/rig/java/hopdrum/rig/trial/HttpStandIn.java
+++ b/src/rig/java/hopdrum/rig/trial/HttpStandIn.java
@@ -8,8 +8,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A stand-in for one HTTP service of the platform, on loopback. Each connection has a thread, which handles one request after
- * another.
+ * A stand-in for one HTTP service of the platform, on loopback. Each connection has a thread, which handles one request
+ * after another.
  */
 final class HttpStandIn implements AutoCloseable {
     private static final int BACKLOG = 512;
--- a/src/rig/java/hopdrum/rig/trial/LinkFaults.java
+++ b/src/rig/java/hopdrum/rig/trial/LinkFaults.java
@@ -1,6 +1,8 @@
 package hopdrum.rig.trial;
 
-/** The faults of one direction of the link between two members; a change also affects messages in transit. Thread-safe. */
+/**
+ * The faults of one direction of the link between two members; a change also affects messages in transit. Thread-safe.
+ */
 final class LinkFaults {
     private volatile boolean partitioned;
     private volatile boolean held;
--- a/src/rig/java/hopdrum/rig/trial/LoadGenerator.java
+++ b/src/rig/java/hopdrum/rig/trial/LoadGenerator.java
@@ -15,8 +15,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The clients of one trial: an open loop that sends requests at a fixed rate whatever the responses are, each on a connection of
- * its own. Each request and its outcome are recorded in the journal, from which the checker evaluates them.
+ * The clients of one trial: an open loop that sends requests at a fixed rate whatever the responses are, each on a
+ * connection of its own. Each request and its outcome are recorded in the journal, from which the checker evaluates
+ * them.
  */
 final class LoadGenerator implements AutoCloseable {
     private static final int MAX_CONCURRENT = 200;
@@ -56,8 +57,8 @@
      *
      * @param ports the port on which each front door listens for clients
      * @param tiers groups of front doors, in the order of their ordinals; a customer belongs to one group
-     * @param isAnyFrontDoorAllowed whether each front door accepts each customer, so that the front doors determine over how many
-     *     of them a customer is spread
+     * @param isAnyFrontDoorAllowed whether each front door accepts each customer, so that the front doors determine
+     *     over how many of them a customer is spread
      * @param seed the seed of the random choice of customers, front doors and methods
      */
     LoadGenerator(
--- a/src/rig/java/hopdrum/rig/trial/LogWatcher.java
+++ b/src/rig/java/hopdrum/rig/trial/LogWatcher.java
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Waits until each of these front doors has logged a view with all of them as members, for 60 s at most, so that a machine
-     * that is slow to start processes does not affect the verdict.
+     * Waits until each of these front doors has logged a view with all of them as members, for 60 s at most, so that a
+     * machine that is slow to start processes does not affect the verdict.
      *
      * @throws IOException if a log cannot be read
      * @throws InterruptedException if the thread is interrupted while it waits
--- a/src/rig/java/hopdrum/rig/trial/LoopbackListener.java
+++ b/src/rig/java/hopdrum/rig/trial/LoopbackListener.java
@@ -54,7 +54,9 @@
         return listener.isClosed();
     }
 
-    /** Registers a connection opened on behalf of an accepted one, so that it is closed together with the accepted ones. */
+    /**
+     * Registers a connection opened on behalf of an accepted one, so that it is closed together with the accepted ones.
+     */
     void track(Socket socket) {
         openSockets.add(socket);
     }
--- a/src/rig/java/hopdrum/rig/trial/PlatformStandIns.java
+++ b/src/rig/java/hopdrum/rig/trial/PlatformStandIns.java
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Returns the port of discovery for one front door. Discovery lists each backend under the address of a path that only this
-     * front door uses. The first call starts the stand-in and opens the paths.
+     * Returns the port of discovery for one front door. Discovery lists each backend under the address of a path that
+     * only this front door uses. The first call starts the stand-in and opens the paths.
      *
      * @throws IOException if no port can be opened
      */
--- a/src/rig/java/hopdrum/rig/trial/PortReservations.java
+++ b/src/rig/java/hopdrum/rig/trial/PortReservations.java
@@ -9,8 +9,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Reserves free loopback ports by binding them until the process that needs them starts, so that no other process takes them
- * meanwhile. The ports are below the ephemeral range, from which outgoing connections get their ports. Confined to one thread.
+ * Reserves free loopback ports by binding them until the process that needs them starts, so that no other process takes
+ * them meanwhile. The ports are below the ephemeral range, from which outgoing connections get their ports. Confined to
+ * one thread.
  */
 final class PortReservations implements AutoCloseable {
     private static final int MIN_PORT = 12_000;
--- a/src/rig/java/hopdrum/rig/trial/SchedulingDelayMonitor.java
+++ b/src/rig/java/hopdrum/rig/trial/SchedulingDelayMonitor.java
@@ -1,8 +1,8 @@
 package hopdrum.rig.trial;
 
 /**
- * Records the maximum delay with which a thread of the trial wakes from sleep, for each second. The delays tell a slow machine from
- * a slow program.
+ * Records the maximum delay with which a thread of the trial wakes from sleep, for each second. The delays tell a slow
+ * machine from a slow program.
  */
 final class SchedulingDelayMonitor implements AutoCloseable {
     private static final long WINDOW_US = 1_000_000;
--- a/src/rig/java/hopdrum/rig/trial/SiteFaults.java
+++ b/src/rig/java/hopdrum/rig/trial/SiteFaults.java
@@ -9,8 +9,9 @@
 import java.util.Map;
 
 /**
- * Sets the delays between sites, both on fleet links and on the front doors' paths to backends, and makes the backends of sites
- * unreachable. Publishes both in {@code ways.json} for the reference placements, which know them in advance. Confined to one thread.
+ * Sets the delays between sites, both on fleet links and on the front doors' paths to backends, and makes the backends
+ * of sites unreachable. Publishes both in {@code ways.json} for the reference placements, which know them in advance.
+ * Confined to one thread.
  */
 final class SiteFaults {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -35,7 +36,10 @@
         applyDelays("", 1);
     }
 
-    /** Sets all delays to those of the trial file, with the delays between one site and all others multiplied by a factor. */
+    /**
+     * Sets all delays to those of the trial file, with the delays between one site and all others multiplied by a
+     * factor.
+     */
     void slowSite(String site, double factor) throws IOException {
         applyDelays(site, factor);
     }
--- a/src/rig/java/hopdrum/rig/trial/Step.java
+++ b/src/rig/java/hopdrum/rig/trial/Step.java
@@ -9,7 +9,8 @@
  *
  * @param atMs the time after the trial's begin
  * @param action what is done or expected
- * @param targets the names of the front doors concerned; for {@code amend} the operator, for {@code await_revision} the revision
+ * @param targets the names of the front doors concerned; for {@code amend} the operator, for {@code await_revision} the
+ *     revision
  * @param arguments the step's other keys and their values
  */
 record Step(long atMs, StepAction action, List<String> targets, Map<String, Object> arguments) {
--- a/src/rig/java/hopdrum/rig/trial/TermsFiles.java
+++ b/src/rig/java/hopdrum/rig/trial/TermsFiles.java
@@ -19,8 +19,8 @@
     }
 
     /**
-     * Replaces an operator's terms file. Times are given in seconds from now under {@code from_s} and {@code until_s}, and are
-     * written as absolute times under {@code from} and {@code until}.
+     * Replaces an operator's terms file. Times are given in seconds from now under {@code from_s} and {@code until_s},
+     * and are written as absolute times under {@code from} and {@code until}.
      *
      * @throws IOException if the file cannot be written
      */
--- a/src/rig/java/hopdrum/rig/trial/Testbed.java
+++ b/src/rig/java/hopdrum/rig/trial/Testbed.java
@@ -9,8 +9,9 @@
 import java.util.Map;
 
 /**
- * The environment of the processes of one trial: their ports, the proxies in front of them and the stand-ins for each operator's
- * platform. It is complete before any process starts; afterwards only the port reservations change, in the trial's thread.
+ * The environment of the processes of one trial: their ports, the proxies in front of them and the stand-ins for each
+ * operator's platform. It is complete before any process starts; afterwards only the port reservations change, in the
+ * trial's thread.
  */
 final class Testbed implements AutoCloseable {
     private final TrialFile file;
@@ -122,7 +123,10 @@
         return fleetProxies.get(frontDoor);
     }
 
-    /** Returns the proxy through which other front doors forward requests to a front door; null in a trial without shards. */
+    /**
+     * Returns the proxy through which other front doors forward requests to a front door; null in a trial without
+     * shards.
+     */
     DelayingProxy forwardingProxy(String frontDoor) {
         return forwardingProxies.get(frontDoor);
     }
--- a/src/rig/java/hopdrum/rig/trial/Trial.java
+++ b/src/rig/java/hopdrum/rig/trial/Trial.java
@@ -75,8 +75,8 @@
     }
 
     /**
-     * Runs {@code ./trial FILE [--seed N] [--out DIR]}. The exit code is 0 if all rules were kept, 1 if a rule was broken, and 2
-     * if the file or the arguments cannot be used.
+     * Runs {@code ./trial FILE [--seed N] [--out DIR]}. The exit code is 0 if all rules were kept, 1 if a rule was
+     * broken, and 2 if the file or the arguments cannot be used.
      *
      * @throws IOException as {@link #run}
      * @throws InterruptedException as {@link #run}
--- a/src/rig/java/hopdrum/rig/trial/TrialFile.java
+++ b/src/rig/java/hopdrum/rig/trial/TrialFile.java
@@ -7,21 +7,21 @@
 import java.util.TreeSet;
 
 /**
- * A trial as its file describes it; docs/trials.md has the form.
+ * A trial as its file describes it; docs/trials.md describes the format.
  *
- * @param about one sentence
+ * @param about a sentence that describes the trial
  * @param probePeriodMs the fleet's probe period
  * @param leaseMs the fleet's lease duration
  * @param backends the backends of each operator at each site
- * @param placement how the doors choose sites
+ * @param placement how the front doors choose a site for a request
  * @param load what clients send
- * @param lengthMs when the trial ends, after its begin
+ * @param lengthMs the trial's duration from its begin to its end
  * @param shards how customers are shared between operators
  * @param frontDoors the processes
- * @param delaysMs one way between two sites, as it is written
- * @param founders the names of the members of the fleet's first view
- * @param warm doors that are settled before the trial begins
- * @param steps in the order of their times
+ * @param delaysMs the one-way delay between two sites, by the pair as the file has it
+ * @param founders the member names of the fleet's first view
+ * @param warm the front doors that are started and have a common view before the trial begins
+ * @param steps the steps in the order of their times
  */
 record TrialFile(
         String about,
@@ -41,34 +41,34 @@
     /**
      * One process.
      *
-     * @param name its name in the trial
-     * @param operator whose it is
-     * @param site where it is
-     * @param memberName its name in the fleet
-     * @param injectedFault the fault that it has on purpose; empty: none
+     * @param name the name in the trial
+     * @param operator the operator that runs the front door
+     * @param site the site of the front door
+     * @param memberName the member name in the fleet
+     * @param injectedFault the front door's deliberate fault; empty for none
      */
     record FrontDoor(String name, String operator, String site, String memberName, String injectedFault) {}
 
     /**
-     * Backends of one operator at one site.
+     * The backends of one operator at one site.
      *
-     * @param count how many
-     * @param workMs how long an RPC takes
-     * @param slots how many RPCs a backend executes at once; 0: any number
+     * @param count the number of backends
+     * @param workMs the execution time of a request
+     * @param slots the number of requests that a backend executes at once; 0 for no limit
      */
     record Backends(int count, int workMs, int slots) {}
 
     /**
      * What clients send, and each customer's plan.
      *
-     * @param requestsPerSecond of all clients together; 0: there are none
-     * @param customers how many
-     * @param rate a customer's quota, RPCs a second
-     * @param burst a customer's burst, RPCs
-     * @param ceilingRate a customer's ceiling over all operators, RPCs a second; 0: none
-     * @param ceilingBurst the ceiling's burst, RPCs
-     * @param deadlineMs the deadline of each RPC; the soft deadline is half of it
-     * @param frontDoors the doors that clients connect to
+     * @param requestsPerSecond the rate of all clients together; 0 for no clients
+     * @param customers the number of customers
+     * @param rate a customer's quota in requests per second
+     * @param burst a customer's burst in requests
+     * @param ceilingRate a customer's ceiling over all operators in requests per second; 0 for no ceiling
+     * @param ceilingBurst the burst of the ceiling in requests
+     * @param deadlineMs the deadline of each request; the soft deadline is half of it
+     * @param frontDoors the names of the front doors that clients connect to
      */
     record Load(
             double requestsPerSecond,
@@ -80,6 +80,7 @@
             int deadlineMs,
             List<String> frontDoors) {
 
+        /** Returns the same load sent to these front doors. */
         Load withFrontDoors(List<String> entryFrontDoors) {
             return new Load(
                     requestsPerSecond, customers, rate, burst, ceilingRate, ceilingBurst, deadlineMs, entryFrontDoors);
@@ -89,18 +90,20 @@
     /**
      * How customers are shared between operators.
      *
-     * @param count how many shards; 0: each customer belongs to one operator
-     * @param maxAloneMs how long an operator may act without the others
-     * @param terms by operator: its terms at the start
+     * @param count the number of shards; 0 if each customer belongs to one operator
+     * @param maxAloneMs how long an operator may act without contact to the others
+     * @param terms by operator: the operator's terms at the start
      */
     record Shards(int count, int maxAloneMs, Map<String, Map<String, Object>> terms) {
+        /** Returns whether customers are shared between operators at all. */
         boolean isUsed() {
             return count > 0;
         }
     }
 
-    /** Two sites, as a delay between them is written: {@code first-second}. */
+    /** Two sites, as the key of a delay between them is written: {@code first-second}. */
     record SitePair(String first, String second) {
+        /** Returns the pair in the other order. */
         SitePair reversed() {
             return new SitePair(second, first);
         }
@@ -114,14 +117,19 @@
     /**
      * Reads a trial file.
      *
-     * @param seed of the faults that are drawn at random
-     * @throws InvalidTrialFileException if the file cannot be used, with all its faults
+     * @param seed the seed of the faults that are drawn at random
+     * @throws InvalidTrialFileException if the file cannot be used; the message has all errors in the file
+     * @throws IOException if the file cannot be read
      */
     static TrialFile read(Path file, long seed) throws IOException {
         return new TrialFileParser(file).parse(seed);
     }
 
-    /** The door of this name; there is one. */
+    /**
+     * Returns the front door of this name.
+     *
+     * @throws java.util.NoSuchElementException if there is none
+     */
     FrontDoor frontDoor(String name) {
         return frontDoors.stream()
                 .filter(frontDoor -> frontDoor.name().equals(name))
@@ -129,12 +137,12 @@
                 .orElseThrow();
     }
 
-    /** All sites that have doors, sorted. */
+    /** Returns all sites that have front doors, sorted by name. */
     TreeSet<String> sites() {
         return new TreeSet<>(frontDoors.stream().map(FrontDoor::site).toList());
     }
 
-    /** The delay between two sites, one way, in milliseconds. */
+    /** Returns the one-way delay between two sites in milliseconds, in either direction; 0 if the file has none. */
     double delayMs(String fromSite, String toSite) {
         SitePair pair = new SitePair(fromSite, toSite);
         return delaysMs.getOrDefault(pair, delaysMs.getOrDefault(pair.reversed(), 0.0));
--- a/src/rig/java/hopdrum/rig/trial/TrialFileParser.java
+++ b/src/rig/java/hopdrum/rig/trial/TrialFileParser.java
@@ -22,7 +22,7 @@
 import org.yaml.snakeyaml.constructor.SafeConstructor;
 import org.yaml.snakeyaml.error.YAMLException;
 
-/** Reads one trial file; collects all faults of it before it gives up. */
+/** Reads one trial file. Collects all errors in the file, so that one exception reports them together. */
 final class TrialFileParser {
     private static final Set<String> TRIAL_KEYS = Set.of(
             "about",
@@ -76,6 +76,13 @@
         this.file = file;
     }
 
+    /**
+     * Parses the file.
+     *
+     * @param seed the seed of the faults that are drawn at random
+     * @throws InvalidTrialFileException if the file cannot be used; the message has all errors in the file
+     * @throws IOException if the file cannot be read
+     */
     TrialFile parse(long seed) throws IOException {
         Map<?, ?> trial = readYaml();
         checkKeys("the trial", trial, TRIAL_KEYS);
@@ -122,7 +129,7 @@
             return new Yaml(new SafeConstructor(new LoaderOptions())).load(Files.readString(file));
         } catch (YAMLException e) {
             throw new InvalidTrialFileException(
-                    file, "no YAML: " + e.getMessage().lines().findFirst().orElse(""), e);
+                    file, "invalid YAML: " + e.getMessage().lines().findFirst().orElse(""), e);
         }
     }
 
@@ -141,7 +148,7 @@
 
     private void parseFrontDoor(Object node) {
         Map<?, ?> frontDoor = node instanceof Map<?, ?> keys ? keys : Map.of();
-        checkKeys("a door", frontDoor, FRONT_DOOR_KEYS);
+        checkKeys("a front door", frontDoor, FRONT_DOOR_KEYS);
         String name = String.valueOf(frontDoor.get("name"));
         frontDoors.add(new FrontDoor(
                 name,
@@ -163,7 +170,7 @@
                         || !sites.contains(siteNames[1])
                         || !(value instanceof Number delayMs && delayMs.doubleValue() >= 0)) {
                     errors.add("delays_ms: " + key + ": " + value
-                            + ", expected SITE-SITE: milliseconds one way, of sites that doors have");
+                            + ", expected SITE-SITE: one-way delay in milliseconds, between sites of front doors");
                 } else {
                     delaysMs.put(new SitePair(siteNames[0], siteNames[1]), delayMs.doubleValue());
                 }
@@ -182,13 +189,13 @@
 
     private Map<String, Object> parseTerms(Object operator, Object node) {
         if (frontDoors.stream().noneMatch(frontDoor -> frontDoor.operator().equals(String.valueOf(operator)))) {
-            errors.add("terms: no door is " + operator + "'s");
+            errors.add("terms: operator " + operator + " has no front door");
         }
         Map<String, Object> terms = new LinkedHashMap<>();
         if (node instanceof Map<?, ?> keys) {
             keys.forEach((key, value) -> terms.put(String.valueOf(key), value));
         } else {
-            errors.add("terms: of " + operator + ": are no keys and values");
+            errors.add("terms: operator " + operator + ": expected keys and values");
         }
         return terms;
     }
@@ -212,7 +219,7 @@
             }
         }
         if (action == null || !(keys.get("at_s") instanceof Number atS)) {
-            errors.add("a step lacks what it does or its at_s: " + keys);
+            errors.add("a step needs an action and a numeric at_s: " + keys);
             return;
         }
         if (action == StepAction.AMEND) {
@@ -238,7 +245,7 @@
         for (Step step : steps) {
             if (step.atMs() > lengthMs) {
                 errors.add("the step " + step.action().key() + " at " + step.atMs() / 1000.0
-                        + " s comes after the trial's end, " + lengthMs / 1000.0 + " s");
+                        + " s is after the trial's end at " + lengthMs / 1000.0 + " s");
             }
         }
     }
@@ -247,7 +254,7 @@
         return frontDoors.stream().map(FrontDoor::name).toList();
     }
 
-    /** "all", a name, or a list of names. */
+    /** Parses "all", a name of a front door, or a list of names; unknown names are errors. */
     private List<String> parseNames(Object node) {
         List<String> known = frontDoorNames();
         if ("all".equals(node)) {
@@ -259,7 +266,7 @@
             if (known.contains(String.valueOf(name))) {
                 found.add(String.valueOf(name));
             } else {
-                errors.add("no door has the name " + name);
+                errors.add("no front door has the name " + name);
             }
         }
         return found;
@@ -277,13 +284,13 @@
     private double number(Map<?, ?> map, String key, double defaultValue) {
         Object value = map.get(key);
         if (value != null && !(value instanceof Number number && number.doubleValue() >= 0)) {
-            errors.add(key + " is no figure from 0 on: " + value);
+            errors.add(key + ": expected a number of at least 0, got " + value);
             return defaultValue;
         }
         return value instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
-    /** A key in seconds, as milliseconds. */
+    /** Returns the value of a key in seconds, as milliseconds. */
     private long milliseconds(Map<?, ?> map, String key, double defaultSeconds) {
         return (long) (1_000 * number(map, key, defaultSeconds));
     }
--- a/src/rig/java/hopdrum/rig/trial/TrialRun.java
+++ b/src/rig/java/hopdrum/rig/trial/TrialRun.java
@@ -11,7 +11,9 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Plays one trial: the processes, everything around them, and the schedule of the trial file. Played by one thread. */
+/**
+ * Plays one trial: sets up the environment, starts the processes and applies the steps of the trial file on one thread.
+ */
 final class TrialRun implements AutoCloseable {
     private final TrialFile file;
     private final Path outputFolder;
@@ -22,14 +24,16 @@
     private final SiteFaults siteFaults;
     private final LogWatcher logWatcher;
     private final FaultInjector faultInjector;
-    private LoadGenerator clients; // null until the first view is expected
+    private LoadGenerator clients; // null until the step that expects the first view
     private SchedulingDelayMonitor schedulingDelay; // null until the trial begins
 
     /**
-     * Prepares everything; no process is started yet.
+     * Sets up the environment without starting a process.
      *
-     * @param outputFolder where all logs go
-     * @param home the checkout whose {@code target} the processes are started from
+     * @param seed the seed of everything that is drawn at random
+     * @param outputFolder the folder for all logs
+     * @param home the checkout whose {@code target} folder has the program to start
+     * @throws IOException if a file cannot be created or a socket cannot be opened
      */
     TrialRun(TrialFile file, long seed, Path outputFolder, Path home) throws IOException {
         this.file = file;
@@ -53,7 +57,12 @@
         }
     }
 
-    /** Plays the whole schedule, ends all processes by SIGTERM and returns once they have ended. */
+    /**
+     * Applies all steps at their times, then ends all processes by SIGTERM and waits until they have ended.
+     *
+     * @throws IOException if a process cannot be started or a file cannot be read or written
+     * @throws InterruptedException if the thread is interrupted during the trial
+     */
     void play() throws IOException, InterruptedException {
         logSetup();
         for (Map.Entry<String, Map<String, Object>> terms :
@@ -118,7 +127,7 @@
                 .write();
     }
 
-    /** Clients come once the first view is due. */
+    /** Starts the clients, which send from the time at which the first view is due. */
     private LoadGenerator startClients(long delayMs) {
         List<String> allFrontDoors = List.copyOf(testbed.clientPorts().keySet());
         List<List<String>> tiers = file.shards().isUsed()
@@ -151,7 +160,7 @@
         }
     }
 
-    /** Ends all processes at once. May be called from a shutdown hook. */
+    /** Ends all processes by SIGKILL. May be called from a shutdown hook. */
     void killProcesses() {
         processes.killAll();
     }
--- a/src/test/java/hopdrum/rig/trial/DelayingProxyTest.java
+++ b/src/test/java/hopdrum/rig/trial/DelayingProxyTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The path from a door to a backend: its delay, and its loss. */
+/**
+ * Checks that the emulated path from a front door to a backend delays bytes, drops them while blocked and closes
+ * connections.
+ */
 @Timeout(20)
 class DelayingProxyTest {
     private static final int SILENCE_MS = 300;
@@ -38,7 +41,7 @@
     }
 
     @Test
-    void bytesPassInBothDirectionsAndTheEndOfAConnectionToo() throws IOException {
+    void bytesPassInBothDirectionsAndSoDoesTheEndOfTheConnection() throws IOException {
         try (Socket client = connect();
                 Socket server = target.accept()) {
             client.getOutputStream().write(1);
@@ -51,7 +54,7 @@
     }
 
     @Test
-    void aConnectionsFirstBytesTakeARoundTripMore() throws IOException {
+    void firstBytesOfAConnectionTakeAnAdditionalRoundTrip() throws IOException {
         proxy.setDelay(50_000);
         long sentUs = EventJournal.nowUs();
         try (Socket client = connect()) {
@@ -65,7 +68,7 @@
     }
 
     @Test
-    void nothingPassesWhileThePathIsLostAndItsConnectionsEndWhenItIsBack() throws IOException {
+    void noBytesPassWhileThePathIsBlockedAndItsConnectionsEndWhenItIsUnblocked() throws IOException {
         try (Socket client = connect();
                 Socket server = target.accept()) {
             server.setSoTimeout(SILENCE_MS);
--- a/src/test/java/hopdrum/rig/trial/FaultInjectingProxyTest.java
+++ b/src/test/java/hopdrum/rig/trial/FaultInjectingProxyTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Each fault of a link, on messages from member "a" through the proxy before member "b". */
+/** Checks each fault of a link on messages from member "a" through the proxy in front of member "b". */
 @Timeout(20)
 class FaultInjectingProxyTest {
     private static final ObjectMapper CBOR = new CBORMapper();
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aHeldLinkDeliversItsMessagesOnceItIsReleased() throws IOException {
+    void aHeldLinkDeliversItsMessagesOnceItIsCleared() throws IOException {
         link.hold();
         send(1);
         send(2);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void aThrottledMessageArrivesNoSoonerThanItsBytesTake() throws IOException {
+    void aMessageArrivesNoSoonerThanTheBandwidthLimitAllows() throws IOException {
         receiver.setSoTimeout(0);
         link.setBandwidth(100);
         long sentUs = EventJournal.nowUs();
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void onlyTheNamedMembersConnectionsAreReset() throws IOException {
+    void onlyConnectionsOfTheGivenMembersAreReset() throws IOException {
         proxy.reset(Set.of("c"));
         send(1);
         assertThat(receiveNumber()).isEqualTo(1);
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void falsifiedLatenciesAreTheSendersOwnReadingsAlone() throws IOException {
+    void onlyTheSendersOwnReadingsAreFalsified() throws IOException {
         network.falsifyLatencies("a", 3);
         List<Map<String, Object>> readings =
                 List.of(Map.of("observer", "a", "rttUs", 100), Map.of("observer", "c", "rttUs", 100));
--- a/src/test/java/hopdrum/rig/trial/TrialFileTest.java
+++ b/src/test/java/hopdrum/rig/trial/TrialFileTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Trial files: what is read from them, and that one which cannot be used names all its faults. */
+/** Checks what is read from trial files, and that an invalid file is rejected with all its errors at once. */
 class TrialFileTest {
     @TempDir
     Path folder;
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void keysThatAreLeftOutHaveDefaults() throws IOException {
+    void absentKeysHaveDefaults() throws IOException {
         TrialFile file = read("doors: [{name: a}]\nfounders: [a]\nsteps: []\n", 1);
         assertThat(file.frontDoors()).containsExactly(new TrialFile.FrontDoor("a", "north", "here", "a", ""));
         assertThat(file.probePeriodMs()).isEqualTo(200);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aDelayBetweenTwoSitesHoldsInBothDirections() throws IOException {
+    void aDelayBetweenTwoSitesAppliesInBothDirections() throws IOException {
         TrialFile file = read("doors: [{name: a}, {name: b, site: far}]\ndelays_ms: {here-far: 7.5}\n", 1);
         assertThat(file.delayMs("here", "far")).isEqualTo(7.5);
         assertThat(file.delayMs("far", "here")).isEqualTo(7.5);
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void allFaultsOfAFileAreNamedAtOnce() {
+    void allErrorsInAFileAreReportedAtOnce() {
         String text = "colour: red\nprobe_period_ms: -1\nlength_s: 3\ndoors: [{name: a, size: 2}]\n"
                 + "warm: [b]\ndelays_ms: {here-mars: 3}\nterms: {east: {moves: 1}}\nsteps:\n"
                 + "  - {kill: a}\n  - {at_s: 1, shout: a}\n  - {at_s: 9, cut: all, from: a, to: c}\n";
@@ -63,26 +63,26 @@
                 .isInstanceOf(InvalidTrialFileException.class)
                 .hasMessageContainingAll(
                         "the trial has the unknown key colour",
-                        "probe_period_ms is no figure from 0 on: -1",
-                        "a door has the unknown key size",
-                        "no door has the name b",
+                        "probe_period_ms: expected a number of at least 0, got -1",
+                        "a front door has the unknown key size",
+                        "no front door has the name b",
                         "delays_ms: here-mars: 3, expected SITE-SITE",
-                        "terms: no door is east's",
-                        "a step lacks what it does or its at_s: {kill=a}",
+                        "terms: operator east has no front door",
+                        "a step needs an action and a numeric at_s: {kill=a}",
                         "a step has the unknown key shout",
-                        "no door has the name c",
-                        "the step cut at 9.0 s comes after the trial's end, 3.0 s");
+                        "no front door has the name c",
+                        "the step cut at 9.0 s is after the trial's end at 3.0 s");
     }
 
     @Test
-    void aFileThatIsNoYamlIsRefusedByName() {
+    void aFileWithInvalidYamlIsRejectedByItsName() {
         assertThatThrownBy(() -> read("a: [1\n b", 1))
                 .isInstanceOf(InvalidTrialFileException.class)
-                .hasMessageContaining("trial.yaml: no YAML: ");
+                .hasMessageContaining("trial.yaml: invalid YAML: ");
     }
 
     @Test
-    void aSeedDrawsTheSameFaultsEachTimeAndAnotherSeedOthers() throws IOException {
+    void theSameSeedDrawsTheSameFaultsAndAnotherSeedDrawsOthers() throws IOException {
         String text = "doors: [{name: a}, {name: b}, {name: c}]\n"
                 + "random: {from_s: 1, to_s: 15, every_s: 1, hold_s: 1, most_down: 1,"
                 + " of: [kill, term, pause, cut, lose]}\n";
