--- a/src/rig/java/hopdrum/rig/trial/DelayingProxy.java
+++ b/src/rig/java/hopdrum/rig/trial/DelayingProxy.java
@@ -104,9 +104,9 @@
         try {
             OutputStream out = to.getOutputStream();
             for (TimedBytes chunk = queue.take(); chunk.length() > 0; chunk = queue.take()) {
-                long leftUs = chunk.receivedUs() + delayUs - EventJournal.nowUs();
-                if (leftUs > 0) {
-                    TimeUnit.MICROSECONDS.sleep(leftUs);
+                long remainingUs = chunk.receivedUs() + delayUs - EventJournal.nowUs();
+                if (remainingUs > 0) {
+                    TimeUnit.MICROSECONDS.sleep(remainingUs);
                 }
                 if (!blocked) {
                     out.write(chunk.bytes());
--- a/src/rig/java/hopdrum/rig/trial/FaultInjectingProxy.java
+++ b/src/rig/java/hopdrum/rig/trial/FaultInjectingProxy.java
@@ -116,8 +116,8 @@
         listener.track(server);
         try (client;
                 server) {
-            DataInputStream incoming = new DataInputStream(new BufferedInputStream(client.getInputStream()));
-            byte[] hello = readFrame(incoming);
+            DataInputStream fromPeer = new DataInputStream(new BufferedInputStream(client.getInputStream()));
+            byte[] hello = readFrame(fromPeer);
             String peer = parse(hello).path("who").path("name").asText("?");
             peers.put(client, peer);
             LinkFaults forward = network.linkFaults(peer, target);
@@ -128,10 +128,10 @@
             server.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), targetPort), CONNECT_TIMEOUT_MS);
             server.setTcpNoDelay(true);
             client.setTcpNoDelay(true);
-            DataInputStream replies = new DataInputStream(new BufferedInputStream(server.getInputStream()));
+            DataInputStream fromTarget = new DataInputStream(new BufferedInputStream(server.getInputStream()));
             Thread replyThread =
-                    DaemonThreads.start("proxy-back", () -> forwardToPeer(replies, server, client, backward));
-            forwardToTarget(incoming, client, server, forward, hello, peer);
+                    DaemonThreads.start("proxy-back", () -> forwardToPeer(fromTarget, server, client, backward));
+            forwardToTarget(fromPeer, client, server, forward, hello, peer);
             replyThread.join(DRAIN_MS);
         } catch (IOException e) {
             // One side has ended the connection; both sockets are closed.
@@ -177,7 +177,7 @@
     }
 
     /**
-     * Forwards frames to the peer. The first one, the answer to the hello, is never lost at random: without this frame
+     * Forwards frames to the peer. The first one, the reply to the hello, is never lost at random: without this frame
      * there is no connection on which further frames could be lost.
      */
     private void forwardToPeer(DataInputStream in, Socket from, Socket to, LinkFaults faults) {
--- a/src/rig/java/hopdrum/rig/trial/FrontDoorProcesses.java
+++ b/src/rig/java/hopdrum/rig/trial/FrontDoorProcesses.java
@@ -15,7 +15,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Starts, signals and ends the front doors' processes of one trial, and records each of these actions in the journal.
+ * Starts, signals and ends the front doors' processes of one trial, and records starts, signals and exits in the
+ * journal.
  */
 final class FrontDoorProcesses {
     private static final int TERM_TIMEOUT_MS = 6_000;
--- a/src/rig/java/hopdrum/rig/trial/PlatformStandIns.java
+++ b/src/rig/java/hopdrum/rig/trial/PlatformStandIns.java
@@ -28,8 +28,7 @@
     private final EventJournal journal;
     private final String operator;
     private final List<Backend> backends = new ArrayList<>();
-    private final Map<String, HttpStandIn> discoveryStandIns =
-            new HashMap<>(); // by front door, as each has paths of its own
+    private final Map<String, HttpStandIn> discoveryStandIns = new HashMap<>(); // by front door
     private final Map<SitePair, List<DelayingProxy>> paths = new HashMap<>(); // from front doors to backends
     private final CounterStandIns counter;
 
--- a/src/rig/java/hopdrum/rig/trial/RandomFaults.java
+++ b/src/rig/java/hopdrum/rig/trial/RandomFaults.java
@@ -18,7 +18,7 @@
  */
 record RandomFaults(
         long fromMs, long toMs, long meanIntervalMs, long meanDurationMs, int maxFaulty, List<String> kinds) {
-    private static final long RECOVERY_MS = 1_500; // the minimum time between two faults of a front door
+    private static final long RECOVERY_MS = 1_500; // from the end of a fault to the next one of the same front door
     private static final long MIN_RESTART_MS = 2_000; // between SIGTERM and the restart
     private static final int LOSS_PERCENT = 30;
 
@@ -33,8 +33,8 @@
     List<Step> drawSteps(List<String> frontDoors, SplittableRandom random, List<String> fileErrors) {
         List<Step> steps = new ArrayList<>();
         long[] faultyUntilMs = new long[frontDoors.size()];
-        for (long at = fromMs; at < toMs; at += meanIntervalMs / 2 + random.nextLong(meanIntervalMs)) {
-            long atMs = at;
+        for (long timeMs = fromMs; timeMs < toMs; timeMs += meanIntervalMs / 2 + random.nextLong(meanIntervalMs)) {
+            long atMs = timeMs;
             int index = random.nextInt(frontDoors.size());
             String kind = kinds.get(random.nextInt(kinds.size()));
             long untilMs = Math.min(toMs, atMs + meanDurationMs / 2 + random.nextLong(meanDurationMs));
@@ -44,16 +44,16 @@
                 continue;
             }
             faultyUntilMs[index] = untilMs + RECOVERY_MS;
-            FaultWindow window = window(frontDoors, index, atMs, untilMs);
+            FaultWindow faultWindow = faultWindow(frontDoors, index, atMs, untilMs);
             switch (kind) {
                 case "kill" -> {
                     String store = random.nextInt(4) == 0 ? "lost" : "kept";
-                    steps.addAll(kill(window, store));
+                    steps.addAll(killSteps(faultWindow, store));
                 }
-                case "term" -> steps.addAll(terminate(window));
-                case "pause" -> steps.addAll(pause(window));
-                case "cut" -> steps.addAll(partition(window));
-                case "lose" -> steps.addAll(loseMessages(window));
+                case "term" -> steps.addAll(terminateSteps(faultWindow));
+                case "pause" -> steps.addAll(pauseSteps(faultWindow));
+                case "cut" -> steps.addAll(partitionSteps(faultWindow));
+                case "lose" -> steps.addAll(messageLossSteps(faultWindow));
                 default ->
                     fileErrors.add("random: of: unknown kind " + kind + ", expected kill, term, pause, cut or lose");
             }
@@ -61,7 +61,7 @@
         return steps;
     }
 
-    private static FaultWindow window(List<String> frontDoors, int index, long fromMs, long untilMs) {
+    private static FaultWindow faultWindow(List<String> frontDoors, int index, long fromMs, long untilMs) {
         List<String> target = List.of(frontDoors.get(index));
         List<String> others = frontDoors.stream()
                 .filter(frontDoor -> !target.contains(frontDoor))
@@ -69,35 +69,36 @@
         return new FaultWindow(target, others, fromMs, untilMs);
     }
 
-    private static List<Step> kill(FaultWindow window, String store) {
+    private static List<Step> killSteps(FaultWindow faultWindow, String store) {
         return List.of(
-                new Step(window.fromMs, StepAction.KILL, window.target, Map.of()),
-                new Step(window.untilMs, StepAction.START, window.target, Map.of("store", store)));
+                new Step(faultWindow.fromMs, StepAction.KILL, faultWindow.target, Map.of()),
+                new Step(faultWindow.untilMs, StepAction.START, faultWindow.target, Map.of("store", store)));
     }
 
-    private static List<Step> terminate(FaultWindow window) {
-        long restartMs = Math.max(window.untilMs, window.fromMs + MIN_RESTART_MS);
+    private static List<Step> terminateSteps(FaultWindow faultWindow) {
+        long restartMs = Math.max(faultWindow.untilMs, faultWindow.fromMs + MIN_RESTART_MS);
         return List.of(
-                new Step(window.fromMs, StepAction.TERM, window.target, Map.of()),
-                new Step(restartMs, StepAction.START, window.target, Map.of()));
+                new Step(faultWindow.fromMs, StepAction.TERM, faultWindow.target, Map.of()),
+                new Step(restartMs, StepAction.START, faultWindow.target, Map.of()));
     }
 
-    private static List<Step> pause(FaultWindow window) {
+    private static List<Step> pauseSteps(FaultWindow faultWindow) {
         return List.of(
-                new Step(window.fromMs, StepAction.PAUSE, window.target, Map.of()),
-                new Step(window.untilMs, StepAction.WAKE, window.target, Map.of()));
+                new Step(faultWindow.fromMs, StepAction.PAUSE, faultWindow.target, Map.of()),
+                new Step(faultWindow.untilMs, StepAction.WAKE, faultWindow.target, Map.of()));
     }
 
-    private static List<Step> partition(FaultWindow window) {
+    private static List<Step> partitionSteps(FaultWindow faultWindow) {
         return List.of(
-                Step.between(window.fromMs, StepAction.CUT_BOTH, window.target, window.others),
-                Step.between(window.untilMs, StepAction.RELEASE, window.target, window.others));
+                Step.between(faultWindow.fromMs, StepAction.CUT_BOTH, faultWindow.target, faultWindow.others),
+                Step.between(faultWindow.untilMs, StepAction.RELEASE, faultWindow.target, faultWindow.others));
     }
 
-    private static List<Step> loseMessages(FaultWindow window) {
-        Map<String, Object> loss = Map.of("from", window.others, "to", window.target, "percent", LOSS_PERCENT);
+    private static List<Step> messageLossSteps(FaultWindow faultWindow) {
+        Map<String, Object> loss =
+                Map.of("from", faultWindow.others, "to", faultWindow.target, "percent", LOSS_PERCENT);
         return List.of(
-                new Step(window.fromMs, StepAction.LOSE, List.of(), loss),
-                Step.between(window.untilMs, StepAction.RELEASE, window.others, window.target));
+                new Step(faultWindow.fromMs, StepAction.LOSE, List.of(), loss),
+                Step.between(faultWindow.untilMs, StepAction.RELEASE, faultWindow.others, faultWindow.target));
     }
 }
--- a/src/rig/java/hopdrum/rig/trial/SiteFaults.java
+++ b/src/rig/java/hopdrum/rig/trial/SiteFaults.java
@@ -21,7 +21,7 @@
     private final EventJournal journal;
     private final Path publishedFile;
     private final Map<String, Boolean> lostSites = new LinkedHashMap<>();
-    private Map<String, Double> oneWayMs = Map.of(); // by "from-to"
+    private Map<String, Double> oneWayDelaysMs = Map.of(); // by "from-to"
 
     /** Creates the object; no delay applies before {@link #resetDelays}. */
     SiteFaults(Testbed testbed, EventJournal journal, Path outputFolder) {
@@ -63,7 +63,7 @@
         }
         if (!file.delaysMs().isEmpty()) {
             journal.event("distances").with("one_way_ms", delaysMs).write();
-            oneWayMs = delaysMs;
+            oneWayDelaysMs = delaysMs;
             publish();
         }
     }
@@ -85,6 +85,7 @@
     }
 
     private void publish() throws IOException {
-        AtomicFiles.replace(publishedFile, JSON.writeValueAsString(Map.of("one_way_ms", oneWayMs, "lost", lostSites)));
+        AtomicFiles.replace(
+                publishedFile, JSON.writeValueAsString(Map.of("one_way_ms", oneWayDelaysMs, "lost", lostSites)));
     }
 }
--- a/src/rig/java/hopdrum/rig/trial/TrialFile.java
+++ b/src/rig/java/hopdrum/rig/trial/TrialFile.java
@@ -20,7 +20,7 @@
  * @param frontDoors the processes
  * @param delaysMs the one-way delay between two sites, by the pair as the file has it
  * @param founders the member names of the fleet's first view
- * @param warm the front doors that are started and have a common view before the trial begins
+ * @param warmFrontDoors the front doors that are started and have a common view before the trial begins
  * @param steps the steps in the order of their times
  */
 record TrialFile(
@@ -35,7 +35,7 @@
         List<FrontDoor> frontDoors,
         Map<SitePair, Double> delaysMs,
         List<String> founders,
-        List<String> warm,
+        List<String> warmFrontDoors,
         List<Step> steps) {
 
     /**
--- a/src/rig/java/hopdrum/rig/trial/TrialFileParser.java
+++ b/src/rig/java/hopdrum/rig/trial/TrialFileParser.java
@@ -97,7 +97,7 @@
         Load load = parseLoad(loadMap);
         list(trial, "doors").forEach(this::parseFrontDoor);
         Map<SitePair, Double> delaysMs = parseDelays(trial.get("delays_ms"));
-        List<String> warm = parseNames(trial.get("warm"));
+        List<String> warmFrontDoors = parseNames(trial.get("warm"));
         load = load.withFrontDoors(loadMap.get("doors") == null ? frontDoorNames() : parseNames(loadMap.get("doors")));
         Map<String, Map<String, Object>> terms = parseAllTerms(trial.get("terms"));
         list(trial, "steps").forEach(this::parseStep);
@@ -120,7 +120,7 @@
                 frontDoors,
                 delaysMs,
                 list(trial, "founders").stream().map(String::valueOf).toList(),
-                warm,
+                warmFrontDoors,
                 steps);
     }
 
--- a/src/rig/java/hopdrum/rig/trial/TrialRun.java
+++ b/src/rig/java/hopdrum/rig/trial/TrialRun.java
@@ -12,7 +12,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Plays one trial: sets up the environment, starts the processes and applies the steps of the trial file on one thread.
+ * Plays one trial: sets up the environment, starts the processes and applies the steps of the trial file. Confined to
+ * one thread, except for {@link #killProcesses}.
  */
 final class TrialRun implements AutoCloseable {
     private final TrialFile file;
@@ -25,7 +26,7 @@
     private final LogWatcher logWatcher;
     private final FaultInjector faultInjector;
     private LoadGenerator clients; // null until the step that expects the first view
-    private SchedulingDelayMonitor schedulingDelay; // null until the trial begins
+    private SchedulingDelayMonitor schedulingDelayMonitor; // null until the trial begins
 
     /**
      * Sets up the environment without starting a process.
@@ -70,13 +71,13 @@
             TermsFiles.write(outputFolder, terms.getKey(), terms.getValue());
         }
         siteFaults.resetDelays();
-        for (String frontDoor : file.warm()) {
+        for (String frontDoor : file.warmFrontDoors()) {
             processes.start(frontDoor, StoreState.KEPT);
         }
-        logWatcher.awaitCompleteViews(file.warm());
+        logWatcher.awaitCompleteViews(file.warmFrontDoors());
         long beginUs = EventJournal.nowUs();
         journal.event("begin").write();
-        schedulingDelay = new SchedulingDelayMonitor(journal);
+        schedulingDelayMonitor = new SchedulingDelayMonitor(journal);
         for (Step step : file.steps()) {
             sleepUntil(beginUs + step.atMs() * 1_000);
             journal.event("step")
@@ -167,8 +168,8 @@
 
     @Override
     public void close() throws IOException {
-        if (schedulingDelay != null) {
-            schedulingDelay.close();
+        if (schedulingDelayMonitor != null) {
+            schedulingDelayMonitor.close();
         }
         if (clients != null) {
             clients.close();
