--- a/src/main/java/hopdrum/fleet/message/AgreementProposal.java
+++ b/src/main/java/hopdrum/fleet/message/AgreementProposal.java
@@ -6,11 +6,12 @@
 import java.util.TreeMap;
 
 /**
- * An agreement that an operator proposes, and what the parties have answered.
+ * An agreement that an operator proposes, with the answers of the parties so far.
  *
- * @param agreement what is proposed
- * @param proposer the operator that proposes it
- * @param answers by operator: empty where it agrees, else why it does not; an approval overrides a rejection, for good
+ * @param agreement the proposed agreement
+ * @param proposer the operator that proposes the agreement
+ * @param answers the answer by operator: empty for an approval, otherwise the reason for the rejection; an approval
+ *     permanently overrides a rejection
  */
 public record AgreementProposal(
         @JsonProperty("terms") PartnerAgreement agreement,
@@ -19,50 +20,52 @@
     private static final int MAX_ANSWER_LENGTH = 200;
     private static final String APPROVAL = "";
 
-    /** Checks the components; throws IllegalArgumentException where one cannot be. */
+    /** Validates the components; throws IllegalArgumentException if one is invalid. */
     public AgreementProposal {
-        Member.check(agreement != null && Member.isName(proposer), "an offer");
-        Member.check(answers != null && answers.size() <= agreement.parties().size() + 1, "what was said");
-        answers.forEach((operator, answer) -> Member.check(
-                Member.isName(operator) && answer != null && answer.length() <= MAX_ANSWER_LENGTH, "a word"));
+        Member.checkComponent(agreement != null && Member.isName(proposer), "proposal");
+        Member.checkComponent(
+                answers != null && answers.size() <= agreement.parties().size() + 1, "number of answers to a proposal");
+        answers.forEach((operator, answer) -> Member.checkComponent(
+                Member.isName(operator) && answer != null && answer.length() <= MAX_ANSWER_LENGTH,
+                "answer to a proposal"));
         answers = Collections.unmodifiableMap(new TreeMap<>(answers));
     }
 
     /**
-     * Makes a proposal that its proposer alone has approved.
+     * Creates a proposal that only its proposer has approved.
      *
-     * @param agreement what is proposed
-     * @param proposer the operator that proposes it
-     * @return the proposal
+     * @param agreement the proposed agreement
+     * @param proposer the operator that proposes the agreement
+     * @return the proposal with the proposer's approval as the only answer
      */
     public static AgreementProposal approvedByProposer(PartnerAgreement agreement, String proposer) {
         return new AgreementProposal(agreement, proposer, Map.of(proposer, APPROVAL));
     }
 
     /**
-     * Returns whether an operator has approved.
+     * Returns whether an operator has approved the agreement.
      *
      * @param operator the operator
-     * @return false also where it has not answered
+     * @return true if it has approved; false if it has rejected the agreement or has not answered
      */
     public boolean isApprovedBy(String operator) {
         return APPROVAL.equals(answers.get(operator));
     }
 
     /**
-     * Merges what two members know of one proposal: the same result in any order, however often.
+     * Merges the answers that two members know to one proposal. The merge is commutative, associative and idempotent.
      *
-     * @param other the same agreement, as another member knows it
-     * @return all answers of both
+     * @param other a proposal of the same agreement, as another member knows it
+     * @return the proposal with the answers of both
      */
-    public AgreementProposal merged(AgreementProposal other) {
+    public AgreementProposal mergedWith(AgreementProposal other) {
         Map<String, String> all = new TreeMap<>(answers);
-        other.answers.forEach((operator, answer) -> all.merge(operator, answer, AgreementProposal::prevailing));
+        other.answers.forEach((operator, answer) -> all.merge(operator, answer, AgreementProposal::prevailingAnswer));
         return new AgreementProposal(
                 agreement, proposer.compareTo(other.proposer) < 0 ? proposer : other.proposer, all);
     }
 
-    private static String prevailing(String one, String other) {
+    private static String prevailingAnswer(String one, String other) {
         if (one.isEmpty() || other.isEmpty()) {
             return APPROVAL;
         }
@@ -72,22 +75,22 @@
     /**
      * Adds an operator's approval.
      *
-     * @param operator the operator that agrees
-     * @return the proposal with it
+     * @param operator the operator that approves
+     * @return the proposal with the approval
      */
     public AgreementProposal withApproval(String operator) {
-        return merged(new AgreementProposal(agreement, proposer, Map.of(operator, APPROVAL)));
+        return mergedWith(new AgreementProposal(agreement, proposer, Map.of(operator, APPROVAL)));
     }
 
     /**
      * Adds an operator's rejection; an earlier approval takes precedence.
      *
-     * @param operator the operator that does not agree
-     * @param reason why, not empty; cut to the longest that a message may hold
-     * @return the proposal with it
+     * @param operator the operator that rejects the agreement
+     * @param reason why the operator rejects it, not empty; truncated to the longest answer that a message may hold
+     * @return the proposal with the rejection
      */
     public AgreementProposal withRejection(String operator, String reason) {
-        String kept = reason.length() > MAX_ANSWER_LENGTH ? reason.substring(0, MAX_ANSWER_LENGTH) : reason;
-        return merged(new AgreementProposal(agreement, proposer, Map.of(operator, kept)));
+        String truncated = reason.length() > MAX_ANSWER_LENGTH ? reason.substring(0, MAX_ANSWER_LENGTH) : reason;
+        return mergedWith(new AgreementProposal(agreement, proposer, Map.of(operator, truncated)));
     }
 }
--- a/src/main/java/hopdrum/fleet/message/Ballot.java
+++ b/src/main/java/hopdrum/fleet/message/Ballot.java
@@ -1,18 +1,18 @@
 package hopdrum.fleet.message;
 
 /**
- * One attempt to agree on a view; ballots are totally ordered, by round and then by proposer.
+ * The number of one Paxos round on a view. Ballots are totally ordered, by round and then by proposer.
  *
- * @param round from 1 on; 0 in {@link #NONE}
- * @param proposer the name of the member that proposes
+ * @param round the round, from 1; 0 in {@link #NONE}
+ * @param proposer the name of the member that proposes the view
  */
 public record Ballot(long round, String proposer) implements Comparable<Ballot> {
-    /** Below all ballots that are ever proposed. */
+    /** The ballot that is lower than all ballots that are proposed. */
     public static final Ballot NONE = new Ballot(0, "none");
 
-    /** Checks the components; throws IllegalArgumentException where one cannot be. */
+    /** Validates the components; throws IllegalArgumentException if one is invalid. */
     public Ballot {
-        Member.check(round >= 0 && round < Long.MAX_VALUE / 2 && Member.isName(proposer), "a ballot");
+        Member.checkComponent(round >= 0 && round < Long.MAX_VALUE / 2 && Member.isName(proposer), "ballot");
     }
 
     @Override
--- a/src/main/java/hopdrum/fleet/message/Codec.java
+++ b/src/main/java/hopdrum/fleet/message/Codec.java
@@ -31,35 +31,37 @@
      * Encodes a message.
      *
      * @param message the message
-     * @return its one form as bytes
+     * @return the CBOR encoding; a message always has the same one
      */
     public static byte[] encode(Message message) {
         try {
             return MAPPER.writerFor(Message.class).writeValueAsBytes(message);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a message of this program's own has no form", e);
+            throw new IllegalStateException("cannot encode a message", e);
         }
     }
 
     /**
      * Decodes a message.
      *
-     * @param bytes one message, whole
+     * @param bytes the encoding of exactly one message
      * @return the message
-     * @throws IllegalArgumentException with one line, for bytes that are no message
+     * @throws IllegalArgumentException with a message of one line, if the bytes do not encode a valid message
      */
     public static Message decode(byte[] bytes) {
         try {
             Message message = MAPPER.readValue(bytes, Message.class);
             if (message == null) {
-                throw new IllegalArgumentException("no message");
+                throw new IllegalArgumentException("the message is null");
             }
             return message;
         } catch (IOException | RuntimeException e) {
-            // RuntimeException too: Jackson answers some malformed bytes with a NullPointerException
+            // RuntimeException is caught too, since Jackson throws a NullPointerException for some malformed bytes.
             String reason = e instanceof JsonProcessingException j ? j.getOriginalMessage() : e.getMessage();
             throw new IllegalArgumentException(
-                    "no message: " + String.valueOf(reason).lines().findFirst().orElse(""), e);
+                    "malformed message: "
+                            + String.valueOf(reason).lines().findFirst().orElse(""),
+                    e);
         }
     }
 }
--- a/src/main/java/hopdrum/fleet/message/GossipUpdate.java
+++ b/src/main/java/hopdrum/fleet/message/GossipUpdate.java
@@ -3,33 +3,33 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * What one member believes of another, as it travels by gossip.
+ * The state of a member as another member believes it to be, spread by gossip.
  *
  * @param subject the member whose state is reported
- * @param incarnation raised by the subject alone, to refute a suspicion
+ * @param incarnation the subject's incarnation number, from 0; only the subject raises it, to refute a suspicion
  * @param state the believed state
- * @param reporter the name of the member that observed it, for suspicions
+ * @param reporter the name of the member that observed the state; tells independent suspicions apart
  */
 public record GossipUpdate(
         @JsonProperty("about") Member subject,
         long incarnation,
         State state,
         @JsonProperty("by") String reporter) {
-    /** States of a member; of one incarnation a later constant overrides an earlier one. */
+    /** The states of a member. Within one incarnation, a later constant overrides an earlier one. */
     public enum State {
-        /** It answers. */
+        /** The member answers pings. */
         ALIVE,
-        /** It did not answer; it may refute until the suspicion times out. */
+        /** The member did not answer a ping; it may refute the suspicion until that times out. */
         SUSPECT,
-        /** Its suspicion timed out. */
+        /** The suspicion of the member has timed out. */
         DEAD,
-        /** It has shut down gracefully. */
+        /** The member has shut down gracefully. */
         LEFT
     }
 
-    /** Checks the components; throws IllegalArgumentException where one cannot be. */
+    /** Validates the components; throws IllegalArgumentException if one is invalid. */
     public GossipUpdate {
-        Member.check(subject != null && state != null && Member.isName(reporter), "a gossip update");
-        Member.check(incarnation >= 0 && incarnation < Integer.MAX_VALUE, "an incarnation");
+        Member.checkComponent(subject != null && state != null && Member.isName(reporter), "gossip update");
+        Member.checkComponent(incarnation >= 0 && incarnation < Integer.MAX_VALUE, "incarnation");
     }
 }
--- a/src/main/java/hopdrum/fleet/message/Message.java
+++ b/src/main/java/hopdrum/fleet/message/Message.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * One message between members of a fleet. Making one throws IllegalArgumentException where a component cannot be. The
- * names in the annotations, and the record components' names, are the wire format.
+ * A message between members of a fleet. The constructors throw IllegalArgumentException if a component is invalid. The
+ * names in the annotations and the names of record components without an annotation are the wire format.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
 @JsonSubTypes({
@@ -35,30 +35,30 @@
     @JsonSubTypes.Type(value = Message.ShardsHandedOver.class, name = "opened")
 })
 public sealed interface Message {
-    /** The protocol version; peers of another are rejected. */
+    /** The protocol version; peers with another version are rejected. */
     int VERSION = 2;
-    /** The most gossip updates or latency readings of one message. */
+    /** The maximum number of gossip updates or latency readings in one message. */
     int MAX_LIST_SIZE = 2_000;
-    /** The most agreement proposals of one message. */
+    /** The maximum number of agreement proposals in one message. */
     int MAX_PROPOSALS = 32;
 
     private static List<GossipUpdate> checkedUpdates(List<GossipUpdate> updates) {
-        Member.check(updates != null && updates.size() <= MAX_LIST_SIZE, "gossip updates");
+        Member.checkComponent(updates != null && updates.size() <= MAX_LIST_SIZE, "list of gossip updates");
         return List.copyOf(updates);
     }
 
     private static void checkViewId(long era, long number) {
-        Member.check(era >= 0 && number >= 0, "a view's number");
+        Member.checkComponent(era >= 0 && number >= 0, "era or number of a view");
     }
 
     /**
-     * The first message on each connection, in both directions: the sender, its fleet and its protocol version.
+     * The first message on each connection, in both directions. States the sender, its fleet and its protocol version.
      *
      * @param version the sender's protocol version
      * @param fleet the fleet's name
-     * @param shards the number of shards; 0 where none are shared
-     * @param maxAloneMs the longest that an operator may act alone, milliseconds; 0 where no shards are shared
-     * @param sender the sender
+     * @param shards the number of shards; 0 if no shards are shared
+     * @param maxAloneMs the longest that an operator may act alone, milliseconds; 0 if no shards are shared
+     * @param sender the member that sends the hello
      */
     record Hello(
             int version,
@@ -67,17 +67,17 @@
             @JsonProperty("mostAloneMs") long maxAloneMs,
             @JsonProperty("who") Member sender)
             implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public Hello {
-            Member.check(sender != null && Member.isName(fleet), "a hello");
+            Member.checkComponent(sender != null && Member.isName(fleet), "sender or fleet of a hello");
         }
 
         /**
-         * Makes the hello of a member that shares no shards.
+         * Creates the hello of a member that shares no shards.
          *
          * @param version the sender's protocol version
          * @param fleet the fleet's name
-         * @param sender the sender
+         * @param sender the member that sends the hello
          */
         public Hello(int version, String fleet, Member sender) {
             this(version, fleet, 0, 0, sender);
@@ -85,7 +85,7 @@
     }
 
     /**
-     * Answers a hello in place of a hello; the connection's last message.
+     * Rejects a hello, instead of answering it with a hello. The last message on the connection.
      *
      * @param reason why the peer is rejected
      */
@@ -94,19 +94,19 @@
     // ---- Failure detection (SWIM) ----
 
     /**
-     * Asks for an ack; era and number name the sender's settled view.
+     * Asks the receiver for an ack, to find out whether it is alive.
      *
-     * @param seq the ping's number
-     * @param era era of the sender's settled view
-     * @param number number of the sender's settled view
-     * @param updates gossip updates, most urgent first
+     * @param seq the sequence number of the ping
+     * @param era the era of the sender's settled view
+     * @param number the number of the sender's settled view
+     * @param updates gossip updates, the most urgent first
      */
     record Ping(
             long seq,
             long era,
             long number,
             @JsonProperty("rumours") List<GossipUpdate> updates) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public Ping {
             checkViewId(era, number);
             updates = checkedUpdates(updates);
@@ -114,19 +114,19 @@
     }
 
     /**
-     * Answers a ping; era and number name the sender's settled view.
+     * Answers a ping.
      *
-     * @param seq the ping's number
-     * @param era era of the sender's settled view
-     * @param number number of the sender's settled view
-     * @param updates gossip updates, most urgent first
+     * @param seq the sequence number of the ping
+     * @param era the era of the sender's settled view
+     * @param number the number of the sender's settled view
+     * @param updates gossip updates, the most urgent first
      */
     record Ack(
             long seq,
             long era,
             long number,
             @JsonProperty("rumours") List<GossipUpdate> updates) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public Ack {
             checkViewId(era, number);
             updates = checkedUpdates(updates);
@@ -136,42 +136,42 @@
     /**
      * Asks the receiver to ping another member on the sender's behalf.
      *
-     * @param seq the number that the ack is to have
+     * @param seq the sequence number that the ack is to carry
      * @param target the member to ping
-     * @param updates gossip updates, most urgent first
+     * @param updates gossip updates, the most urgent first
      */
     record PingRequest(
             long seq,
             @JsonProperty("whom") Member target,
             @JsonProperty("rumours") List<GossipUpdate> updates) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public PingRequest {
-            Member.check(target != null, "nobody to ping");
+            Member.checkComponent(target != null, "target of a ping request");
             updates = checkedUpdates(updates);
         }
     }
 
     /**
-     * Answers a ping request whose target has not answered yet: the receiver of the request itself is alive.
+     * Answers a ping request whose target has not answered yet; shows that the receiver of the request is alive.
      *
-     * @param seq the ping request's number
+     * @param seq the sequence number of the ping request
      */
     record Nack(long seq) implements Message {}
 
     /**
-     * All that the sender believes of all members (anti-entropy).
+     * Transmits the states of all members as the sender believes them to be (anti-entropy).
      *
-     * @param answer whether this answers an exchange; one that does not asks for the same
-     * @param era era of the sender's settled view
-     * @param number number of the sender's settled view
-     * @param updates what the sender believes of each member
+     * @param answer whether this answers an exchange; an exchange that is not an answer asks for one
+     * @param era the era of the sender's settled view
+     * @param number the number of the sender's settled view
+     * @param updates the state of each member as the sender believes it to be
      */
     record FullStateExchange(
             boolean answer,
             long era,
             long number,
             @JsonProperty("rumours") List<GossipUpdate> updates) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public FullStateExchange {
             checkViewId(era, number);
             updates = checkedUpdates(updates);
@@ -181,111 +181,113 @@
     /**
      * Rejects a member that starts under the sender's name while the sender is alive.
      *
-     * @param holder the member that has the name
+     * @param holder the member that holds the name
      */
     record NameTaken(Member holder) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public NameTaken {
-            Member.check(holder != null, "no holder");
+            Member.checkComponent(holder != null, "holder of a name");
         }
     }
 
     /**
-     * Latency readings of the sender's own and of others; with its answer it is a latency probe.
+     * Transmits latency readings of the sender and of others. The time until the answer arrives is a latency sample.
      *
-     * @param seq the probe's number
-     * @param answer whether this answers a probe; one that does not asks for the same
-     * @param readings the youngest readings that the sender has
+     * @param seq the sequence number of the latency probe
+     * @param answer whether this answers an exchange; an exchange that is not an answer asks for one
+     * @param readings the most recent readings that the sender knows
      */
     record LatencyExchange(long seq, boolean answer, List<LatencyReading> readings) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public LatencyExchange {
-            Member.check(readings != null && readings.size() <= MAX_LIST_SIZE, "readings");
+            Member.checkComponent(readings != null && readings.size() <= MAX_LIST_SIZE, "list of latency readings");
             readings = List.copyOf(readings);
         }
     }
 
-    // ---- Settled views: era and number name the view that the next one is to follow ----
+    // ---- View consensus (Paxos): era and number identify the view that the next one is to follow ----
 
     /**
-     * Paxos phase 1a: asks for a promise.
+     * Asks for a promise (Paxos phase 1a).
      *
      * @param era the era of the view that the next one is to follow
      * @param number the number of the view that the next one is to follow; 0 for the founding
      * @param ballot the proposer's ballot
      */
     record Prepare(long era, long number, Ballot ballot) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public Prepare {
             checkViewId(era, number);
-            Member.check(ballot != null, "no ballot");
+            Member.checkComponent(ballot != null, "ballot: none");
         }
     }
 
     /**
-     * Paxos phase 1b: nothing below the ballot will be accepted.
+     * Promises that the sender accepts no view in a lower ballot (Paxos phase 1b).
      *
      * @param era the era of the view that the next one is to follow
      * @param number the number of the view that the next one is to follow; 0 for the founding
-     * @param ballot the ballot that is promised
-     * @param acceptedIn the ballot in which a view was accepted before; null if none was
-     * @param accepted the view that was accepted; null if none was
+     * @param ballot the promised ballot
+     * @param acceptedIn the ballot in which the sender accepted a view before; null if it has accepted none
+     * @param accepted the view that the sender accepted; null if it has accepted none
      */
     record Promise(long era, long number, Ballot ballot, Ballot acceptedIn, View accepted) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public Promise {
             checkViewId(era, number);
-            Member.check(ballot != null && (acceptedIn == null) == (accepted == null), "half a promise");
+            Member.checkComponent(
+                    ballot != null && (acceptedIn == null) == (accepted == null),
+                    "promise: no ballot, or an accepted view without its ballot or vice versa");
         }
     }
 
     /**
-     * Paxos phase 2a: asks to accept a view.
+     * Asks the receiver to accept a view (Paxos phase 2a).
      *
      * @param era the era of the view that the next one is to follow
      * @param number the number of the view that the next one is to follow; 0 for the founding
      * @param ballot the proposer's ballot
-     * @param view the view that is proposed
+     * @param view the proposed view
      */
     record Accept(long era, long number, Ballot ballot, View view) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public Accept {
             checkViewId(era, number);
-            Member.check(ballot != null && view != null, "nothing to accept");
-            Member.check(
+            Member.checkComponent(ballot != null && view != null, "ballot or view of an accept message");
+            Member.checkComponent(
                     number == 0 ? view.number() == 1 && view.era() > 0 : view.hasId(era, number + 1),
-                    "a view's number");
+                    "era or number of a proposed view");
         }
     }
 
     /**
-     * Paxos phase 2b: the sender has accepted the ballot's view, and has it on disk.
+     * Confirms that the sender has accepted the ballot's view and has stored it durably (Paxos phase 2b).
      *
      * @param era the era of the view that the next one is to follow
      * @param number the number of the view that the next one is to follow; 0 for the founding
-     * @param ballot the ballot
+     * @param ballot the ballot of the accepted view
      */
     record Accepted(long era, long number, Ballot ballot) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public Accepted {
             checkViewId(era, number);
-            Member.check(ballot != null, "no ballot");
+            Member.checkComponent(ballot != null, "ballot: none");
         }
     }
 
     /**
-     * Answers a prepare or accept whose ballot is below one that was promised.
+     * Rejects a prepare or accept message whose ballot is lower than the promised one.
      *
      * @param era the era of the view that the next one is to follow
      * @param number the number of the view that the next one is to follow; 0 for the founding
-     * @param promised the higher ballot that was promised
+     * @param promised the higher ballot that the sender has promised
      */
     record Preempted(
             long era, long number, @JsonProperty("by") Ballot promised) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public Preempted {
             checkViewId(era, number);
-            Member.check(promised != null, "no ballot");
+            Member.checkComponent(promised != null, "ballot: none");
         }
     }
 
@@ -295,66 +297,66 @@
      * @param view the settled view
      */
     record ViewSettled(View view) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public ViewSettled {
-            Member.check(view != null, "no view");
+            Member.checkComponent(view != null, "settled view: none");
         }
     }
 
     /**
-     * Asks for the receiver's settled view, where that is a later one than the sender's.
+     * Asks for the receiver's settled view, if that is later than the sender's.
      *
-     * @param era era of the sender's settled view
-     * @param number number of the sender's settled view
+     * @param era the era of the sender's settled view
+     * @param number the number of the sender's settled view
      */
     record SettledViewRequest(long era, long number) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public SettledViewRequest {
             checkViewId(era, number);
         }
     }
 
-    // ---- Leases: a member may act on its view for a time after a quorum was seen to hold it ----
+    // ---- Leases: a member may act on its view for a limited time after a quorum was seen to hold the view ----
 
     /**
      * Asks a member of a view to take part in a lease renewal round.
      *
      * @param era the view's era
      * @param number the view's number
-     * @param round the round's number
+     * @param round the number of the renewal round
      */
     record LeaseRenewalRequest(long era, long number, long round) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public LeaseRenewalRequest {
             checkViewId(era, number);
         }
     }
 
     /**
-     * Answers a renewal round.
+     * Confirms that the sender holds the view, in answer to a {@link LeaseRenewalRequest}.
      *
      * @param era the view's era
      * @param number the view's number
-     * @param round the round's number
-     * @param atUs the answering member's own monotonic clock, microseconds; it comes back in {@link LeaseGranted} and means
-     *     nothing to others
+     * @param round the number of the renewal round
+     * @param atUs the sender's monotonic clock, microseconds; returned to the sender in {@link LeaseGranted} and
+     *     meaningless to other members
      */
     record LeaseRenewalResponse(long era, long number, long round, long atUs) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public LeaseRenewalResponse {
             checkViewId(era, number);
         }
     }
 
     /**
-     * Grants a lease: a quorum has held the view since a time that was atUs or later on the receiver's own clock.
+     * Grants a lease: a quorum was seen to hold the view when the receiver's clock showed {@code atUs} or later.
      *
      * @param era the view's era
      * @param number the view's number
-     * @param atUs from when the receiver's lease counts, by its own monotonic clock, microseconds
+     * @param atUs the start of the receiver's lease by the receiver's monotonic clock, microseconds
      */
     record LeaseGranted(long era, long number, long atUs) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public LeaseGranted {
             checkViewId(era, number);
         }
@@ -363,31 +365,33 @@
     // ---- Shards ----
 
     /**
-     * Agreements that operators propose, with the answers known so far; merged in any order.
+     * Transmits agreements that operators propose, with the answers known so far. The order of arrival does not matter.
      *
-     * @param proposals what the sender knows of
+     * @param proposals the proposals that the sender knows
      */
     record AgreementProposals(@JsonProperty("offers") List<AgreementProposal> proposals) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public AgreementProposals {
-            Member.check(proposals != null && proposals.size() <= MAX_PROPOSALS, "offers");
+            Member.checkComponent(proposals != null && proposals.size() <= MAX_PROPOSALS, "list of proposals");
             proposals = List.copyOf(proposals);
         }
     }
 
     /**
-     * Announces to members of the sender's operator the shards whose former owners have all certainly stopped.
+     * Announces to members of the sender's operator the shards on which no former owner acts any more.
      *
-     * @param era the settled view's era
-     * @param viewNumbers by shard: the number of the view that it moved with
+     * @param era the era of the settled view
+     * @param viewNumbers by shard, the number of the view with which the shard changed its owner
      */
     record ShardsHandedOver(
             long era, @JsonProperty("numbers") Map<Integer, Long> viewNumbers) implements Message {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public ShardsHandedOver {
-            Member.check(era >= 0 && viewNumbers != null && viewNumbers.size() <= ShardAssignment.MAX_SHARDS, "shards");
-            viewNumbers.forEach((shard, number) ->
-                    Member.check(shard >= 0 && shard < ShardAssignment.MAX_SHARDS && number > 0, "a shard"));
+            Member.checkComponent(
+                    era >= 0 && viewNumbers != null && viewNumbers.size() <= ShardAssignment.MAX_SHARDS,
+                    "era or number of shards");
+            viewNumbers.forEach((shard, number) -> Member.checkComponent(
+                    shard >= 0 && shard < ShardAssignment.MAX_SHARDS && number > 0, "shard or view number"));
             viewNumbers = Map.copyOf(viewNumbers);
         }
     }
--- a/src/main/java/hopdrum/fleet/message/PartnerAgreement.java
+++ b/src/main/java/hopdrum/fleet/message/PartnerAgreement.java
@@ -7,18 +7,20 @@
 import java.util.Set;
 
 /**
- * What partners have agreed on, or one of them proposes: which share of the shards each owns, from when until when.
+ * The terms on which partner operators share customers: each operator's share of the shards, and the period. An
+ * agreement is either in force or proposed by one of the operators.
  *
  * @param name the agreement's name
- * @param revision from 1 on; each follows the one before, under whatever name
- * @param parties sorted by operator
- * @param fromMs wall clock; not in force before
- * @param untilMs wall clock; from then on each party has its floor
- * @param aloneMs how long an operator's front doors act on their shards without contact to a majority of the fleet
- * @param standIn whether others take over the shards of an operator that has been absent for so long
- * @param maxMovesPerEpoch shards that change their owner in an epoch, at most
- * @param epochMs an epoch's length
- * @param noticeMs the notice period after which one party may end the agreement
+ * @param revision the revision, from 1; an agreement follows the one with the revision before it, whatever their names
+ * @param parties the parties with their figures, sorted by operator
+ * @param fromMs the earliest time at which the agreement comes into force, milliseconds of the wall clock
+ * @param untilMs when the agreement expires, milliseconds of the wall clock; from then on each party has its floor
+ * @param aloneMs how long an operator's front doors act on their shards without contact to a majority of the fleet,
+ *     milliseconds
+ * @param standIn whether the others take over the shards of an operator that has been absent for {@code aloneMs}
+ * @param maxMovesPerEpoch the maximum number of shards that change their owner in one epoch
+ * @param epochMs the length of an epoch, milliseconds
+ * @param noticeMs the notice period after which one party may end the agreement, milliseconds
  */
 public record PartnerAgreement(
         String name,
@@ -33,74 +35,74 @@
         long noticeMs) {
     private static final int MAX_PARTIES = 30;
     private static final int MAX_WEIGHT = 1_000_000;
-    private static final long LAST_MS = 7_258_118_400_000L; // the year 2200
+    private static final long MAX_TIME_MS = 7_258_118_400_000L; // the year 2200
     private static final long MAX_ALONE_MS = 240_000;
     private static final long MAX_EPOCH_MS = 3_600_000;
 
     /**
-     * One operator's part.
+     * One operator's figures in an agreement.
      *
-     * @param operator the operator
-     * @param capacity what it contributes, in the parties' common unit
-     * @param share its weight: its share of the shards is to the others' as this is to theirs; above its capacity, it
-     *     borrows
-     * @param floor its weight once the agreement has expired
+     * @param operator the operator's name
+     * @param capacity the capacity that the operator contributes, in the parties' common unit
+     * @param share the operator's weight; the shards are divided in proportion to the weights, and an operator whose
+     *     weight is above its capacity borrows from the others
+     * @param floor the operator's weight once the agreement has expired
      */
     public record Party(
             String operator,
             @JsonProperty("brings") int capacity,
             @JsonProperty("owed") int share,
             int floor) {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public Party {
-            Member.check(Member.isName(operator), "a party's name");
-            Member.check(
+            Member.checkComponent(Member.isName(operator), "name of a party");
+            Member.checkComponent(
                     capacity >= 0 && capacity <= MAX_WEIGHT && share >= 0 && share <= MAX_WEIGHT && floor >= 0,
-                    "a party's figures");
+                    "capacity, share or floor of a party");
         }
     }
 
-    /** Checks the components; throws IllegalArgumentException where one cannot be. */
+    /** Validates the components; throws IllegalArgumentException if one is invalid. */
     public PartnerAgreement {
-        Member.check(Member.isName(name) && revision > 0, "an agreement's name");
-        Member.check(parties != null && parties.size() <= MAX_PARTIES, "parties");
+        Member.checkComponent(Member.isName(name) && revision > 0, "name or revision of an agreement");
+        Member.checkComponent(parties != null && parties.size() <= MAX_PARTIES, "number of parties");
         parties = List.copyOf(parties);
         Set<String> names = new HashSet<>();
-        parties.forEach(p -> Member.check(names.add(p.operator()), "a party twice"));
-        Member.check(
+        parties.forEach(party -> Member.checkComponent(names.add(party.operator()), "list of parties: a party twice"));
+        Member.checkComponent(
                 fromMs >= 0
-                        && fromMs < LAST_MS
+                        && fromMs < MAX_TIME_MS
                         && untilMs >= 0
-                        && untilMs < LAST_MS
+                        && untilMs < MAX_TIME_MS
                         && noticeMs >= 0
-                        && noticeMs < LAST_MS,
-                "an agreement's times");
-        Member.check(
+                        && noticeMs < MAX_TIME_MS,
+                "start, end or notice period of an agreement");
+        Member.checkComponent(
                 aloneMs >= 0
                         && aloneMs <= MAX_ALONE_MS
                         && epochMs > 0
                         && epochMs <= MAX_EPOCH_MS
                         && maxMovesPerEpoch >= 0,
-                "an agreement's figures");
+                "time alone, epoch or moves of an agreement");
     }
 
     /**
-     * Finds an operator's part.
+     * Returns an operator's figures.
      *
-     * @param operator the operator
-     * @return its part; null for one that is no party
+     * @param operator the operator's name
+     * @return the operator's figures; null if the operator is not a party
      */
     public Party party(String operator) {
         return parties.stream()
-                .filter(p -> p.operator().equals(operator))
+                .filter(party -> party.operator().equals(operator))
                 .findFirst()
                 .orElse(null);
     }
 
     /**
-     * Returns the revision that amends this one so that it ends at another time, all other terms unchanged.
+     * Returns the next revision with another end and otherwise unchanged terms.
      *
-     * @param newUntilMs when it ends, milliseconds of the wall clock
+     * @param newUntilMs when the next revision expires, milliseconds of the wall clock
      * @return the next revision
      */
     public PartnerAgreement nextRevisionEndingAt(long newUntilMs) {
@@ -111,18 +113,19 @@
     /**
      * Returns the parties' names.
      *
-     * @return operators, in the parties' order
+     * @return the names of the operators, in the order of the parties
      */
     public List<String> operators() {
         return parties.stream().map(Party::operator).toList();
     }
 
     /**
-     * Finds the reasons why the agreement can never come into force.
+     * Returns the reasons why the agreement can never come into force. The reasons go over the wire when an operator
+     * rejects the agreement.
      *
-     * @param nowMs the wall clock, milliseconds
+     * @param nowMs the time of the wall clock, milliseconds
      * @param maxAloneMs the longest that this fleet lets an operator act alone, milliseconds
-     * @return a sentence for each term that is at fault; empty if none is
+     * @return one reason for each invalid term; empty if all terms are valid
      */
     public List<String> faults(long nowMs, long maxAloneMs) {
         List<String> faults = new ArrayList<>();
@@ -134,9 +137,9 @@
         if (totalShare == 0 || totalShare > totalCapacity) {
             faults.add("owed: " + totalShare + " in all, where " + totalCapacity + " is brought");
         }
-        for (Party p : parties) {
-            if (p.floor() > p.share()) {
-                faults.add("floor: " + p.operator() + "'s " + p.floor() + " is above the " + p.share()
+        for (Party party : parties) {
+            if (party.floor() > party.share()) {
+                faults.add("floor: " + party.operator() + "'s " + party.floor() + " is above the " + party.share()
                         + " that it is owed");
             }
         }
--- a/src/main/java/hopdrum/fleet/message/ShardAssignment.java
+++ b/src/main/java/hopdrum/fleet/message/ShardAssignment.java
@@ -8,19 +8,19 @@
 import java.util.TreeMap;
 
 /**
- * The owner of each shard, as settled with a view.
+ * The owners of the shards, settled together with a view.
  *
- * @param asOfMs the wall clock of the member that proposed it, milliseconds
- * @param operators all that own something or are in the fleet, sorted
- * @param owners a character a shard: the owner's index among the operators, from 'A' on; '-' is nobody
- * @param moves the last move of each shard, as far back as it may matter; sorted by shard
- * @param agreement the last that was in force, or is; null before the first
- * @param agreedBy the operators that have agreed to it; of a notice, the one that gave it
- * @param expired whether that one is over
- * @param absentSinceMs since when operators that own something have had no member in the view, by the proposers'
- *     wall clocks
- * @param epoch the epoch of the last move
- * @param movesInEpoch how many moved in it
+ * @param asOfMs the wall clock of the member that proposed the assignment, milliseconds
+ * @param operators the operators that own a shard or have a member in the view, sorted by name
+ * @param owners one character for each shard: 'A' plus the owner's index in {@code operators}, or '-' for no owner
+ * @param moves the last move of each shard that changed its owner recently, sorted by shard
+ * @param agreement the agreement that is in force, or was last in force; null before the first agreement
+ * @param agreedBy the operators that have approved the agreement; after a notice, the operator that gave notice
+ * @param expired whether the agreement has expired
+ * @param absentSinceMs by operator that owns a shard but has no member in the view, since when it has had none:
+ *     milliseconds of the proposers' wall clocks
+ * @param epoch the epoch in which the assignment was proposed
+ * @param movesInEpoch the number of shards that have changed their owner in that epoch
  */
 public record ShardAssignment(
         long asOfMs,
@@ -33,73 +33,75 @@
         @JsonProperty("goneMs") Map<String, Long> absentSinceMs,
         long epoch,
         @JsonProperty("moved") int movesInEpoch) {
-    /** The most shards: a message holds no longer text, and {@code owners} has a character a shard. */
+    /** The maximum number of shards: {@code owners} has a character for each, and a message holds no longer string. */
     public static final int MAX_SHARDS = 256;
 
-    /** The character in {@code owners} of a shard that nobody owns. */
-    public static final char NOBODY = '-';
+    /** The character in {@code owners} of a shard that has no owner. */
+    public static final char NO_OWNER = '-';
 
     private static final int MAX_OPERATORS = 40;
 
     /**
-     * A shard that changed its owner.
+     * A change of a shard's owner.
      *
-     * @param shard the shard
-     * @param previousOwner empty where the previous owner is unknown
-     * @param viewNumber the view that it changed with
-     * @param atMs when, by the proposer's wall clock, milliseconds
+     * @param shard the shard, from 0
+     * @param previousOwner the operator that owned the shard in the view before; empty if that is unknown
+     * @param viewNumber the number of the view with which the owner changed
+     * @param atMs when the owner changed, milliseconds of the proposer's wall clock
      */
     public record Move(
             int shard,
             @JsonProperty("from") String previousOwner,
             @JsonProperty("number") long viewNumber,
             long atMs) {
-        /** Checks the components; throws IllegalArgumentException where one cannot be. */
+        /** Validates the components; throws IllegalArgumentException if one is invalid. */
         public Move {
-            Member.check(
+            Member.checkComponent(
                     shard >= 0
                             && shard < MAX_SHARDS
                             && previousOwner != null
                             && (previousOwner.isEmpty() || Member.isName(previousOwner)),
-                    "a move");
-            Member.check(viewNumber > 0, "a move's number");
+                    "shard or previous owner of a move");
+            Member.checkComponent(viewNumber > 0, "view number of a move");
         }
     }
 
-    /** Checks the components; throws IllegalArgumentException where one cannot be. */
+    /** Validates the components; throws IllegalArgumentException if one is invalid. */
     public ShardAssignment {
-        Member.check(
+        Member.checkComponent(
                 operators != null
                         && operators.size() <= MAX_OPERATORS
                         && operators.stream().allMatch(Member::isName),
-                "operators");
-        Member.check(owners != null && !owners.isEmpty() && owners.length() <= MAX_SHARDS, "owners");
-        Member.check(moves != null && moves.size() <= owners.length(), "moves");
-        Member.check(absentSinceMs != null && absentSinceMs.size() <= MAX_OPERATORS, "who is gone");
-        Member.check(
+                "operators of an assignment");
+        Member.checkComponent(
+                owners != null && !owners.isEmpty() && owners.length() <= MAX_SHARDS, "number of owner characters");
+        Member.checkComponent(moves != null && moves.size() <= owners.length(), "number of moves");
+        Member.checkComponent(
+                absentSinceMs != null && absentSinceMs.size() <= MAX_OPERATORS, "number of absent operators");
+        Member.checkComponent(
                 agreedBy != null
                         && agreedBy.size() <= MAX_OPERATORS
                         && agreedBy.stream().allMatch(Member::isName),
-                "who agreed");
+                "operators that approved an agreement");
         operators = List.copyOf(operators);
         agreedBy = List.copyOf(agreedBy);
         moves = List.copyOf(moves);
         absentSinceMs = Collections.unmodifiableMap(new TreeMap<>(absentSinceMs));
         for (int i = 1; i < moves.size(); i++) {
-            Member.check(moves.get(i - 1).shard() < moves.get(i).shard(), "moves");
+            Member.checkComponent(moves.get(i - 1).shard() < moves.get(i).shard(), "order of moves");
         }
         for (int i = 0; i < owners.length(); i++) {
-            Member.check(
-                    owners.charAt(i) == NOBODY
+            Member.checkComponent(
+                    owners.charAt(i) == NO_OWNER
                             || (owners.charAt(i) >= 'A' && owners.charAt(i) < 'A' + operators.size()),
-                    "an owner");
+                    "owner of a shard");
         }
     }
 
     /**
      * Returns the number of shards.
      *
-     * @return as many as the fleet file sets
+     * @return the number of shards, as set in the fleet file
      */
     public int shardCount() {
         return owners.length();
@@ -109,17 +111,17 @@
      * Returns a shard's owner.
      *
      * @param shard the shard, from 0
-     * @return the operator; null where nobody owns it
+     * @return the operator's name; null if nobody owns the shard
      */
     public String owner(int shard) {
-        return owners.charAt(shard) == NOBODY ? null : operators.get(owners.charAt(shard) - 'A');
+        return owners.charAt(shard) == NO_OWNER ? null : operators.get(owners.charAt(shard) - 'A');
     }
 
     /**
      * Returns a shard's last move.
      *
      * @param shard the shard, from 0
-     * @return the move; null where it has not moved for as long as matters
+     * @return the move; null if the shard has not changed its owner recently
      */
     public Move lastMoveOf(int shard) {
         int low = 0;
@@ -136,10 +138,10 @@
     }
 
     /**
-     * Returns whether another assignment is equivalent: it may differ in the times and moves that it records.
+     * Returns whether another assignment is equivalent. Equivalent assignments may differ in their times and moves.
      *
-     * @param other the other; may be null
-     * @return true where owners, agreement, expiry and absent operators are the same
+     * @param other the other assignment; may be null
+     * @return true if operators, owners, agreement, expiry and absent operators are the same
      */
     public boolean isEquivalentTo(ShardAssignment other) {
         return other != null
@@ -151,10 +153,10 @@
     }
 
     /**
-     * Counts an operator's shards.
+     * Returns the number of shards that an operator owns.
      *
-     * @param operator the operator
-     * @return how many it owns
+     * @param operator the operator's name
+     * @return the number of shards; 0 for an operator that owns none
      */
     public int shardCountOf(String operator) {
         int count = 0;
--- a/src/main/java/hopdrum/fleet/message/View.java
+++ b/src/main/java/hopdrum/fleet/message/View.java
@@ -7,40 +7,40 @@
 import java.util.TreeSet;
 
 /**
- * A settled view: the members of the fleet, as agreed by a quorum. Era and number together identify one view uniquely.
+ * A settled view: the members of the fleet, as agreed by a quorum. Era and number together identify the view uniquely.
  *
- * @param era microseconds of the wall clock at the fleet's founding; 0 before that
- * @param number from 1 on; 0 before the founding
- * @param members sorted by name
- * @param shardAssignment who owns which shard; null where no shards are shared between partners
+ * @param era the time of the fleet's founding, microseconds of the wall clock; 0 before the founding
+ * @param number the number of the view, from 1; 0 before the founding
+ * @param members the members, sorted by name
+ * @param shardAssignment the owners of the shards; null if partners share no shards
  */
 public record View(
         long era,
         long number,
         List<Member> members,
         @JsonProperty("division") ShardAssignment shardAssignment) {
-    /** The view before a fleet is founded: no members. */
+    /** The view before a fleet is founded; it has no members. */
     public static final View NONE = new View(0, 0, List.of());
 
     private static final int MAX_MEMBERS = 2_000;
 
-    /** Checks the components; throws IllegalArgumentException where one cannot be. */
+    /** Validates the components; throws IllegalArgumentException if one is invalid. */
     public View {
-        Member.check(era >= 0 && number >= 0, "a view's number");
-        Member.check(members != null && members.size() <= MAX_MEMBERS, "a view");
+        Member.checkComponent(era >= 0 && number >= 0, "era or number of a view");
+        Member.checkComponent(members != null && members.size() <= MAX_MEMBERS, "number of members in a view");
         members = List.copyOf(members);
         Set<String> names = new HashSet<>();
         for (Member member : members) {
-            Member.check(names.add(member.name()), "a name twice");
+            Member.checkComponent(names.add(member.name()), "list of members: a name twice");
         }
     }
 
     /**
-     * Makes a view of a fleet whose operators share no shards.
+     * Creates a view of a fleet whose operators share no shards.
      *
      * @param era the fleet's era
      * @param number the view's number
-     * @param members sorted by name
+     * @param members the members, sorted by name
      */
     public View(long era, long number, List<Member> members) {
         this(era, number, members, null);
@@ -49,7 +49,7 @@
     /**
      * Returns the operators that have a member in the view.
      *
-     * @return their names, sorted
+     * @return the names of the operators, sorted
      */
     public Set<String> operators() {
         Set<String> all = new TreeSet<>();
@@ -61,7 +61,7 @@
      * Finds a member by name.
      *
      * @param name the member's name
-     * @return the member; null where the view has no such name
+     * @return the member; null if the view has no member of that name
      */
     public Member member(String name) {
         for (Member member : members) {
@@ -73,30 +73,30 @@
     }
 
     /**
-     * Returns whether this start of a front door is in the view.
+     * Returns whether a member is in the view.
      *
-     * @param member the member
-     * @return false for another start of the same name
+     * @param member the member, one start of a front door
+     * @return true if this start of the front door is in the view; false also if another start of it is
      */
     public boolean contains(Member member) {
         return member.isSameStart(member(member.name()));
     }
 
     /**
-     * Returns whether this view is identified by an era and number.
+     * Returns whether an era and a number identify this view.
      *
-     * @param otherEra the era
-     * @param otherNumber the number
-     * @return true where both are this view's
+     * @param otherEra the era to compare
+     * @param otherNumber the number to compare
+     * @return true if both are equal to this view's
      */
     public boolean hasId(long otherEra, long otherNumber) {
         return era == otherEra && number == otherNumber;
     }
 
     /**
-     * Returns the quorum that settles the next view.
+     * Returns the number of members that form a majority of the view: the quorum that settles the next view.
      *
-     * @return how many members are a majority
+     * @return more than half of the number of members
      */
     public int majoritySize() {
         return members.size() / 2 + 1;
--- a/src/main/java/hopdrum/fleet/message/package-info.java
+++ b/src/main/java/hopdrum/fleet/message/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The messages that members of a fleet exchange and the records in them: immutable, checked as they are made, with one
- * encoding as CBOR. Nothing here decides anything.
+ * The messages that members of a fleet exchange, the records in them and their encoding as CBOR. Messages and records
+ * are immutable and are validated on construction. This package contains no protocol logic.
  */
 package hopdrum.fleet.message;
--- a/src/main/java/hopdrum/fleet/shards/AgreementNegotiation.java
+++ b/src/main/java/hopdrum/fleet/shards/AgreementNegotiation.java
@@ -97,7 +97,7 @@
         if (known == null && proposals.size() >= Message.MAX_PROPOSALS) {
             return; // guards against a peer that floods: the known ones expire by themselves
         }
-        AgreementProposal merged = known == null ? received : known.merged(received);
+        AgreementProposal merged = known == null ? received : known.mergedWith(received);
         if (!merged.equals(known)) {
             proposals.put(agreement, merged);
             log.event(
--- a/src/main/java/hopdrum/fleet/shards/ShardRebalance.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardRebalance.java
@@ -90,7 +90,7 @@
         // from the last shard on, since an operator that expires to its floor keeps its first shards
         for (int shard = shards - 1; shard >= 0; shard--) {
             String owner = previousOwner(shard);
-            owners[shard] = owner == null ? ShardAssignment.NOBODY : ownerCode(owner);
+            owners[shard] = owner == null ? ShardAssignment.NO_OWNER : ownerCode(owner);
             if (owner == null) {
                 available.add(shard);
             } else if (surplus.get(owner) > 0) {
--- a/src/test/java/hopdrum/fleet/BadInputTest.java
+++ b/src/test/java/hopdrum/fleet/BadInputTest.java
@@ -123,7 +123,7 @@
         for (String bytes : List.of("8141beff93", "8140a49a98778c28bf")) {
             assertThatThrownBy(() -> Codec.decode(HexFormat.of().parseHex(bytes)))
                     .isInstanceOf(IllegalArgumentException.class)
-                    .hasMessageStartingWith("no message");
+                    .hasMessageStartingWith("malformed message");
         }
     }
 
--- a/src/test/java/hopdrum/fleet/message/MessageWireFormatTest.java
+++ b/src/test/java/hopdrum/fleet/message/MessageWireFormatTest.java
@@ -17,9 +17,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Pins the fleet's bytes: one message of each kind, and two stored records, must encode exactly as the code before the
- * renames of issue 29 encoded them. The expected bytes were produced by that code and are kept in
- * {@code wire-bytes-v2.txt}, one {@code key hex} line each.
+ * Tests that one message of each type and two stored records encode to recorded bytes. Guards against a renamed Java
+ * member that changes the wire format or the stored format, so that front doors of different builds no longer
+ * understand each other, or no longer read their stores. The bytes were recorded with a build from before such
+ * renames; {@code wire-bytes-v2.txt} has one line {@code key hex} for each.
  */
 class MessageWireFormatTest {
     private static final long ERA = 1_000_000;
@@ -41,8 +42,8 @@
                 5000);
     }
 
-    private static View viewWithDivision() {
-        ShardAssignment division = new ShardAssignment(
+    private static View viewWithShards() {
+        ShardAssignment assignment = new ShardAssignment(
                 1234,
                 List.of("opa", "opb"),
                 "AB-A",
@@ -53,42 +54,42 @@
                 Map.of("opb", 77L),
                 2,
                 1);
-        return new View(ERA, 3, List.of(FIRST, SECOND), division);
+        return new View(ERA, 3, List.of(FIRST, SECOND), assignment);
     }
 
     private static View nextView() {
         return new View(ERA, 4, List.of(FIRST, SECOND));
     }
 
-    /** One message of each kind that Message names, keyed as in the file. */
-    private static Map<String, Message> oneOfEachKind() {
+    /** Returns one message of each type, under its key in {@code wire-bytes-v2.txt}. */
+    private static Map<String, Message> oneMessageOfEachType() {
         GossipUpdate update = new GossipUpdate(FIRST, 2, GossipUpdate.State.SUSPECT, "m002");
         LatencyReading reading = new LatencyReading("m001", 5, "east", "west", 3, 1500, 20);
-        AgreementProposal offer = new AgreementProposal(agreement(), "opa", Map.of("opb", "", "opa", "no"));
-        Map<String, Message> all = new LinkedHashMap<>();
-        all.put("hello", new Message.Hello(2, "fleet1", 256, 30000, FIRST));
-        all.put("turneddown", new Message.HelloRejected("why"));
-        all.put("ping", new Message.Ping(1, ERA, 3, List.of(update)));
-        all.put("ack", new Message.Ack(2, ERA, 3, List.of()));
-        all.put("pingfor", new Message.PingRequest(3, SECOND, List.of(update)));
-        all.put("nack", new Message.Nack(4));
-        all.put("exchange", new Message.FullStateExchange(true, ERA, 3, List.of(update)));
-        all.put("taken", new Message.NameTaken(FIRST));
-        all.put("latency", new Message.LatencyExchange(5, false, List.of(reading)));
-        all.put("prepare", new Message.Prepare(ERA, 3, BALLOT));
-        all.put("promise", new Message.Promise(ERA, 3, BALLOT, BALLOT, viewWithDivision()));
-        all.put("promise_empty", new Message.Promise(ERA, 3, BALLOT, null, null));
-        all.put("accept", new Message.Accept(ERA, 3, BALLOT, nextView()));
-        all.put("accepted", new Message.Accepted(ERA, 3, BALLOT));
-        all.put("overruled", new Message.Preempted(ERA, 3, BALLOT));
-        all.put("settled", new Message.ViewSettled(viewWithDivision()));
-        all.put("asksettled", new Message.SettledViewRequest(ERA, 3));
-        all.put("renew", new Message.LeaseRenewalRequest(ERA, 3, 7));
-        all.put("renewed", new Message.LeaseRenewalResponse(ERA, 3, 7, 123_456));
-        all.put("held", new Message.LeaseGranted(ERA, 3, 123));
-        all.put("offers", new Message.AgreementProposals(List.of(offer)));
-        all.put("opened", new Message.ShardsHandedOver(ERA, Map.of(1, 2L)));
-        return all;
+        AgreementProposal proposal = new AgreementProposal(agreement(), "opa", Map.of("opb", "", "opa", "no"));
+        Map<String, Message> messages = new LinkedHashMap<>();
+        messages.put("hello", new Message.Hello(2, "fleet1", 256, 30000, FIRST));
+        messages.put("turneddown", new Message.HelloRejected("why"));
+        messages.put("ping", new Message.Ping(1, ERA, 3, List.of(update)));
+        messages.put("ack", new Message.Ack(2, ERA, 3, List.of()));
+        messages.put("pingfor", new Message.PingRequest(3, SECOND, List.of(update)));
+        messages.put("nack", new Message.Nack(4));
+        messages.put("exchange", new Message.FullStateExchange(true, ERA, 3, List.of(update)));
+        messages.put("taken", new Message.NameTaken(FIRST));
+        messages.put("latency", new Message.LatencyExchange(5, false, List.of(reading)));
+        messages.put("prepare", new Message.Prepare(ERA, 3, BALLOT));
+        messages.put("promise", new Message.Promise(ERA, 3, BALLOT, BALLOT, viewWithShards()));
+        messages.put("promise_empty", new Message.Promise(ERA, 3, BALLOT, null, null));
+        messages.put("accept", new Message.Accept(ERA, 3, BALLOT, nextView()));
+        messages.put("accepted", new Message.Accepted(ERA, 3, BALLOT));
+        messages.put("overruled", new Message.Preempted(ERA, 3, BALLOT));
+        messages.put("settled", new Message.ViewSettled(viewWithShards()));
+        messages.put("asksettled", new Message.SettledViewRequest(ERA, 3));
+        messages.put("renew", new Message.LeaseRenewalRequest(ERA, 3, 7));
+        messages.put("renewed", new Message.LeaseRenewalResponse(ERA, 3, 7, 123_456));
+        messages.put("held", new Message.LeaseGranted(ERA, 3, 123));
+        messages.put("offers", new Message.AgreementProposals(List.of(proposal)));
+        messages.put("opened", new Message.ShardsHandedOver(ERA, Map.of(1, 2L)));
+        return messages;
     }
 
     private static Map<String, String> expectedHex() throws IOException {
@@ -104,35 +105,38 @@
     }
 
     @Test
-    void everyMessageKindEncodesToTheBytesOfTheCodeBeforeTheRenamesAndDecodesBackEqual() throws IOException {
+    void everyMessageTypeEncodesToTheRecordedBytesAndDecodesBackEqual() throws IOException {
         Map<String, String> expected = expectedHex();
-        Map<String, Message> messages = oneOfEachKind();
+        Map<String, Message> messages = oneMessageOfEachType();
         assertThat(messages).hasSize(22);
-        for (Map.Entry<String, Message> kind : messages.entrySet()) {
-            byte[] bytes = Codec.encode(kind.getValue());
-            assertThat(HexFormat.of().formatHex(bytes)).as(kind.getKey()).isEqualTo(expected.get(kind.getKey()));
-            assertThat(Codec.decode(bytes)).as(kind.getKey()).isEqualTo(kind.getValue());
+        for (Map.Entry<String, Message> entry : messages.entrySet()) {
+            byte[] bytes = Codec.encode(entry.getValue());
+            assertThat(HexFormat.of().formatHex(bytes)).as(entry.getKey()).isEqualTo(expected.get(entry.getKey()));
+            assertThat(Codec.decode(bytes)).as(entry.getKey()).isEqualTo(entry.getValue());
         }
     }
 
     @Test
-    void aStoredRecordIsWrittenAsTheCodeBeforeTheRenamesWroteItAndReadsBackEqual(
-            @TempDir Path full, @TempDir Path empty) throws IOException {
+    void aStoredRecordIsWrittenAsTheRecordedBytesAndReadsBackEqual(
+            @TempDir Path fullDirectory, @TempDir Path emptyDirectory) throws IOException {
         Map<String, String> expected = expectedHex();
         assertStoredAs(
-                full,
-                new Store.DurableState(77, 5, viewWithDivision(), BALLOT, BALLOT, nextView()),
+                fullDirectory,
+                new Store.DurableState(77, 5, viewWithShards(), BALLOT, BALLOT, nextView()),
                 expected.get("store"));
         assertStoredAs(
-                empty, new Store.DurableState(77, 5, View.NONE, Ballot.NONE, null, null), expected.get("store_empty"));
+                emptyDirectory,
+                new Store.DurableState(77, 5, View.NONE, Ballot.NONE, null, null),
+                expected.get("store_empty"));
     }
 
-    private static void assertStoredAs(Path folder, Store.DurableState kept, String hex) throws IOException {
-        try (Store store = new Store(folder)) {
-            store.write(kept);
-            assertThat(HexFormat.of().formatHex(Files.readAllBytes(folder.resolve("member.cbor"))))
-                    .isEqualTo(hex);
-            assertThat(store.read()).isEqualTo(kept);
+    private static void assertStoredAs(Path directory, Store.DurableState state, String expectedHex)
+            throws IOException {
+        try (Store store = new Store(directory)) {
+            store.write(state);
+            assertThat(HexFormat.of().formatHex(Files.readAllBytes(directory.resolve("member.cbor"))))
+                    .isEqualTo(expectedHex);
+            assertThat(store.read()).isEqualTo(state);
         }
     }
 }
