--- a/src/main/java/hopdrum/fleet/shards/AgreementNegotiation.java
+++ b/src/main/java/hopdrum/fleet/shards/AgreementNegotiation.java
@@ -14,22 +14,22 @@
 import java.util.TreeMap;
 
 /**
- * The negotiation of agreements between operators, as one member knows it: proposals, approvals, rejections and counter
- * proposals. One member represents its operator: the first by name of those that are alive. What all parties approve
- * comes into force with the next view. Not thread-safe.
+ * The negotiation of agreements between operators, as one member knows it: proposals, approvals, rejections and
+ * counter-proposals. Each operator is represented by its first member by name that is alive. An agreement that all
+ * parties have approved comes into force with the next view. Not thread-safe.
  */
 final class AgreementNegotiation {
-    private static final long PROPOSAL_TTL_US = 60_000_000; // since its own operator last sent it
+    private static final long PROPOSAL_TTL_US = 60_000_000; // since the proposer's operator last sent the proposal
 
     private final Member self;
     private final ShardAssignmentRule rule;
     private final DecisionLog log;
     private final Map<PartnerAgreement, AgreementProposal> proposals =
-            new LinkedHashMap<>(); // tick() removes those in force or expired; bounded by Message.MAX_PROPOSALS
-    private final Map<PartnerAgreement, Long> refreshedUs = new LinkedHashMap<>(); // the same keys
+            new LinkedHashMap<>(); // at most Message.MAX_PROPOSALS; tick() removes expired ones and those in force
+    private final Map<PartnerAgreement, Long> lastRefreshedUs = new LinkedHashMap<>(); // has the keys of proposals
     private AgreementTerms terms = AgreementTerms.NONE;
-    private PartnerAgreement ownNotice; // the early end that this member proposed; null if none
-    private PartnerAgreement ownCounterProposal; // null if none
+    private PartnerAgreement ownNotice; // the proposed revision that ends the agreement in force early; null if none
+    private PartnerAgreement ownCounterProposal; // null if this member has made none
 
     AgreementNegotiation(Member self, ShardAssignmentRule rule, DecisionLog log) {
         this.self = self;
@@ -37,7 +37,7 @@
         this.log = log;
     }
 
-    /** Replaces what this operator proposes and would agree to. */
+    /** Replaces this operator's proposal and acceptance limits. */
     void updateTerms(AgreementTerms newTerms) {
         terms = newTerms;
         ownCounterProposal = null;
@@ -49,8 +49,8 @@
                 newTerms.givesNotice());
     }
 
-    /** The proposals to send to peers: of this operator's own, only those not withdrawn. */
-    List<AgreementProposal> proposals() {
+    /** Returns the proposals to send to peers: those of other operators, and the own ones that are not withdrawn. */
+    List<AgreementProposal> proposalsToSend() {
         return proposals.values().stream()
                 .filter(proposal -> !proposal.proposer().equals(self.operator()) || isOwn(proposal.agreement()))
                 .toList();
@@ -62,40 +62,49 @@
                 || agreement.equals(ownCounterProposal);
     }
 
-    /** A proposal that may come into force after this view; null if there is none. All members choose the same one. */
+    /**
+     * Returns the proposal that is to come into force after a view; null if there is none. Members that know the same
+     * proposals select the same one.
+     */
     AgreementProposal readyProposal(View view, long nowMs) {
-        AgreementProposal first = null;
+        AgreementProposal selected = null;
         for (AgreementProposal proposal : proposals.values()) {
             if (rule.mayComeIntoForce(view, proposal.agreement(), approversOf(proposal), nowMs)
-                    && (first == null
+                    && (selected == null
                             || proposal.agreement()
                                             .toString()
-                                            .compareTo(first.agreement().toString())
+                                            .compareTo(selected.agreement().toString())
                                     < 0)) {
-                first = proposal;
+                selected = proposal;
             }
         }
-        return first;
+        return selected;
     }
 
+    /** Returns the operators that have approved a proposal. */
     static List<String> approversOf(AgreementProposal proposal) {
         return proposal.answers().keySet().stream()
                 .filter(proposal::isApprovedBy)
                 .toList();
     }
 
+    /** Merges the proposals that a peer has sent. */
     void merge(Member from, Message.AgreementProposals received, long nowUs) {
         for (AgreementProposal proposal : received.proposals()) {
             merge(proposal, from.operator().equals(proposal.proposer()), nowUs);
         }
     }
 
-    /** @param fromProposer whether its own operator sends it: only that refreshes its time to live */
+    /**
+     * Merges one proposal into the known ones.
+     *
+     * @param fromProposer whether the proposer's operator has sent the proposal; only that refreshes the time to live
+     */
     private void merge(AgreementProposal received, boolean fromProposer, long nowUs) {
         PartnerAgreement agreement = received.agreement();
         AgreementProposal known = proposals.get(agreement);
         if (known == null && proposals.size() >= Message.MAX_PROPOSALS) {
-            return; // guards against a peer that floods: the known ones expire by themselves
+            return; // bounds the memory that a flooding peer can take; the known proposals expire without its help
         }
         AgreementProposal merged = known == null ? received : known.mergedWith(received);
         if (!merged.equals(known)) {
@@ -110,46 +119,50 @@
                     merged.answers());
         }
         if (fromProposer) {
-            refreshedUs.put(agreement, nowUs);
+            lastRefreshedUs.put(agreement, nowUs);
         } else {
-            refreshedUs.putIfAbsent(agreement, nowUs);
+            lastRefreshedUs.putIfAbsent(agreement, nowUs);
         }
     }
 
-    /** @param isRepresentative whether this member represents its operator now */
+    /**
+     * Removes expired proposals. The representative of an operator also proposes and answers for it.
+     *
+     * @param isRepresentative whether this member represents its operator now
+     */
     void tick(View view, boolean isRepresentative, long nowMs, long nowUs) {
         PartnerAgreement inForce =
                 view.shardAssignment() == null ? null : view.shardAssignment().agreement();
-        int revision = inForce == null ? 0 : inForce.revision();
-        removeExpired(revision, nowMs, nowUs);
+        int revisionInForce = inForce == null ? 0 : inForce.revision();
+        removeExpired(revisionInForce, nowMs, nowUs);
         if (!isRepresentative) {
             return;
         }
-        refreshedUs.replaceAll((agreement, atUs) -> isOwn(agreement) ? nowUs : atUs);
-        proposeOwn(revision, nowMs, nowUs);
+        lastRefreshedUs.replaceAll((agreement, atUs) -> isOwn(agreement) ? nowUs : atUs);
+        proposeOwnAgreement(revisionInForce, nowMs, nowUs);
         if (terms.givesNotice() && inForce != null && inForce.party(self.operator()) != null) {
             giveNotice(inForce, nowMs, nowUs);
         }
         for (AgreementProposal proposal : List.copyOf(proposals.values())) {
             if (proposal.agreement().party(self.operator()) != null && !proposal.isApprovedBy(self.operator())) {
-                answer(proposal, revision, nowMs, nowUs);
+                answerProposal(proposal, revisionInForce, nowMs, nowUs);
             }
         }
     }
 
-    private void removeExpired(int revision, long nowMs, long nowUs) {
+    private void removeExpired(int revisionInForce, long nowMs, long nowUs) {
         proposals
                 .keySet()
-                .removeIf(agreement -> agreement.revision() <= revision
+                .removeIf(agreement -> agreement.revision() <= revisionInForce
                         || agreement.untilMs() <= nowMs
-                        || nowUs - refreshedUs.get(agreement) > PROPOSAL_TTL_US);
-        refreshedUs.keySet().retainAll(proposals.keySet());
+                        || nowUs - lastRefreshedUs.get(agreement) > PROPOSAL_TTL_US);
+        lastRefreshedUs.keySet().retainAll(proposals.keySet());
     }
 
-    private void proposeOwn(int revision, long nowMs, long nowUs) {
+    private void proposeOwnAgreement(int revisionInForce, long nowMs, long nowUs) {
         PartnerAgreement own = terms.proposal();
         if (own != null
-                && own.revision() == revision + 1
+                && own.revision() == revisionInForce + 1
                 && !proposals.containsKey(own)
                 && own.faults(nowMs, rule.maxAloneMs()).isEmpty()) {
             merge(AgreementProposal.approvedByProposer(own, self.operator()), true, nowUs);
@@ -157,7 +170,7 @@
         }
     }
 
-    /** Proposes that the agreement in force ends after its notice period, unless such a proposal is there. */
+    /** Proposes that the agreement in force ends after its notice period, unless such a proposal is known. */
     private void giveNotice(PartnerAgreement inForce, long nowMs, long nowUs) {
         long endMs = nowMs + inForce.noticeMs();
         boolean isProposed = proposals.keySet().stream()
@@ -172,30 +185,30 @@
         logApproval(ownNotice);
     }
 
-    private void answer(AgreementProposal proposal, int revision, long nowMs, long nowUs) {
-        List<String> objections = objections(proposal, revision, nowMs);
+    private void answerProposal(AgreementProposal proposal, int revisionInForce, long nowMs, long nowUs) {
+        List<String> objections = objections(proposal, revisionInForce, nowMs);
         if (objections.isEmpty()) {
             merge(proposal.withApproval(self.operator()), false, nowUs);
             logApproval(proposal.agreement());
             return;
         }
         if (proposal.answers().containsKey(self.operator())) {
-            return; // it has been rejected already
+            return; // this operator has already rejected the proposal
         }
         String reason = String.join("; ", objections);
         merge(proposal.withRejection(self.operator(), reason), false, nowUs);
         log.event("refuses", "terms", toLogFields(proposal.agreement()), "why", reason);
         if (!proposal.proposer().equals(self.operator())) {
-            proposeCounter(proposal, revision, nowMs, nowUs);
+            proposeCounterAgreement(proposal, revisionInForce, nowMs, nowUs);
         }
     }
 
-    private void proposeCounter(AgreementProposal proposal, int revision, long nowMs, long nowUs) {
+    private void proposeCounterAgreement(AgreementProposal proposal, int revisionInForce, long nowMs, long nowUs) {
         PartnerAgreement counter = terms.counterProposal(proposal.agreement(), self.operator());
         if (counter != null
                 && !proposals.containsKey(counter)
                 && counter.faults(nowMs, rule.maxAloneMs()).isEmpty()
-                && objections(new AgreementProposal(counter, self.operator(), Map.of()), revision, nowMs)
+                && objections(new AgreementProposal(counter, self.operator(), Map.of()), revisionInForce, nowMs)
                         .isEmpty()) {
             ownCounterProposal = counter;
             merge(AgreementProposal.approvedByProposer(counter, self.operator()), true, nowUs);
@@ -204,12 +217,12 @@
         }
     }
 
-    /** Why this operator does not approve; each reason names the term that it is about. */
-    private List<String> objections(AgreementProposal proposal, int revision, long nowMs) {
+    /** Returns why this operator rejects a proposal: one reason for each term, starting with the name of the term. */
+    private List<String> objections(AgreementProposal proposal, int revisionInForce, long nowMs) {
         PartnerAgreement agreement = proposal.agreement();
         List<String> reasons = new ArrayList<>(agreement.faults(nowMs, rule.maxAloneMs()));
-        if (agreement.revision() != revision + 1) {
-            reasons.add("revision: " + agreement.revision() + ", where " + revision + " is in force");
+        if (agreement.revision() != revisionInForce + 1) {
+            reasons.add("revision: " + agreement.revision() + ", where " + revisionInForce + " is in force");
         }
         for (AgreementProposal other : proposals.values()) {
             if (other.proposer().equals(proposal.proposer())
@@ -228,7 +241,7 @@
         log.event("agrees", "terms", toLogFields(agreement));
     }
 
-    /** All terms of an agreement, in the same form at all members. */
+    /** Returns all terms of an agreement as fields for the log, the same at all members. */
     static Map<String, Object> toLogFields(PartnerAgreement agreement) {
         Map<String, Object> parties = new TreeMap<>();
         for (Party party : agreement.parties()) {
--- a/src/main/java/hopdrum/fleet/shards/AgreementTerms.java
+++ b/src/main/java/hopdrum/fleet/shards/AgreementTerms.java
@@ -7,16 +7,17 @@
 import java.util.Locale;
 
 /**
- * One operator's proposals and acceptance limits, from its terms file.
+ * The proposal and the acceptance limits of one operator, from its terms file.
  *
- * @param proposal what it proposes, under the revision that it is to have; null for nothing
- * @param minShare its own share of the shards at least, as a fraction of all
- * @param maxCapacity the capacity that it contributes at most
- * @param minFloor its own floor at least
- * @param maxAloneMs how long it lets operators act alone, milliseconds
- * @param maxMovesPerEpoch how many shards may change their owner in an epoch, at most
- * @param maxDurationMs how long it binds itself from the agreement's start, milliseconds
- * @param givesNotice whether it wants to end the agreement in force
+ * @param proposal the agreement that the operator proposes, with its intended revision; null if it proposes none
+ * @param minShare the minimum share of the shards for the operator, as a fraction of all shards; it accepts no
+ *     agreement if this is above 1
+ * @param maxCapacity the maximum capacity that the operator contributes
+ * @param minFloor the minimum floor of the operator
+ * @param maxAloneMs the longest that an agreement may let operators act alone, milliseconds
+ * @param maxMovesPerEpoch the maximum number of shards that may change their owner in one epoch
+ * @param maxDurationMs the longest duration of an agreement, from its start or from now if it has started, milliseconds
+ * @param givesNotice whether the operator gives notice to end the agreement in force
  */
 public record AgreementTerms(
         PartnerAgreement proposal,
@@ -27,10 +28,10 @@
         int maxMovesPerEpoch,
         long maxDurationMs,
         boolean givesNotice) {
-    /** The terms of an operator without a file: it proposes nothing and agrees to nothing. */
+    /** The terms of an operator without a terms file: it proposes no agreement and accepts none. */
     public static final AgreementTerms NONE = new AgreementTerms(null, 2, 0, 0, 0, 0, 0, false);
 
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private static double shareOf(PartnerAgreement agreement, String operator) {
         Party party = agreement.party(operator);
@@ -38,7 +39,10 @@
         return party == null || total == 0 ? 0 : party.share() / (double) total;
     }
 
-    /** Why this operator, a party, would not agree: a sentence for each term; empty where it would. */
+    /**
+     * Returns why this operator, which must be a party, does not accept an agreement: one reason for each term, empty
+     * if the operator accepts. The reasons go over the wire.
+     */
     List<String> objections(PartnerAgreement agreement, String operator, long nowMs) {
         List<String> reasons = new ArrayList<>();
         if (agreement.equals(proposal)) {
@@ -46,7 +50,7 @@
         }
         Party own = agreement.party(operator);
         double share = shareOf(agreement, operator);
-        if (share < minShare - ROUNDING) {
+        if (share < minShare - ROUNDING_TOLERANCE) {
             reasons.add(String.format(
                     Locale.ROOT, "owed: %.3f of all for %s, which wants %.3f", share, operator, minShare));
         }
@@ -70,15 +74,15 @@
     }
 
     /**
-     * The same agreement with this operator's own figures changed to the nearest that it accepts; null where no change
-     * of them would make it acceptable.
+     * Returns the agreement with this operator's figures, the time alone and the moves per epoch changed to the nearest
+     * values that it accepts; null if its minimum share is 1 or more, which no other figures satisfy.
      */
     PartnerAgreement counterProposal(PartnerAgreement agreement, String operator) {
         if (minShare >= 1) {
             return null;
         }
         List<Party> parties = agreement.parties().stream()
-                .map(party -> party.operator().equals(operator) ? counterFigures(agreement, party) : party)
+                .map(party -> party.operator().equals(operator) ? adjustToLimits(agreement, party) : party)
                 .toList();
         return new PartnerAgreement(
                 agreement.name(),
@@ -93,7 +97,7 @@
                 agreement.noticeMs());
     }
 
-    private Party counterFigures(PartnerAgreement agreement, Party own) {
+    private Party adjustToLimits(PartnerAgreement agreement, Party own) {
         double othersShare = agreement.parties().stream()
                 .filter(party -> !party.operator().equals(own.operator()))
                 .mapToLong(Party::share)
--- a/src/main/java/hopdrum/fleet/shards/ShardAssignmentRule.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardAssignmentRule.java
@@ -9,24 +9,24 @@
 import java.util.Set;
 
 /**
- * The rule by which shards are assigned after a view: a pure function of that view, of which operators are present, of an
- * agreement and of the proposer's wall clock. All members come to the same assignment, and a voter can reject a proposal
- * that does not follow from the rule. Immutable.
+ * The rule that assigns the shards to operators in the view after a settled one. The assignment is a pure function of
+ * the settled view, the operators that are present, an agreement and the proposer's wall clock. All members therefore
+ * compute the same assignment, and a voter can reject a proposal that does not follow from the rule. Immutable.
  */
 public final class ShardAssignmentRule {
-    private static final long MAX_CLOCK_SKEW_MS = 10_000;
+    private static final long MAX_CLOCK_SKEW_MS = 10_000; // tolerated between the wall clocks of two members
 
-    private final int shards;
+    private final int shardCount;
     private final long maxAloneMs;
 
     /**
-     * Makes the rule of one fleet.
+     * Creates the rule of one fleet.
      *
-     * @param shards the number of shards
+     * @param shardCount the number of shards
      * @param maxAloneMs the longest that an agreement may let an operator act alone, milliseconds
      */
-    public ShardAssignmentRule(int shards, long maxAloneMs) {
-        this.shards = shards;
+    public ShardAssignmentRule(int shardCount, long maxAloneMs) {
+        this.shardCount = shardCount;
         this.maxAloneMs = maxAloneMs;
     }
 
@@ -40,13 +40,14 @@
     }
 
     /**
-     * Returns whether an agreement can come into force with the next view.
+     * Returns whether an agreement may come into force with the next view.
      *
      * @param before the settled view
      * @param agreement the agreement
-     * @param agreedBy the operators that approve it
-     * @param nowMs the wall clock, milliseconds
-     * @return true for the next revision that all parties approve, or that is a valid notice by one of them
+     * @param agreedBy the operators that approve the agreement
+     * @param nowMs the time of the wall clock, milliseconds
+     * @return true if it is the next revision, its start has come, and it is either valid and approved by all parties
+     *     or a valid notice by one of them
      */
     public boolean mayComeIntoForce(View before, PartnerAgreement agreement, List<String> agreedBy, long nowMs) {
         PartnerAgreement inForce = before.shardAssignment() == null
@@ -59,7 +60,10 @@
                                 && agreedBy.containsAll(agreement.operators())));
     }
 
-    /** One party alone may end an agreement after the notice period that all have agreed to; nothing else may change. */
+    /**
+     * Returns whether an agreement is a notice. With a notice, one party alone ends the agreement in force after the
+     * notice period that all have agreed to; a notice changes no other term.
+     */
     private static boolean isNotice(
             PartnerAgreement inForce, PartnerAgreement agreement, List<String> agreedBy, long nowMs) {
         return inForce != null
@@ -70,54 +74,56 @@
     }
 
     /**
-     * Checks a proposed view's shard assignment.
+     * Checks whether the shard assignment of a proposed view follows the rule.
      *
      * @param before the settled view
      * @param proposed the view that is proposed to follow it
-     * @param nowMs the wall clock, milliseconds
-     * @return how it violates the rule; empty if it follows from it
+     * @param nowMs the time of the wall clock, milliseconds
+     * @return how the assignment violates the rule; empty if it follows the rule
      */
     public Optional<String> violation(View before, View proposed, long nowMs) {
         ShardAssignment next = proposed.shardAssignment();
-        ShardAssignment last = before.shardAssignment();
+        ShardAssignment previous = before.shardAssignment();
         if (next == null) {
-            return Optional.of("it divides nothing");
+            return Optional.of("the view has no shard assignment");
         }
         if (next.asOfMs() > nowMs + MAX_CLOCK_SKEW_MS
-                || (last != null && next.asOfMs() < last.asOfMs() - MAX_CLOCK_SKEW_MS)) {
-            return Optional.of("its time cannot be");
+                || (previous != null && next.asOfMs() < previous.asOfMs() - MAX_CLOCK_SKEW_MS)) {
+            return Optional.of("the time of the shard assignment is in the future, or before that of the previous one");
         }
-        boolean isAmended = !Objects.equals(next.agreement(), last == null ? null : last.agreement());
+        boolean isAmended = !Objects.equals(next.agreement(), previous == null ? null : previous.agreement());
         if (isAmended
                 && (next.agreement() == null
                         || !mayComeIntoForce(before, next.agreement(), next.agreedBy(), next.asOfMs()))) {
-            return Optional.of("its agreement is not one that all parties have agreed to");
+            return Optional.of("the agreement of the shard assignment may not come into force");
         }
-        ShardAssignment expected =
-                next(before, proposed.operators(), isAmended ? next.agreement() : null, next.agreedBy(), next.asOfMs());
-        return expected.equals(next) ? Optional.empty() : Optional.of("its shards are not divided by the rule");
+        ShardAssignment expected = nextAssignment(
+                before, proposed.operators(), isAmended ? next.agreement() : null, next.agreedBy(), next.asOfMs());
+        return expected.equals(next)
+                ? Optional.empty()
+                : Optional.of("the shard assignment does not follow the assignment rule");
     }
 
     /**
-     * Computes the assignment that follows a view's.
+     * Computes the shard assignment of the view after a settled one.
      *
      * @param before the settled view
      * @param present the operators that have a member in the next view
-     * @param ready an agreement that may come into force; null if there is none
-     * @param agreedBy the operators that approve it
-     * @param nowMs the wall clock, milliseconds
+     * @param ready the agreement that comes into force; null if none does
+     * @param agreedBy the operators that approve that agreement
+     * @param nowMs the time of the wall clock, milliseconds
      * @return the next assignment
      */
-    public ShardAssignment next(
+    public ShardAssignment nextAssignment(
             View before, Set<String> present, PartnerAgreement ready, List<String> agreedBy, long nowMs) {
-        ShardAssignment last = before.shardAssignment();
+        ShardAssignment previous = before.shardAssignment();
         if (ready != null) {
             boolean isExpired = nowMs >= ready.untilMs();
-            return new ShardRebalance(shards, before, present, ready, isExpired, nowMs).assignment(agreedBy);
+            return new ShardRebalance(shardCount, before, present, ready, isExpired, nowMs).assignment(agreedBy);
         }
-        PartnerAgreement agreement = last == null ? null : last.agreement();
-        boolean isExpired = agreement != null && (nowMs >= agreement.untilMs() || last.expired());
-        return new ShardRebalance(shards, before, present, agreement, isExpired, nowMs)
-                .assignment(last == null ? List.of() : last.agreedBy());
+        PartnerAgreement agreement = previous == null ? null : previous.agreement();
+        boolean isExpired = agreement != null && (nowMs >= agreement.untilMs() || previous.expired());
+        return new ShardRebalance(shardCount, before, present, agreement, isExpired, nowMs)
+                .assignment(previous == null ? List.of() : previous.agreedBy());
     }
 }
--- a/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardCoordinator.java
@@ -25,12 +25,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * One member's part in sharing customers with partners: it negotiates agreements if it is the first member
- * of its operator, assigns shards with each view that is proposed, and publishes which shards this front door may act on.
- * Not thread-safe. Times are microseconds of one monotonic clock; agreements alone are by the wall clock.
+ * One member's part in sharing customers with partners. The coordinator negotiates agreements if the member represents
+ * its operator, assigns shards in each view that the member proposes, and publishes on which shards this front door may
+ * act. Not thread-safe. Times are microseconds of one monotonic clock, except that agreements use the wall clock.
  */
 public final class ShardCoordinator implements ShardProtocol {
-    private static final int PROPOSAL_FANOUT = 3; // peers that are sent the proposals, each period
+    private static final int PROPOSAL_FANOUT = 3; // messages in each probe period, each to a random peer
     private static final int HAND_OVER_REPEAT_PERIODS = 5;
     private static final int RECEIVER_NOTICE_PERIODS = 3;
 
@@ -38,7 +38,7 @@
     private final FleetTiming timing;
     private final ShardAssignmentRule assignmentRule;
     private final SplittableRandom random;
-    private final MessageSender out;
+    private final MessageSender sender;
     private final DecisionLog log;
     private final LongSupplier wallMs;
     private final AgreementNegotiation negotiation;
@@ -54,31 +54,31 @@
     private long loggedUntilUs;
 
     /**
-     * Makes the coordinator of one member.
+     * Creates the coordinator of one member.
      *
      * @param self this member
-     * @param shards the number of shards
+     * @param shardCount the number of shards
      * @param maxAloneMs the longest that an agreement may let an operator act alone, milliseconds
-     * @param timing the fleet's times
-     * @param random chooses the peers that proposals are sent to
-     * @param out sends messages to peers
-     * @param log takes what is decided
+     * @param timing the fleet's intervals
+     * @param random selects the peers that proposals are sent to
+     * @param sender sends messages to peers
+     * @param log records decisions
      * @param wallMs the wall clock, milliseconds
      */
     public ShardCoordinator(
             Member self,
-            int shards,
+            int shardCount,
             long maxAloneMs,
             FleetTiming timing,
             SplittableRandom random,
-            MessageSender out,
+            MessageSender sender,
             DecisionLog log,
             LongSupplier wallMs) {
         this.self = self;
         this.timing = timing;
-        this.assignmentRule = new ShardAssignmentRule(shards, maxAloneMs);
+        this.assignmentRule = new ShardAssignmentRule(shardCount, maxAloneMs);
         this.random = random;
-        this.out = out;
+        this.sender = sender;
         this.log = log;
         this.wallMs = wallMs;
         this.negotiation = new AgreementNegotiation(self, assignmentRule, log);
@@ -86,9 +86,9 @@
     }
 
     /**
-     * Sets the failure detector; before anything else is called.
+     * Sets the failure detector. Must be called before any other method.
      *
-     * @param detector the detector of which members are alive
+     * @param detector knows which members are alive
      */
     @Override
     public void setFailureDetector(FailureDetector detector) {
@@ -98,7 +98,7 @@
     /**
      * Replaces this operator's proposals and acceptance limits.
      *
-     * @param terms the operator's terms from now on
+     * @param terms the new terms of the operator
      */
     public void updateTerms(AgreementTerms terms) {
         negotiation.updateTerms(terms);
@@ -112,7 +112,7 @@
         members.forEach(member -> present.add(member.operator()));
         long nowMs = wallMs.getAsLong();
         AgreementProposal ready = negotiation.readyProposal(before, nowMs);
-        ShardAssignment next = assignmentRule.next(
+        ShardAssignment next = assignmentRule.nextAssignment(
                 before,
                 present,
                 ready == null ? null : ready.agreement(),
@@ -129,13 +129,13 @@
                 : assignmentRule.violation(before, proposed, nowMs);
     }
 
-    /** Whether a proposed view has the same assignment, and the same operators are absent from it. */
+    /** Returns whether a proposed view keeps the assignment, and the same operators have no member in that view. */
     private boolean keepsAssignment(View before, View proposed, long nowMs) {
         ShardAssignment current = before.shardAssignment();
         if (proposed.shardAssignment() == null || !proposed.shardAssignment().equals(current)) {
             return false;
         }
-        ShardAssignment next = assignmentRule.next(before, proposed.operators(), null, List.of(), nowMs);
+        ShardAssignment next = assignmentRule.nextAssignment(before, proposed.operators(), null, List.of(), nowMs);
         return next.absentSinceMs().keySet().equals(current.absentSinceMs().keySet());
     }
 
@@ -143,7 +143,7 @@
     public void onViewSettled(View settled, long nowUs) {
         View before = view;
         view = settled;
-        leases.adopt(settled, nowUs);
+        leases.adoptView(settled, nowUs);
         ShardAssignment assignment = settled.shardAssignment();
         if (assignment == null) {
             return;
@@ -179,8 +179,8 @@
     }
 
     /**
-     * Notifies the receivers of this operator's former shards that this member holds the view, and so has stopped: they
-     * wait for that. Repeated, since messages get lost.
+     * Notifies the new owners of this operator's former shards that this member holds the view, and so has stopped
+     * acting on them: the new owners wait for that. The notification is repeated, since messages may be lost.
      */
     private void notifyReceivers(long nowUs) {
         nextNotifyReceiversUs = nowUs + timing.probePeriodUs() / 2;
@@ -196,7 +196,7 @@
         }
         for (Member member : view.members()) {
             if (receivers.contains(member.operator())) {
-                out.send(member.address(), new Message.ViewSettled(view));
+                sender.send(member.address(), new Message.ViewSettled(view));
             }
         }
     }
@@ -207,19 +207,19 @@
      * Records which view a peer holds.
      *
      * @param from the peer
-     * @param era its settled view's era
-     * @param number its settled view's number
+     * @param era the era of the peer's settled view
+     * @param number the number of the peer's settled view
      */
     @Override
     public void onPeerView(Member from, long era, long number) {
-        leases.acknowledged(from, era, number);
+        leases.onViewAcknowledged(from, era, number);
     }
 
     /**
-     * Merges agreement proposals that a peer knows of.
+     * Merges the agreement proposals that a peer knows.
      *
      * @param from the peer
-     * @param received its message
+     * @param received the peer's message
      * @param nowUs the time, microseconds
      */
     @Override
@@ -228,16 +228,17 @@
     }
 
     /**
-     * Merges completed hand-overs that a member of the same operator knows of; those of others are ignored.
+     * Merges the completed hand-overs that a member of the same operator knows. Messages of other operators are
+     * ignored.
      *
      * @param from the peer
-     * @param received its message
+     * @param received the peer's message
      * @param nowUs the time, microseconds
      */
     @Override
     public void onShardsHandedOver(Member from, Message.ShardsHandedOver received, long nowUs) {
         if (from.operator().equals(self.operator())) {
-            leases.merge(received, nowUs);
+            leases.mergeHandOvers(received, nowUs);
         }
     }
 
@@ -246,7 +247,7 @@
     @Override
     public void tick(long nowUs) {
         for (Member member : failureDetector.departedMembers()) {
-            leases.left(member);
+            leases.onMemberLeft(member);
         }
         if (nowUs < notifyReceiversUntilUs && nowUs >= nextNotifyReceiversUs) {
             notifyReceivers(nowUs);
@@ -263,9 +264,9 @@
             return;
         }
         nextProposalsUs = nowUs + timing.probePeriodUs();
-        List<AgreementProposal> proposals = negotiation.proposals();
+        List<AgreementProposal> proposals = negotiation.proposalsToSend();
         for (int i = 0; i < PROPOSAL_FANOUT && !proposals.isEmpty(); i++) {
-            out.send(peers.get(random.nextInt(peers.size())).address(), new Message.AgreementProposals(proposals));
+            sender.send(peers.get(random.nextInt(peers.size())).address(), new Message.AgreementProposals(proposals));
         }
     }
 
@@ -278,12 +279,15 @@
         sentHandOvers = handedOver;
         for (Member member : peers) {
             if (member.operator().equals(self.operator())) {
-                out.send(member.address(), new Message.ShardsHandedOver(view.era(), handedOver));
+                sender.send(member.address(), new Message.ShardsHandedOver(view.era(), handedOver));
             }
         }
     }
 
-    /** Whether this member is the first by name of its operator's that are in the view and alive. */
+    /**
+     * Returns whether this member represents its operator: it is the first by name of those that are in the view and
+     * alive.
+     */
     private boolean isRepresentative() {
         for (Member member : view.members()) {
             if (member.operator().equals(self.operator())
@@ -297,9 +301,10 @@
     // ---- Published state ----
 
     /**
-     * Returns the front doors that RPCs may be forwarded to.
+     * Returns the front doors that requests may be forwarded to.
      *
-     * @return by operator: all others in the view that take RPCs from partners and are believed to be there
+     * @return by operator, all other front doors in the view that take requests from partners and are alive or
+     *     suspected
      */
     public Map<String, List<ShardOwnership.PartnerEndpoint>> partnerEndpoints() {
         Map<String, List<ShardOwnership.PartnerEndpoint>> endpoints = new TreeMap<>();
@@ -318,15 +323,15 @@
     }
 
     /**
-     * Returns what this front door may act on, and where to forward the rest. Changes are logged, so that
-     * the log alone shows which operator acted on a shard, and until when.
+     * Returns which shards this front door may act on, and where to forward requests for the others. Changes are
+     * logged, so that the logs of all front doors show which operator acted on a shard, and until when.
      *
      * @param viewLease this member's lease on the settled view
-     * @param operators tiers by number, from 1 on
-     * @param isLeaving whether this member has left: then it acts on nothing
-     * @param offsetUs what the table's clock is ahead of this one, microseconds
+     * @param operators the operators of the partners' tiers, by tier number from 1
+     * @param isLeaving whether this member has left; it then acts on no shard
+     * @param offsetUs how far the table's clock is ahead of this coordinator's clock, microseconds
      * @param nowUs the time, microseconds
-     * @return the table; null before the first assignment
+     * @return the shard table; null before the first assignment
      */
     public ShardTable shardTable(
             ViewLease viewLease, List<String> operators, boolean isLeaving, long offsetUs, long nowUs) {
--- a/src/main/java/hopdrum/fleet/shards/ShardLeases.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardLeases.java
@@ -17,42 +17,48 @@
 import java.util.TreeMap;
 
 /**
- * Which shards this member may act on as their owner's, and from when until when, by its own monotonic clock. It stops by
- * its lease, or a longer one where the agreement lets an operator act alone. It starts on a shard that came from another
- * operator once each front door of that operator has acknowledged a later view, or has certainly stopped by its lease and
- * any clock drift allowed. docs/shards.md derives why two operators never act on one shard at once. Not thread-safe.
+ * The leases of one member on its operator's shards: on which shards the member may act, and from when until when, by
+ * its own monotonic clock. The member stops when its lease on the view ends, or later if the agreement lets an operator
+ * act alone. It starts to act on a shard that came from another operator once each front door of that operator has
+ * acknowledged a later view, or has certainly stopped by its lease and any allowed clock drift. docs/shards.md derives
+ * why two operators never act on one shard at the same time. Not thread-safe.
  */
 final class ShardLeases {
     private static final long PAST_US = Long.MIN_VALUE / 2;
     private static final long NEVER_US = Long.MAX_VALUE;
-    private static final int MAX_VIEW_HISTORY = 64;
+    private static final int MAX_ADOPTED_VIEWS = 64;
 
     /** One start of another operator's front door. */
     private static final class PartnerMember {
         final Member member;
-        long lastViewNumber; // the last view seen that had it
-        long droppedUs = NEVER_US; // when a view without it was seen
-        long acknowledgedNumber; // the latest view that it has acknowledged
-        boolean hasStopped; // it left, or a later start from its store is known
+        long lastViewNumber; // the last view known to this member that contains the start
+        long droppedUs = NEVER_US; // when a view without the start was adopted; NEVER_US if none was
+        long acknowledgedNumber; // the latest view that the start has acknowledged
+        boolean hasStopped; // it has left, or a later start with the same store is known
 
         PartnerMember(Member member) {
             this.member = member;
         }
     }
 
-    /** A view as it was adopted here. */
+    /**
+     * The shard assignment of a view that this member has adopted.
+     *
+     * @param atUs when the view was adopted, microseconds
+     * @param assignment null if the view has none
+     */
     private record AdoptedView(long atUs, ShardAssignment assignment) {}
 
     private final Member self;
     private final FleetTiming timing;
     private final long maxAloneUs;
-    private final Map<Long, PartnerMember> partners = new HashMap<>(); // by memberKey(); removed once certainly stopped
-    private final NavigableMap<Long, AdoptedView> history = new TreeMap<>(); // by number; bounded by MAX_VIEW_HISTORY
-    private final Map<Integer, Long> handedOver = new HashMap<>(); // by shard: number of the view that moved it here
-    private final Map<Integer, Long> handedOverUs = new HashMap<>(); // by shard: time of completion or announcement
+    private final Map<Long, PartnerMember> partners = new HashMap<>(); // by memberKey(); removed once stopped
+    private final NavigableMap<Long, AdoptedView> adoptedViews = new TreeMap<>(); // by view number
+    private final Map<Integer, Long> handedOver = new HashMap<>(); // by shard: number of the view that moved it
+    private final Map<Integer, Long> handedOverUs = new HashMap<>(); // by shard: when completed or announced
     private View view = View.NONE;
-    private long firstNumber; // ownership before this view is unknown to this member
-    private long longestAloneUs;
+    private long firstKnownNumber; // this member does not know who owned the shards before this view
+    private long longestAloneUs; // the longest time alone of all adopted views
 
     ShardLeases(Member self, FleetTiming timing, long maxAloneUs) {
         this.self = self;
@@ -60,34 +66,35 @@
         this.maxAloneUs = maxAloneUs;
     }
 
-    /** How long after its last contact with the fleet a front door may still act, with any clock's drift. */
-    private long lapseUs(long aloneUs) {
-        long us = Math.max(timing.leaseUs(), aloneUs);
-        return us + us * 2 * FleetTiming.MAX_CLOCK_DRIFT_PERCENT / 100;
+    /** Returns how long after its last contact with the fleet a front door may still act, including any clock drift. */
+    private long maxActingUs(long aloneUs) {
+        long lapseUs = Math.max(timing.leaseUs(), aloneUs);
+        return lapseUs + lapseUs * 2 * FleetTiming.MAX_CLOCK_DRIFT_PERCENT / 100;
     }
 
-    private long aloneUs() {
+    /** Returns how long an operator may act alone by the agreement in force; 0 if there is none. */
+    private long agreedAloneUs() {
         PartnerAgreement agreement =
                 view.shardAssignment() == null ? null : view.shardAssignment().agreement();
         return agreement == null ? 0 : Math.min(maxAloneUs, agreement.aloneMs() * 1000);
     }
 
-    /** A view is settled here from now on. */
-    void adopt(View settled, long nowUs) {
+    /** Adopts a settled view. */
+    void adoptView(View settled, long nowUs) {
         if (settled.era() != view.era()) {
-            history.clear();
+            adoptedViews.clear();
             partners.clear();
             handedOver.clear();
-            firstNumber = settled.number() == 1 ? 0 : settled.number();
+            firstKnownNumber = settled.number() == 1 ? 0 : settled.number();
         } else if (settled.number() > view.number() + 1) {
-            firstNumber = settled.number(); // views in between, and their members, are unknown
+            firstKnownNumber = settled.number(); // the views in between and their members are unknown
         }
         view = settled;
-        history.put(settled.number(), new AdoptedView(nowUs, settled.shardAssignment()));
-        if (history.size() > MAX_VIEW_HISTORY) {
-            history.pollFirstEntry();
+        adoptedViews.put(settled.number(), new AdoptedView(nowUs, settled.shardAssignment()));
+        if (adoptedViews.size() > MAX_ADOPTED_VIEWS) {
+            adoptedViews.pollFirstEntry();
         }
-        longestAloneUs = Math.max(longestAloneUs, aloneUs());
+        longestAloneUs = Math.max(longestAloneUs, agreedAloneUs());
         updatePartners(nowUs);
         if (settled.shardAssignment() != null) {
             handedOver.keySet().removeIf(shard -> settled.shardAssignment().lastMoveOf(shard) == null);
@@ -100,7 +107,7 @@
             if (!member.operator().equals(self.operator())) {
                 PartnerMember partner = partners.computeIfAbsent(memberKey(member), key -> new PartnerMember(member));
                 partner.lastViewNumber = view.number();
-                partner.droppedUs = NEVER_US; // one start may be dropped and taken in again
+                partner.droppedUs = NEVER_US; // a start may leave the view and be readmitted
             }
         }
         for (PartnerMember partner : partners.values()) {
@@ -108,16 +115,16 @@
                 partner.droppedUs = Math.min(partner.droppedUs, nowUs);
             }
         }
-        long forgetUs = 2 * lapseUs(maxAloneUs);
-        partners.values().removeIf(partner -> partner.droppedUs != NEVER_US && nowUs - partner.droppedUs > forgetUs);
+        long retentionUs = 2 * maxActingUs(maxAloneUs);
+        partners.values().removeIf(partner -> partner.droppedUs != NEVER_US && nowUs - partner.droppedUs > retentionUs);
     }
 
     private static long memberKey(Member member) {
         return member.start() * 31 + member.name().hashCode();
     }
 
-    /** A peer has said which view it holds. */
-    void acknowledged(Member from, long era, long number) {
+    /** Records which view a peer holds. */
+    void onViewAcknowledged(Member from, long era, long number) {
         if (era != view.era()) {
             return;
         }
@@ -125,23 +132,23 @@
         if (partner != null) {
             partner.acknowledgedNumber = Math.max(partner.acknowledgedNumber, number);
         }
-        for (PartnerMember other : partners.values()) { // one store serves one process: the one before has ended
+        for (PartnerMember other : partners.values()) { // one process per store: the earlier start has ended
             other.hasStopped |= other.member.name().equals(from.name())
                     && other.member.voter() == from.voter()
                     && other.member.start() < from.start();
         }
     }
 
-    /** A member has left gracefully: it acts on nothing from then on. */
-    void left(Member member) {
+    /** Records that a member has left gracefully; from then on it acts on no shard. */
+    void onMemberLeft(Member member) {
         PartnerMember partner = partners.get(memberKey(member));
         if (partner != null) {
             partner.hasStopped = true;
         }
     }
 
-    /** A member of this one's operator knows of shards whose former owners have stopped. */
-    void merge(Message.ShardsHandedOver received, long nowUs) {
+    /** Merges the hand-overs that another member of this operator has announced: former owners have stopped acting. */
+    void mergeHandOvers(Message.ShardsHandedOver received, long nowUs) {
         if (received.era() == view.era()) {
             received.viewNumbers().forEach((shard, number) -> {
                 if (handedOver.getOrDefault(shard, 0L) < number) {
@@ -152,40 +159,43 @@
         }
     }
 
-    /** By shard, with which view it moved, of those whose former owners have certainly stopped. */
+    /** Returns the number of the view that moved each shard, by shard, if the former owners have certainly stopped. */
     Map<Integer, Long> handedOver() {
         return Map.copyOf(handedOver);
     }
 
-    /** From when on the shard's former owners have certainly stopped; in the past where they have. */
-    private long startUs(Move move) {
+    /**
+     *  Returns when the former owners of a moved shard have certainly stopped; a time in the past if they already have.
+     */
+    private long earliestStartUs(Move move) {
         if (handedOver.getOrDefault(move.shard(), 0L) >= move.viewNumber()) {
             return PAST_US;
         }
-        Map.Entry<Long, AdoptedView> moved = history.ceilingEntry(move.viewNumber());
-        long movedUs = (moved == null ? history.lastEntry() : moved).getValue().atUs;
+        Map.Entry<Long, AdoptedView> moved = adoptedViews.ceilingEntry(move.viewNumber());
+        long movedUs = (moved == null ? adoptedViews.lastEntry() : moved).getValue().atUs;
         if (move.previousOwner().isEmpty()
-                || firstNumber >= move.viewNumber()
-                || (history.firstKey() >= move.viewNumber() && firstNumber > 0)) {
-            return movedUs + lapseUs(maxAloneUs); // the former owner and its lease are unknown to this member
+                || firstKnownNumber >= move.viewNumber()
+                || (adoptedViews.firstKey() >= move.viewNumber() && firstKnownNumber > 0)) {
+            return movedUs + maxActingUs(maxAloneUs); // this member knows neither the former owner nor its lease
         }
         long startUs = PAST_US;
         for (PartnerMember partner : partners.values()) {
-            if (!partner.hasStopped && partner.acknowledgedNumber < move.viewNumber() && mayHold(partner, move)) {
-                startUs = Math.max(startUs, Math.min(partner.droppedUs, movedUs) + lapseUs(longestAloneUs));
+            if (!partner.hasStopped && partner.acknowledgedNumber < move.viewNumber() && mayActOn(partner, move)) {
+                startUs = Math.max(startUs, Math.min(partner.droppedUs, movedUs) + maxActingUs(longestAloneUs));
             }
         }
         return startUs;
     }
 
     /**
-     * Whether the partner's operator owned the shard by any view that the partner may still be on. Guards a shard that
-     * moves twice: the owner before the last may be cut off and act on, while the last one, which never began, has
-     * stopped at once.
+     * Returns whether the partner's operator owned the shard in any view that the partner may still hold. This protects
+     * a shard that moves twice: its first owner may be cut off and continue to act, while the second one, which never
+     * started, has stopped at once.
      */
-    private boolean mayHold(PartnerMember partner, Move move) {
-        Long from = history.floorKey(partner.acknowledgedNumber);
-        for (AdoptedView adopted : history.subMap(from == null ? history.firstKey() : from, move.viewNumber())
+    private boolean mayActOn(PartnerMember partner, Move move) {
+        Long from = adoptedViews.floorKey(partner.acknowledgedNumber);
+        for (AdoptedView adopted : adoptedViews
+                .subMap(from == null ? adoptedViews.firstKey() : from, move.viewNumber())
                 .values()) {
             if (adopted.assignment == null
                     || partner.member.operator().equals(adopted.assignment.owner(move.shard()))) {
@@ -193,15 +203,17 @@
             }
         }
         return from == null
-                && partner.acknowledgedNumber < history.firstKey()
-                && history.firstKey() > 1; // ownership by views that have been dropped from the history
+                && partner.acknowledgedNumber < adoptedViews.firstKey()
+                && adoptedViews.firstKey() > 1; // the views that have been dropped from adoptedViews are unknown
     }
 
     /**
-     * What this member may act on now, as one snapshot; shards whose hand-over is complete are noted as such. Null where
-     * no shards are assigned.
+     * Returns what this member may act on now, and records the shards whose hand-over is complete. Returns null if no
+     * shards are assigned.
      *
-     * @param leaseSinceUs from when the lease on the view counts, by this member's clock
+     * @param leaseSinceUs the start of the lease on the view by this member's clock, microseconds
+     * @param nowUs the time by the same clock, microseconds
+     * @param wallNowUs the time of the wall clock, microseconds
      */
     Snapshot snapshot(long leaseSinceUs, long nowUs, long wallNowUs) {
         ShardAssignment assignment = view.shardAssignment();
@@ -217,7 +229,7 @@
                             ? ownLease(shard, assignment.lastMoveOf(shard), nowUs)
                             : new ShardLease(owner, NEVER_US, 0));
         }
-        long untilUs = leaseSinceUs + Math.max(timing.leaseUs(), aloneUs());
+        long untilUs = leaseSinceUs + Math.max(timing.leaseUs(), agreedAloneUs());
         PartnerAgreement agreement = assignment.agreement();
         long agreementUntilUs =
                 agreement != null && !assignment.expired() ? nowUs + agreement.untilMs() * 1000 - wallNowUs : NEVER_US;
@@ -225,7 +237,7 @@
     }
 
     private ShardLease ownLease(int shard, Move move, long nowUs) {
-        long fromUs = move == null ? PAST_US : startUs(move);
+        long fromUs = move == null ? PAST_US : earliestStartUs(move);
         if (fromUs <= nowUs && move != null) {
             if (!Objects.equals(handedOver.put(shard, move.viewNumber()), move.viewNumber())) {
                 handedOverUs.put(shard, nowUs);
@@ -235,7 +247,7 @@
         return new ShardLease(self.operator(), fromUs, handedOverUs.getOrDefault(shard, PAST_US));
     }
 
-    /** How many of its shards, the first ones, this operator keeps once the agreement has expired. */
+    /** Returns how many of its shards this operator keeps once the agreement has expired; it keeps the first ones. */
     private int floorShards(ShardAssignment assignment) {
         PartnerAgreement agreement = assignment.agreement();
         Party own = agreement == null ? null : agreement.party(self.operator());
@@ -251,19 +263,19 @@
     /**
      * One shard as this member knows it.
      *
-     * @param owner null for nobody
-     * @param fromUs where it is this operator's: from when on this member may act on it; else Long.MAX_VALUE
-     * @param sinceUs where it is this operator's: since when, as far as is known
+     * @param owner the operator that owns the shard; null if nobody does
+     * @param fromUs from when on this member may act on the shard, microseconds; Long.MAX_VALUE if it must not
+     * @param sinceUs since when this operator has owned the shard, as far as is known, microseconds; 0 if it does not
      */
     record ShardLease(String owner, long fromUs, long sinceUs) {}
 
     /**
-     * What this member may act on, times by its monotonic clock.
+     * The shards that this member may act on. Times are microseconds of its monotonic clock.
      *
-     * @param shards by number
-     * @param untilUs until when
-     * @param agreementUntilUs until when it may act on more than the floor; Long.MAX_VALUE for ever
-     * @param floorShards how many of its shards, the first ones, are in its floor
+     * @param shards the shards, by number
+     * @param untilUs until when this member may act on its shards
+     * @param agreementUntilUs until when it may act on more shards than its floor; Long.MAX_VALUE for no limit
+     * @param floorShards how many of its shards, the first ones, form its floor
      */
     record Snapshot(List<ShardLease> shards, long untilUs, long agreementUntilUs, int floorShards) {}
 }
--- a/src/main/java/hopdrum/fleet/shards/ShardTable.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardTable.java
@@ -8,113 +8,115 @@
 import java.util.Set;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** The shard ownership known to one front door, timed by its own clock. Immutable; may be read from any thread. */
+/** The ownership of shards as one front door knows it, by its own clock. Immutable; may be read from any thread. */
 public final class ShardTable implements ShardOwnership {
-    /** In {@link #activeShards}: this front door may act on the shard. */
+    /** The character in {@link #activeShards} of a shard that this front door may act on. */
     public static final char ACTIVE = 'x';
 
     private static final char INACTIVE = '-';
     private static final long NO_TIER = -1;
 
-    private final List<Entry> entries; // by shard
-    private final long retryUs;
+    private final List<ShardEntry> entries; // by shard
+    private final long retryAfterUs; // how soon to retry if no owner is known
 
     /**
-     * What is known of one shard, times by the table's clock.
+     * The ownership of one shard. The times are microseconds of the table's clock; they apply to own shards only.
      *
-     * @param isOwn whether this front door's operator owns it
-     * @param tier where to forward what this front door may not act on; NO_TIER for nowhere
-     * @param fromUs where it is its own: from when on it may act; Long.MAX_VALUE for never
-     * @param untilUs where it is its own: until when it may act
-     * @param sinceUs where it is its own: when its hand-over was complete
+     * @param isOwn whether this front door's operator owns the shard
+     * @param tier the number of the tier to forward requests to that this front door may not act on; NO_TIER for none
+     * @param fromUs from when on this front door may act on the shard; Long.MAX_VALUE for never
+     * @param untilUs until when this front door may act on the shard
+     * @param sinceUs when the hand-over of the shard was complete
      */
-    private record Entry(boolean isOwn, long tier, long fromUs, long untilUs, long sinceUs) {
+    private record ShardEntry(boolean isOwn, long tier, long fromUs, long untilUs, long sinceUs) {
         boolean isActive(long nowUs) {
             return isOwn && nowUs >= fromUs && nowUs < untilUs;
         }
     }
 
-    private ShardTable(List<Entry> entries, long retryUs) {
+    private ShardTable(List<ShardEntry> entries, long retryAfterUs) {
         this.entries = List.copyOf(entries);
-        this.retryUs = retryUs;
+        this.retryAfterUs = retryAfterUs;
     }
 
     /**
-     * Makes the table of a lease snapshot.
+     * Creates the table of a lease snapshot.
      *
-     * @param leases what this member may act on, by the fleet's clock
-     * @param self this member's operator
-     * @param operators tiers by number, from 1 on
-     * @param reachable those of them that have a front door other than this one
-     * @param retryUs how soon to retry where no owner is known, microseconds
-     * @param offsetUs what the table's clock is ahead of the leases' one, microseconds
+     * @param leases the shards that this member may act on, by the fleet's clock
+     * @param self the operator of this member
+     * @param operators the operators of the partners' tiers, by tier number from 1
+     * @param reachableOperators the operators that have a front door other than this one that takes requests
+     * @param retryAfterUs how soon to retry if no owner is known, microseconds
+     * @param offsetUs how far the table's clock is ahead of the leases' clock, microseconds
      */
     static ShardTable of(
             ShardLeases.Snapshot leases,
             String self,
             List<String> operators,
-            Set<String> reachable,
-            long retryUs,
+            Set<String> reachableOperators,
+            long retryAfterUs,
             long offsetUs) {
-        List<Entry> entries = new ArrayList<>(leases.shards().size());
-        int ownShards = 0;
+        List<ShardEntry> entries = new ArrayList<>(leases.shards().size());
+        int ownShardCount = 0;
         for (ShardLeases.ShardLease lease : leases.shards()) {
             String owner = lease.owner();
             boolean isOwn = self.equals(owner);
-            ownShards += isOwn ? 1 : 0;
-            long tier = reachable.contains(owner) && operators.contains(owner) ? operators.indexOf(owner) + 1 : NO_TIER;
+            ownShardCount += isOwn ? 1 : 0;
+            long tier = reachableOperators.contains(owner) && operators.contains(owner)
+                    ? operators.indexOf(owner) + 1
+                    : NO_TIER;
             long fromUs = lease.fromUs() == Long.MAX_VALUE ? Long.MAX_VALUE : lease.fromUs() + offsetUs;
             long untilUs = leases.untilUs() + offsetUs;
-            if (isOwn && ownShards > leases.floorShards() && leases.agreementUntilUs() != Long.MAX_VALUE) {
+            if (isOwn && ownShardCount > leases.floorShards() && leases.agreementUntilUs() != Long.MAX_VALUE) {
                 untilUs = Math.min(untilUs, leases.agreementUntilUs() + offsetUs);
             }
-            entries.add(new Entry(isOwn, tier, fromUs, untilUs, lease.sinceUs() + offsetUs));
+            entries.add(new ShardEntry(isOwn, tier, fromUs, untilUs, lease.sinceUs() + offsetUs));
         }
-        return new ShardTable(entries, retryUs);
+        return new ShardTable(entries, retryAfterUs);
     }
 
     /**
-     * Returns the shard that a customer falls into, the same at all front doors: MurmurHash3, x86, 32 bits, seed 0.
+     * Returns the shard of a customer. All front doors use the same hash: MurmurHash3, x86, 32 bits, seed 0.
      *
-     * @param customer the customer's number
-     * @param shards the number of shards
+     * @param customer the customer's key
+     * @param shardCount the number of shards
      * @return the shard, from 0
      */
-    public static int shard(long customer, int shards) {
+    public static int shardOf(long customer, int shardCount) {
         return Integer.remainderUnsigned(
-                MurmurHash3.hash32x86(ByteBuffer.allocate(8).putLong(customer).array(), 0, 8, 0), shards);
+                MurmurHash3.hash32x86(ByteBuffer.allocate(8).putLong(customer).array(), 0, 8, 0), shardCount);
     }
 
     @Override
-    public CustomerOwner owner(long customer, boolean passedOn, long nowUs) {
-        Entry entry = entries.get(shard(customer, entries.size()));
+    public CustomerOwner owner(long customer, boolean forwarded, long nowUs) {
+        ShardEntry entry = entries.get(shardOf(customer, entries.size()));
         if (entry.isActive(nowUs)) {
             return CustomerOwner.THIS_TIER;
         }
         if (entry.isOwn && entry.fromUs != Long.MAX_VALUE && nowUs < entry.fromUs) {
-            return CustomerOwner.unknown(entry.fromUs - nowUs); // the former owner may still act on it
+            return CustomerOwner.unknown(entry.fromUs - nowUs); // the former owner may still act on the shard
         }
-        return passedOn || entry.tier == NO_TIER
-                ? CustomerOwner.unknown(retryUs)
+        return forwarded || entry.tier == NO_TIER
+                ? CustomerOwner.unknown(retryAfterUs)
                 : CustomerOwner.partner((int) entry.tier);
     }
 
     @Override
     public long ownershipAgeUs(long customer, long nowUs) {
-        return Math.max(0, nowUs - entries.get(shard(customer, entries.size())).sinceUs);
+        return Math.max(0, nowUs - entries.get(shardOf(customer, entries.size())).sinceUs);
     }
 
     /**
      * Returns the shards that this front door acts on.
      *
      * @param nowUs the time by the table's clock, microseconds
-     * @return a character a shard: 'x' where it may act now, '-' where it may not
+     * @return one character for each shard: 'x' if this front door may act on the shard now, '-' if not
      */
     public String activeShards(long nowUs) {
-        StringBuilder active = new StringBuilder(entries.size());
-        for (Entry entry : entries) {
-            active.append(entry.isActive(nowUs) ? ACTIVE : INACTIVE);
+        StringBuilder characters = new StringBuilder(entries.size());
+        for (ShardEntry entry : entries) {
+            characters.append(entry.isActive(nowUs) ? ACTIVE : INACTIVE);
         }
-        return active.toString();
+        return characters.toString();
     }
 }
--- a/src/main/java/hopdrum/fleet/shards/ShardTargets.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardTargets.java
@@ -11,52 +11,54 @@
 import java.util.TreeMap;
 
 /**
- * How many shards each operator is to own, by the weights of an agreement: largest remainder, met within one shard.
- * Immutable.
+ * The number of shards that each operator is to own by the weights of an agreement. The numbers are rounded by the
+ * largest remainder method, so that each differs from the exact share by less than one shard. Immutable.
  */
 final class ShardTargets {
-    private final int shards;
-    private final PartnerAgreement agreement; // null if there is none: all have the same weight
+    private final int shardCount;
+    private final PartnerAgreement agreement; // null if there is none; then all operators have the same weight
     private final boolean isExpired;
     private final long nowMs;
 
-    ShardTargets(int shards, PartnerAgreement agreement, boolean isExpired, long nowMs) {
-        this.shards = shards;
+    ShardTargets(int shardCount, PartnerAgreement agreement, boolean isExpired, long nowMs) {
+        this.shardCount = shardCount;
         this.agreement = agreement;
         this.isExpired = isExpired;
         this.nowMs = nowMs;
     }
 
     /**
-     * Computes the targets of all operators. An absent one keeps what it owns, unless others stand in for it, or the
-     * agreement has expired and left it less.
+     * Computes the target counts of all operators. An absent operator keeps its shards, unless others stand in for it,
+     * or the agreement has expired and its floor is lower.
      *
      * @param operators all operators
-     * @param absentSinceMs those of them that have no member in the view, and since when
-     * @param owned how many shards each owns
-     * @return shards by operator, as many as there are in all
+     * @param absentSinceMs the operators that have no member in the view, and since when, milliseconds of the wall
+     *     clock
+     * @param ownedCounts the number of shards that each operator owns; an operator without an entry owns none
+     * @return the number of shards by operator; the sum is the number of all shards
      */
-    Map<String, Integer> compute(Set<String> operators, Map<String, Long> absentSinceMs, Map<String, Integer> owned) {
+    Map<String, Integer> compute(
+            Set<String> operators, Map<String, Long> absentSinceMs, Map<String, Integer> ownedCounts) {
         Map<String, Integer> weights = new TreeMap<>();
         operators.forEach(operator -> weights.put(operator, weight(operator)));
-        replaceZeroWeights(weights);
+        equalizeIfAllZero(weights);
         long totalWeight = sum(weights);
-        Map<String, Integer> target = new HashMap<>();
-        int free = shards;
+        Map<String, Integer> targetCounts = new HashMap<>();
+        int freeShards = shardCount;
         for (Map.Entry<String, Long> absent : absentSinceMs.entrySet()) {
             String operator = absent.getKey();
-            int keeps = isStoodInFor(absent.getValue()) ? 0 : owned.getOrDefault(operator, 0);
+            int keptShards = hasStandIns(absent.getValue()) ? 0 : ownedCounts.getOrDefault(operator, 0);
             if (isExpired) {
-                keeps = Math.min(keeps, floorShards(shards, weights.get(operator), totalWeight));
+                keptShards = Math.min(keptShards, floorShards(shardCount, weights.get(operator), totalWeight));
             }
-            target.put(operator, keeps);
-            free -= keeps;
+            targetCounts.put(operator, keptShards);
+            freeShards -= keptShards;
             weights.remove(operator);
         }
-        replaceZeroWeights(weights);
-        distribute(free, weights, target);
-        operators.forEach(operator -> target.putIfAbsent(operator, 0));
-        return target;
+        equalizeIfAllZero(weights);
+        distributeByLargestRemainder(freeShards, weights, targetCounts);
+        operators.forEach(operator -> targetCounts.putIfAbsent(operator, 0));
+        return targetCounts;
     }
 
     private int weight(String operator) {
@@ -70,12 +72,12 @@
         return isExpired ? party.floor() : party.share();
     }
 
-    private boolean isStoodInFor(long absentSinceMs) {
+    private boolean hasStandIns(long absentSinceMs) {
         return agreement != null && agreement.standIn() && nowMs - absentSinceMs >= agreement.aloneMs();
     }
 
-    /** Some operator has to own the shards, even where all weights are 0. */
-    private static void replaceZeroWeights(Map<String, Integer> weights) {
+    /** Sets all weights to 1 if all are 0, since some operator has to own the shards. */
+    private static void equalizeIfAllZero(Map<String, Integer> weights) {
         if (weights.values().stream().allMatch(weight -> weight == 0)) {
             weights.replaceAll((operator, weight) -> 1);
         }
@@ -85,25 +87,27 @@
         return weights.values().stream().mapToLong(weight -> weight).sum();
     }
 
-    /** By the largest remainder; ties by name. */
-    private static void distribute(int free, Map<String, Integer> weights, Map<String, Integer> target) {
-        long total = sum(weights);
-        int distributed = 0;
+    /** Distributes shards by the largest remainder method; ties are broken by operator name. */
+    private static void distributeByLargestRemainder(
+            int freeShards, Map<String, Integer> weights, Map<String, Integer> targetCounts) {
+        long totalWeight = sum(weights);
+        int distributedShards = 0;
         for (Map.Entry<String, Integer> weight : weights.entrySet()) {
-            int quotient = (int) (free * (long) weight.getValue() / total);
-            target.put(weight.getKey(), quotient);
-            distributed += quotient;
+            int quotient = (int) (freeShards * (long) weight.getValue() / totalWeight);
+            targetCounts.put(weight.getKey(), quotient);
+            distributedShards += quotient;
         }
-        List<String> byRemainder = new ArrayList<>(weights.keySet());
-        byRemainder.sort(Comparator.comparingLong((String operator) -> -(free * (long) weights.get(operator) % total))
+        List<String> operatorsByRemainder = new ArrayList<>(weights.keySet());
+        operatorsByRemainder.sort(Comparator.comparingLong(
+                        (String operator) -> -(freeShards * (long) weights.get(operator) % totalWeight))
                 .thenComparing(Comparator.naturalOrder()));
-        for (int i = 0; i < free - distributed && !byRemainder.isEmpty(); i++) {
-            target.merge(byRemainder.get(i), 1, Integer::sum);
+        for (int i = 0; i < freeShards - distributedShards && !operatorsByRemainder.isEmpty(); i++) {
+            targetCounts.merge(operatorsByRemainder.get(i), 1, Integer::sum);
         }
     }
 
-    /** How many whole shards a weight is of all. */
-    static int floorShards(int shards, int weight, long totalWeight) {
-        return totalWeight == 0 ? 0 : (int) (shards * (long) weight / totalWeight);
+    /** Returns the number of whole shards in a weight's share of all shards. */
+    static int floorShards(int shardCount, int weight, long totalWeight) {
+        return totalWeight == 0 ? 0 : (int) (shardCount * (long) weight / totalWeight);
     }
 }
--- a/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
+++ b/src/test/java/hopdrum/fleet/ShardCoordinatorTest.java
@@ -26,15 +26,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Scenarios of partners in virtual time, one failure each. The simulation checks at each step that no shard has two owners.
+ * Simulates partners in virtual time. Guards against a shard with two owners, which the simulation checks at each step,
+ * and against wrong shares, when members are cut off, restart or pause and wall clocks are wrong.
  */
 class ShardCoordinatorTest {
-    private static final long S = 1_000_000;
+    private static final long S = 1_000_000; // one second in microseconds
     private static final FleetTiming TIMING = new FleetTiming(S, 5 * S, 3_600 * S);
     private static final int SHARDS = 32;
     private static final long ALONE_MS = 10_000;
 
-    static PartnerAgreement terms(int revision, long fromMs, long untilMs, boolean standIn, int... shares) {
+    static PartnerAgreement agreement(int revision, long fromMs, long untilMs, boolean standIn, int... shares) {
         List<Party> parties = new ArrayList<>();
         for (int i = 0; i < shares.length; i++) {
             parties.add(new Party("op" + i, Math.max(shares[i], 100), shares[i], Math.min(shares[i], 10)));
@@ -43,12 +44,12 @@
                 "pact", revision, parties, fromMs, untilMs, 5_000, standIn, SHARDS / 4, 10_000, 20_000);
     }
 
-    private static AgreementTerms proposes(PartnerAgreement a) {
-        return new AgreementTerms(a, 0, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false);
+    private static AgreementTerms proposing(PartnerAgreement agreement) {
+        return new AgreementTerms(agreement, 0, 1_000, 0, ALONE_MS, SHARDS, 400L * 86_400_000, false);
     }
 
-    /** Members by turns one of each operator's. */
-    private static FleetSimulation fleet(int members, int operators, long seed) {
+    /** Creates a fleet whose members belong to the operators in turn. */
+    private static FleetSimulation newFleet(int members, int operators, long seed) {
         FleetSimulation fleet =
                 new FleetSimulation(members, members, TIMING, seed, new ShardSettings(SHARDS, ALONE_MS));
         for (SimulatedNode node : fleet.nodes()) {
@@ -59,7 +60,7 @@
     }
 
     private static FleetSimulation settledFleet(int members, int operators, long seed) {
-        FleetSimulation fleet = fleet(members, operators, seed);
+        FleetSimulation fleet = newFleet(members, operators, seed);
         fleet.nodes().forEach(node -> fleet.start(node, false));
         assertThat(fleet.runUntil(60 * S, fleet::hasConverged)).isTrue();
         assertThat(fleet.runUntil(
@@ -72,12 +73,12 @@
         return fleet;
     }
 
-    private static boolean shares(FleetSimulation fleet, Integer... counts) {
-        List<Integer> now = new ArrayList<>();
+    private static boolean sharesAre(FleetSimulation fleet, Integer... counts) {
+        List<Integer> actual = new ArrayList<>();
         for (int i = 0; i < counts.length; i++) {
-            now.add(fleet.activeShardCounts().getOrDefault("op" + i, 0));
+            actual.add(fleet.activeShardCounts().getOrDefault("op" + i, 0));
         }
-        return now.equals(List.of(counts));
+        return actual.equals(List.of(counts));
     }
 
     private static void updateTerms(FleetSimulation fleet, String operator, AgreementTerms terms) {
@@ -87,13 +88,13 @@
     @Test
     void sharesAreEvenWithoutAnAgreementAndAnAgreedOneMovesThemWithinTheEpochsBudget() {
         FleetSimulation fleet = settledFleet(6, 2, 1);
-        assertThat(shares(fleet, 16, 16)).isTrue();
-        updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25)));
-        assertThat(fleet.runUntil(30 * S, () -> shares(fleet, 24, 8))).isTrue();
-        updateTerms(fleet, "op1", proposes(terms(2, 0, fleet.wallMs() + 3_600_000, false, 25, 75)));
-        fleet.runUntil(20 * S, () -> !shares(fleet, 24, 8));
-        assertThat(fleet.node(0).view().shardAssignment().shardCountOf("op1")).isLessThan(24); // 8 an epoch at most
-        assertThat(fleet.runUntil(60 * S, () -> shares(fleet, 8, 24))).isTrue();
+        assertThat(sharesAre(fleet, 16, 16)).isTrue();
+        updateTerms(fleet, "op0", proposing(agreement(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25)));
+        assertThat(fleet.runUntil(30 * S, () -> sharesAre(fleet, 24, 8))).isTrue();
+        updateTerms(fleet, "op1", proposing(agreement(2, 0, fleet.wallMs() + 3_600_000, false, 25, 75)));
+        fleet.runUntil(20 * S, () -> !sharesAre(fleet, 24, 8));
+        assertThat(fleet.node(0).view().shardAssignment().shardCountOf("op1")).isLessThan(24); // at most 8 moves
+        assertThat(fleet.runUntil(60 * S, () -> sharesAre(fleet, 8, 24))).isTrue();
         assertThat(fleet.violations()).isEmpty();
     }
 
@@ -106,7 +107,7 @@
                 fleet,
                 "op0",
                 new AgreementTerms(
-                        terms(1, 0, fleet.wallMs() + 3_600_000, false, 90, 10),
+                        agreement(1, 0, fleet.wallMs() + 3_600_000, false, 90, 10),
                         0.5,
                         1_000,
                         0,
@@ -133,12 +134,12 @@
     void proposalsThatTheirOperatorNoLongerSendsExpireAndMakeRoom() {
         FleetSimulation fleet = settledFleet(4, 2, 8);
         updateTerms(fleet, "op1", AgreementTerms.NONE);
-        for (int i = 0; i < 40; i++) { // more than are known at once
-            updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000 + i, false, 75, 25)));
+        for (int i = 0; i < 40; i++) { // more than a member keeps at a time
+            updateTerms(fleet, "op0", proposing(agreement(1, 0, fleet.wallMs() + 3_600_000 + i, false, 75, 25)));
             fleet.runFor(S / 2);
         }
         fleet.runFor(62 * S);
-        updateTerms(fleet, "op1", proposes(terms(1, 0, fleet.wallMs() + 1_800_000, false, 25, 75)));
+        updateTerms(fleet, "op1", proposing(agreement(1, 0, fleet.wallMs() + 1_800_000, false, 25, 75)));
         assertThat(fleet.runUntil(
                         60 * S, () -> fleet.node(0).view().shardAssignment().agreement() != null))
                 .isTrue();
@@ -148,16 +149,15 @@
     @Test
     void noAgreementComesIntoForceWithoutTheApprovalOfAPartyAcrossAPartition() {
         FleetSimulation fleet = settledFleet(5, 2, 3);
-        fleet.setLinkFilter((a, b) ->
-                a.compareTo("m003") >= 0 == b.compareTo("m003") >= 0); // m003 and m004, one of each, are cut off
+        fleet.setLinkFilter((a, b) -> a.compareTo("m003") >= 0 == b.compareTo("m003") >= 0); // cuts off one of each
         for (SimulatedNode node : fleet.nodes()) {
-            if (node.name().equals("m003")) { // op1's other one is in the majority and agrees for it
-                continue;
+            if (node.name().equals("m003")) {
+                continue; // would approve, but is cut off; in the majority, m001 answers for op1 and approves nothing
             }
             fleet.setTerms(
                     node,
                     node.operator().equals("op0")
-                            ? proposes(terms(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25))
+                            ? proposing(agreement(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25))
                             : AgreementTerms.NONE);
         }
         fleet.runFor(40 * S);
@@ -168,20 +168,20 @@
     @Test
     void anOperatorCutOffActsAloneUntilItsLeaseEndsAndOthersStandInOnlyWhereAgreed() {
         for (boolean standIn : new boolean[] {false, true}) {
-            FleetSimulation fleet = settledFleet(5, 2, 4); // op0 has three, op1 two
-            updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, standIn, 50, 50)));
+            FleetSimulation fleet = settledFleet(5, 2, 4); // op0 has three members, op1 two
+            updateTerms(fleet, "op0", proposing(agreement(1, 0, fleet.wallMs() + 3_600_000, standIn, 50, 50)));
             assertThat(fleet.runUntil(
                             30 * S, () -> fleet.node(0).view().shardAssignment().agreement() != null))
                     .isTrue();
             fleet.runFor(12 * S);
-            Set<String> cut = Set.of("m001", "m003");
-            fleet.setLinkFilter((a, b) -> cut.contains(a) == cut.contains(b));
+            Set<String> cutOff = Set.of("m001", "m003");
+            fleet.setLinkFilter((a, b) -> cutOff.contains(a) == cutOff.contains(b));
             fleet.runFor(2 * S);
-            assertThat(shares(fleet, 16, 16)).isTrue();
+            assertThat(sharesAre(fleet, 16, 16)).isTrue();
             fleet.runFor(76 * S);
-            assertThat(shares(fleet, standIn ? 32 : 16, 0)).isTrue();
+            assertThat(sharesAre(fleet, standIn ? 32 : 16, 0)).isTrue();
             fleet.heal();
-            assertThat(fleet.runUntil(60 * S, () -> shares(fleet, 16, 16))).isTrue();
+            assertThat(fleet.runUntil(60 * S, () -> sharesAre(fleet, 16, 16))).isTrue();
             assertThat(fleet.violations()).isEmpty();
         }
     }
@@ -189,16 +189,16 @@
     @Test
     void aNoticeEndsAnAgreementAfterItsNoticePeriodAndLeavesEachPartyItsFloor() {
         FleetSimulation fleet = settledFleet(4, 2, 5);
-        updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25)));
-        assertThat(fleet.runUntil(40 * S, () -> shares(fleet, 24, 8))).isTrue();
+        updateTerms(fleet, "op0", proposing(agreement(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25)));
+        assertThat(fleet.runUntil(40 * S, () -> sharesAre(fleet, 24, 8))).isTrue();
         updateTerms(fleet, "op1", new AgreementTerms(null, 2, 0, 0, 0, 0, 0, true));
         assertThat(fleet.runUntil(
                         20 * S,
                         () -> fleet.node(0).view().shardAssignment().agreement().revision() == 2))
                 .isTrue();
         fleet.runFor(8 * S);
-        assertThat(shares(fleet, 24, 8)).isTrue(); // 20 s of notice
-        assertThat(fleet.runUntil(60 * S, () -> shares(fleet, 16, 16))).isTrue();
+        assertThat(sharesAre(fleet, 24, 8)).isTrue(); // within the notice period of 20 s
+        assertThat(fleet.runUntil(60 * S, () -> sharesAre(fleet, 16, 16))).isTrue();
         assertThat(fleet.node(0).view().shardAssignment().expired()).isTrue();
         assertThat(fleet.violations()).isEmpty();
     }
@@ -206,21 +206,21 @@
     @Test
     void agreementsAndOwnersSurviveARestartOfAllMembersAndOneOperatorsLossOfItsStores() {
         FleetSimulation fleet = settledFleet(6, 2, 6);
-        updateTerms(fleet, "op0", proposes(terms(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25)));
-        assertThat(fleet.runUntil(40 * S, () -> shares(fleet, 24, 8))).isTrue();
+        updateTerms(fleet, "op0", proposing(agreement(1, 0, fleet.wallMs() + 3_600_000, false, 75, 25)));
+        assertThat(fleet.runUntil(40 * S, () -> sharesAre(fleet, 24, 8))).isTrue();
         PartnerAgreement before = fleet.node(0).view().shardAssignment().agreement();
         fleet.nodes().forEach(fleet::kill);
         fleet.runFor(2 * S);
-        fleet.nodes().forEach(n -> fleet.start(n, !n.operator().equals("op1") || n.gateway() == 1));
+        fleet.nodes().forEach(node -> fleet.start(node, !node.operator().equals("op1") || node.gateway() == 1));
         assertThat(fleet.runUntil(60 * S, fleet::hasConverged)).isTrue();
-        assertThat(fleet.runUntil(40 * S, () -> shares(fleet, 24, 8))).isTrue();
+        assertThat(fleet.runUntil(40 * S, () -> sharesAre(fleet, 24, 8))).isTrue();
         assertThat(fleet.node(0).view().shardAssignment().agreement()).isEqualTo(before);
         assertThat(fleet.violations()).isEmpty();
     }
 
     @Test
     void anOwnerCutOffKeepsActingWhileItsShardMovesTwiceAndTheThirdOwnerWaitsForIt() {
-        FleetSimulation fleet = settledFleet(7, 3, 7); // op0 has three, op1 and op2 two each
+        FleetSimulation fleet = settledFleet(7, 3, 7); // op0 has three members, op1 and op2 two each
         int[][] shares = {{80, 10, 10}, {10, 80, 10}, {10, 10, 80}};
         for (int revision = 1; revision <= 3; revision++) {
             List<Party> parties = new ArrayList<>();
@@ -230,7 +230,7 @@
             updateTerms(
                     fleet,
                     "op0",
-                    proposes(new PartnerAgreement(
+                    proposing(new PartnerAgreement(
                             "pact",
                             revision,
                             parties,
@@ -241,16 +241,14 @@
                             SHARDS,
                             1_000,
                             0)));
-            int wanted = revision;
+            int step = revision;
             assertThat(fleet.runUntil(
-                            30 * S,
-                            () -> fleet.node(1).view().shardAssignment().shardCountOf("op" + (wanted - 1)) >= 25))
+                            30 * S, () -> fleet.node(1).view().shardAssignment().shardCountOf("op" + (step - 1)) >= 25))
                     .isTrue();
             if (revision == 1) {
                 fleet.runFor(25 * S);
                 assertThat(fleet.activeShardCounts().get("op0")).isEqualTo(26);
-                fleet.setLinkFilter(
-                        (a, b) -> a.equals("m003") == b.equals("m003")); // one of op0's is cut off, and acts for 10 s
+                fleet.setLinkFilter((a, b) -> a.equals("m003") == b.equals("m003")); // op0's m003 acts for 10 s
             }
         }
         assertThat(fleet.activeShardCounts().getOrDefault("op2", 0)).isLessThan(10);
@@ -259,11 +257,11 @@
         assertThat(fleet.violations()).isEmpty();
     }
 
-    /** Whatever dies, pauses, is cut off, has a clock that is wrong by seconds or amends: no shard has two owners. */
+    /** No shard may have two owners when members die, pause, are cut off or amend, and clocks are wrong by seconds. */
     @Property(tries = 25, shrinking = ShrinkingMode.OFF)
     void noShardHasTwoOwnersThroughAnySchedule(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        FleetSimulation fleet = fleet(7, 3, seed);
+        FleetSimulation fleet = newFleet(7, 3, seed);
         fleet.setStepUs(20_000);
         fleet.nodes().forEach(node -> node.setClockOffsetMs(random.nextLong(-3_000, 3_000)));
         fleet.nodes().forEach(node -> fleet.start(node, false));
@@ -275,16 +273,16 @@
             if (random.nextInt(3) == 0) {
                 fleet.heal();
             }
-            for (SimulatedNode n : fleet.nodes()) {
-                if (!n.isUp() && random.nextBoolean()) {
-                    fleet.start(n, random.nextInt(6) > 0);
+            for (SimulatedNode node : fleet.nodes()) {
+                if (!node.isUp() && random.nextBoolean()) {
+                    fleet.start(node, random.nextInt(6) > 0);
                 }
             }
         }
         assertThat(fleet.violations()).as("seed %d", seed).isEmpty();
     }
 
-    /** One member dies, pauses, is cut off or loses messages, or its operator proposes an amendment. */
+    /** Injects one fault: a member dies, pauses, is cut off or loses messages, or its operator amends. */
     private static void injectRandomFault(FleetSimulation fleet, SplittableRandom random) {
         SimulatedNode node = fleet.node(random.nextInt(7));
         switch (random.nextInt(8)) {
@@ -302,7 +300,7 @@
                 updateTerms(
                         fleet,
                         node.operator(),
-                        proposes(terms(
+                        proposing(agreement(
                                 next,
                                 0,
                                 fleet.wallMs() + random.nextLong(10_000, 200_000),
@@ -314,13 +312,13 @@
         }
     }
 
-    // ---- The rule alone ----
+    // ---- The assignment rule without a fleet ----
 
-    private static View view(ShardAssignment division, int number) {
-        return new View(1, number, List.of(new Member("m", 1, 1, "op0", "here", 0, "127.0.0.1:1")), division);
+    private static View view(ShardAssignment assignment, int number) {
+        return new View(1, number, List.of(new Member("m", 1, 1, "op0", "here", 0, "127.0.0.1:1")), assignment);
     }
 
-    /** Shares are met within one shard, in so many moves an epoch, and none moves that need not. */
+    /** Shares must be met within one shard, with the moves that each epoch allows, and without unnecessary moves. */
     @Property(tries = 300)
     void sharesAreMetWithinOneShardWithTheFewestMoves(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -331,31 +329,31 @@
         for (int i = 0; i < operators; i++) {
             present.add("op" + i);
         }
-        PartnerAgreement agreement = terms(1, 0, 1_000_000_000, false, shares);
-        ShardAssignment d = rule.next(view(null, 0), present, null, List.of(), 0);
+        PartnerAgreement agreement = agreement(1, 0, 1_000_000_000, false, shares);
+        ShardAssignment assignment = rule.nextAssignment(view(null, 0), present, null, List.of(), 0);
         int number = 1;
-        long now = 1;
-        ShardAssignment first = d;
-        for (int epoch = 0; epoch < 12; epoch++, now += 10_000) {
+        long nowMs = 1;
+        ShardAssignment first = assignment;
+        for (int epoch = 0; epoch < 12; epoch++, nowMs += 10_000) {
             for (int again = 0; again < 2; again++) {
-                ShardAssignment next = rule.next(
-                        view(d, number++),
+                ShardAssignment next = rule.nextAssignment(
+                        view(assignment, number++),
                         present,
-                        agreement.equals(d.agreement()) ? null : agreement,
-                        d.agreement() == null ? agreement.operators() : d.agreedBy(),
-                        now);
-                assertThat(shardsWithAnotherOwner(d, next)).isLessThanOrEqualTo(agreement.maxMovesPerEpoch());
-                d = next;
+                        agreement.equals(assignment.agreement()) ? null : agreement,
+                        assignment.agreement() == null ? agreement.operators() : assignment.agreedBy(),
+                        nowMs);
+                assertThat(shardsWithAnotherOwner(assignment, next)).isLessThanOrEqualTo(agreement.maxMovesPerEpoch());
+                assignment = next;
             }
         }
-        double all = Arrays.stream(shares).sum();
+        double totalShare = Arrays.stream(shares).sum();
         int gained = 0;
         for (int i = 0; i < operators; i++) {
-            assertThat(Math.abs(d.shardCountOf("op" + i) - SHARDS * shares[i] / all))
+            assertThat(Math.abs(assignment.shardCountOf("op" + i) - SHARDS * shares[i] / totalShare))
                     .isLessThan(1);
-            gained += Math.max(0, d.shardCountOf("op" + i) - first.shardCountOf("op" + i));
+            gained += Math.max(0, assignment.shardCountOf("op" + i) - first.shardCountOf("op" + i));
         }
-        assertThat(shardsWithAnotherOwner(first, d)).isEqualTo(gained);
+        assertThat(shardsWithAnotherOwner(first, assignment)).isEqualTo(gained);
     }
 
     private static int shardsWithAnotherOwner(ShardAssignment before, ShardAssignment after) {
@@ -368,7 +366,7 @@
 
     @Test
     void agreementsThatPromiseTooMuchContradictThemselvesOrHaveExpiredAreRejectedWithEachReason() {
-        PartnerAgreement bad = new PartnerAgreement(
+        PartnerAgreement invalid = new PartnerAgreement(
                 "pact",
                 1,
                 List.of(new Party("op0", 10, 60, 70), new Party("op1", 10, 60, 0)),
@@ -379,7 +377,7 @@
                 0,
                 10_000,
                 0);
-        assertThat(String.join("\n", bad.faults(9_000, ALONE_MS)))
+        assertThat(String.join("\n", invalid.faults(9_000, ALONE_MS)))
                 .contains(
                         "owed: 120 in all, where 20 is brought",
                         "floor: op0's 70",
@@ -388,15 +386,15 @@
                         "alone: 60000 ms",
                         "moves: none");
         ShardAssignmentRule rule = new ShardAssignmentRule(SHARDS, ALONE_MS);
-        PartnerAgreement good = terms(1, 0, 100_000, false, 50, 50);
-        ShardAssignment d = rule.next(view(null, 0), Set.of("op0", "op1"), good, good.operators(), 10);
-        assertThat(rule.mayComeIntoForce(view(d, 1), good, good.operators(), 20))
-                .isFalse(); // said once more
-        assertThat(rule.mayComeIntoForce(view(null, 0), good, List.of("op0"), 20))
+        PartnerAgreement valid = agreement(1, 0, 100_000, false, 50, 50);
+        ShardAssignment next = rule.nextAssignment(view(null, 0), Set.of("op0", "op1"), valid, valid.operators(), 10);
+        assertThat(rule.mayComeIntoForce(view(next, 1), valid, valid.operators(), 20))
+                .isFalse(); // the agreement is in force already
+        assertThat(rule.mayComeIntoForce(view(null, 0), valid, List.of("op0"), 20))
                 .isFalse(); // approved by one party only
-        assertThat(rule.violation(view(null, 0), new View(1, 1, view(null, 0).members(), d), 10))
-                .isPresent(); // op1 is not there
-        Map<String, Integer> counts = Map.of("op0", d.shardCountOf("op0"), "op1", d.shardCountOf("op1"));
+        assertThat(rule.violation(view(null, 0), new View(1, 1, view(null, 0).members(), next), 10))
+                .isPresent(); // op1 has no member in the view
+        Map<String, Integer> counts = Map.of("op0", next.shardCountOf("op0"), "op1", next.shardCountOf("op1"));
         assertThat(counts).containsEntry("op0", 16).containsEntry("op1", 16);
     }
 }
