--- a/src/main/java/hopdrum/fleet/shards/ShardLeases.java
+++ b/src/main/java/hopdrum/fleet/shards/ShardLeases.java
@@ -68,11 +68,11 @@
 
     /** Returns how long after its last contact with the fleet a front door may still act, including any clock drift. */
     private long maxActingUs(long aloneUs) {
-        long lapseUs = Math.max(timing.leaseUs(), aloneUs);
-        return lapseUs + lapseUs * 2 * FleetTiming.MAX_CLOCK_DRIFT_PERCENT / 100;
+        long actingUs = Math.max(timing.leaseUs(), aloneUs);
+        return actingUs + actingUs * 2 * FleetTiming.MAX_CLOCK_DRIFT_PERCENT / 100;
     }
 
-    /** Returns how long an operator may act alone by the agreement in force; 0 if there is none. */
+    /** Returns how long an operator may act alone by the settled view's agreement; 0 if there is none. */
     private long agreedAloneUs() {
         PartnerAgreement agreement =
                 view.shardAssignment() == null ? null : view.shardAssignment().agreement();
@@ -164,9 +164,7 @@
         return Map.copyOf(handedOver);
     }
 
-    /**
-     *  Returns when the former owners of a moved shard have certainly stopped; a time in the past if they already have.
-     */
+    /** Returns when the former owners of a moved shard have certainly stopped; in the past if they already have. */
     private long earliestStartUs(Move move) {
         if (handedOver.getOrDefault(move.shard(), 0L) >= move.viewNumber()) {
             return PAST_US;
