--- a/src/rig/java/hopdrum/rig/simulation/EventRecorder.java
+++ b/src/rig/java/hopdrum/rig/simulation/EventRecorder.java
@@ -7,15 +7,16 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Takes the nodes' log events: keeps them where asked to, and counts the members that were declared dead wrongly. */
+/** Receives the nodes' log events: records them on request, and counts how often live members were declared dead. */
 final class EventRecorder {
     private static final String MEMBER_EVENT = "member";
     private static final String DEAD = "DEAD";
-    // Positions of the values in the pairs of a member event: who, start, state and the member that says so.
-    private static final int WHO = 1;
-    private static final int START = 3;
-    private static final int STATE = 5;
-    private static final int SAID_BY = 7;
+    // Indexes of values in the key-value pairs of a member event: the member concerned, its start, its state, and the
+    // member that declared the state.
+    private static final int SUBJECT_INDEX = 1;
+    private static final int START_INDEX = 3;
+    private static final int STATE_INDEX = 5;
+    private static final int OBSERVER_INDEX = 7;
 
     private final SimulatedClock clock;
     private final FleetTiming timing;
@@ -30,32 +31,46 @@
         this.nodes = nodes;
     }
 
+    /** Records all events from now on. */
     void recordEvents() {
         recording = true;
     }
 
-    /** All events since {@link #recordEvents()}, one text each. */
+    /** Returns the events since {@link #recordEvents()}, one string each: time, node, event and its pairs. */
     List<String> events() {
         return Collections.unmodifiableList(events);
     }
 
-    /** How often each member was declared dead while it was up and had run for the suspicion time, by name. */
+    /**
+     * Returns how often each member was declared dead by mistake, by name: while its process was up and had run without
+     * a pause for at least the minimum suspicion time. Each observer that declares a member dead counts.
+     */
     Map<String, Integer> falsePositives() {
         return Collections.unmodifiableMap(falsePositives);
     }
 
+    /** Removes all counts of {@link #falsePositives()}. */
     void clearFalsePositives() {
         falsePositives.clear();
     }
 
-    void event(SimulatedNode observer, String event, Object... pairs) {
+    /**
+     * Handles a log event of a node.
+     *
+     * @param observer the node that logs the event
+     * @param event the event's name
+     * @param pairs the event's keys and values in turn
+     */
+    void onEvent(SimulatedNode observer, String event, Object... pairs) {
         if (recording) {
             events.add(clock.nowUs() + " " + observer.name() + " " + event + " " + List.of(pairs));
         }
-        if (event.equals(MEMBER_EVENT) && pairs[STATE].equals(DEAD) && pairs[SAID_BY].equals(observer.name())) {
-            SimulatedNode subject = nodes.get((String) pairs[WHO]);
+        if (event.equals(MEMBER_EVENT)
+                && pairs[STATE_INDEX].equals(DEAD)
+                && pairs[OBSERVER_INDEX].equals(observer.name())) {
+            SimulatedNode subject = nodes.get((String) pairs[SUBJECT_INDEX]);
             if (subject.isUp()
-                    && subject.self().start() == (long) pairs[START]
+                    && subject.self().start() == (long) pairs[START_INDEX]
                     && subject.pausedUntilUs() + timing.minSuspicionUs() <= clock.nowUs()) {
                 falsePositives.merge(subject.name(), 1, Integer::sum);
             }
--- a/src/rig/java/hopdrum/rig/simulation/FleetSimulation.java
+++ b/src/rig/java/hopdrum/rig/simulation/FleetSimulation.java
@@ -21,15 +21,15 @@
 import java.util.function.ToLongFunction;
 
 /**
- * A fleet of many members in virtual time, in one thread: the product's membership on a simulated network and simulated
- * disks. The same seed and calls give the same run. At each step the {@link #violations() invariants} are checked. Times
- * are microseconds of the virtual clock. Not thread-safe.
+ * A simulation of a whole fleet in virtual time, in one thread: the product's membership code on a simulated network
+ * and simulated disks. The same seed and the same method calls give the same run. Invariants are checked at each step,
+ * see {@link #violations()}. Times are microseconds of the virtual clock unless stated otherwise. Not thread-safe.
  */
 public final class FleetSimulation {
     private static final long DEFAULT_STEP_US = 10_000;
     private static final long FIRST_START = 1_000_000_000_000L;
-    private static final int SEED_ADDRESSES = 3;
-    private static final int TICKS_PER_PERIOD = 10;
+    private static final int SEED_ADDRESS_COUNT = 3;
+    private static final int TICKS_PER_PROBE_PERIOD = 10;
 
     private final SplittableRandom random;
     private final FleetTiming timing;
@@ -45,92 +45,98 @@
     private long lastStart = FIRST_START;
 
     /**
-     * A fleet whose operators share no customers; no member runs yet.
+     * Creates a fleet whose operators share no customers. No member runs yet.
      *
-     * @param members how many nodes there are
-     * @param founding how many of them, from the first on, found the fleet
-     * @param timing the fleet's periods
-     * @param seed all chance of the simulation comes from it
+     * @param memberCount the number of nodes
+     * @param founderCount the number of nodes, from the first one on, that are founders of the fleet
+     * @param timing the fleet's intervals
+     * @param seed the seed of all random choices of the simulation
      */
-    public FleetSimulation(int members, int founding, FleetTiming timing, long seed) {
-        this(members, founding, timing, seed, ShardSettings.NONE);
+    public FleetSimulation(int memberCount, int founderCount, FleetTiming timing, long seed) {
+        this(memberCount, founderCount, timing, seed, ShardSettings.NONE);
     }
 
     /**
-     * A fleet whose operators share customers as {@code sharding} says; no member runs yet.
+     * Creates a fleet with the given settings of the customer sharing. No member runs yet.
      *
-     * @param members how many nodes there are
-     * @param founding how many of them, from the first on, found the fleet
-     * @param timing the fleet's periods
-     * @param seed all chance of the simulation comes from it
-     * @param sharding how operators share customers
+     * @param memberCount the number of nodes
+     * @param founderCount the number of nodes, from the first one on, that are founders of the fleet
+     * @param timing the fleet's intervals
+     * @param seed the seed of all random choices of the simulation
+     * @param sharding how the operators share customers
      */
-    public FleetSimulation(int members, int founding, FleetTiming timing, long seed, ShardSettings sharding) {
+    public FleetSimulation(int memberCount, int founderCount, FleetTiming timing, long seed, ShardSettings sharding) {
         this.random = new SplittableRandom(seed);
         this.timing = timing;
         this.sharding = sharding;
-        for (int i = 0; i < members; i++) {
+        for (int i = 0; i < memberCount; i++) {
             SimulatedNode node = new SimulatedNode(i);
             nodes.put(node.name(), node);
         }
-        founders = nodes.keySet().stream().limit(founding).toList();
+        founders = nodes.keySet().stream().limit(founderCount).toList();
         network = new SimulatedNetwork(clock, random, nodes);
         recorder = new EventRecorder(clock, timing, nodes);
         checker = new InvariantChecker(clock, nodes.values(), sharding.shardCount());
     }
 
-    /** All nodes, by number. */
+    /** Returns all nodes in the order of their numbers. */
     public List<SimulatedNode> nodes() {
         return List.copyOf(nodes.values());
     }
 
-    /** The node of this number, from 0 on. */
+    /** Returns the node with the given number, counted from 0. */
     public SimulatedNode node(int number) {
         return nodes().get(number);
     }
 
-    // ---- Processes and their faults ----
+    // ---- Processes ----
 
     /**
      * Starts a process at a node where none runs.
      *
-     * @param withStore whether its disk still holds what the process before it wrote; else it starts empty
+     * @param node the node
+     * @param keepsStore whether the disk still holds what the node's previous process wrote; otherwise it is empty
      */
-    public void start(SimulatedNode node, boolean withStore) {
-        if (!withStore) {
-            node.store(null);
+    public void start(SimulatedNode node, boolean keepsStore) {
+        if (!keepsStore) {
+            node.setStoredState(null);
         }
-        DurableState kept = node.stored();
+        DurableState storedState = node.storedState();
         long start = ++lastStart;
-        long voter = kept == null ? random.nextLong() | 1 : kept.voter();
+        long voter = storedState == null ? random.nextLong() | 1 : storedState.voter();
         Member self = node.newMember(start, voter, sharding.isSharded());
-        checker.restarted(node);
-        node.store(
-                kept == null
+        checker.forgetLastView(node);
+        node.setStoredState(
+                storedState == null
                         ? new DurableState(voter, start, View.NONE, null, null, null)
                         : new DurableState(
-                                voter, start, kept.view(), kept.promised(), kept.acceptedIn(), kept.accepted()));
-        // The order of the two splits and the draw below decides what a seed means.
+                                voter,
+                                start,
+                                storedState.view(),
+                                storedState.promised(),
+                                storedState.acceptedIn(),
+                                storedState.accepted()));
+        // The order of the two splits and of the draw for the first tick determines the run that a seed gives.
         SplittableRandom membershipRandom = random.split();
         ShardCoordinator coordinator = sharding.isSharded() ? newCoordinator(node, self) : null;
         Membership membership = new Membership(
                 self,
                 seedAddresses(),
                 founders,
-                kept,
+                storedState,
                 timing,
                 membershipRandom,
                 (to, message) -> network.send(node, self, to, message),
-                (state, whenWritten) -> disks.write(node, state, whenWritten),
+                (state, onWritten) -> disks.write(node, state, onWritten),
                 coordinator,
-                (event, pairs) -> recorder.event(node, event, pairs),
+                (event, pairs) -> recorder.onEvent(node, event, pairs),
                 clock.nowUs());
-        node.starts(self, coordinator, membership, clock.nowUs() + random.nextLong(tickIntervalUs()));
+        node.processStarted(self, coordinator, membership, clock.nowUs() + random.nextLong(tickIntervalUs()));
     }
 
     private List<String> seedAddresses() {
         return founders.stream()
-                .limit(SEED_ADDRESSES)
+                .limit(SEED_ADDRESS_COUNT)
                 .map(name -> nodes.get(name).address())
                 .toList();
     }
@@ -143,95 +149,105 @@
                 timing,
                 random.split(),
                 (to, message) -> network.send(node, self, to, message),
-                (event, pairs) -> recorder.event(node, event, pairs),
+                (event, pairs) -> recorder.onEvent(node, event, pairs),
                 () -> clock.wallMs() + node.clockOffsetMs());
         coordinator.updateTerms(node.terms());
         return coordinator;
     }
 
     private long tickIntervalUs() {
-        return timing.probePeriodUs() / TICKS_PER_PERIOD;
+        return timing.probePeriodUs() / TICKS_PER_PROBE_PERIOD;
     }
 
-    /** Gives the node's operator other terms there, from now on and after restarts. */
+    /** Sets the agreement terms of a node's operator at that node. They apply at once and after restarts. */
     public void setTerms(SimulatedNode node, AgreementTerms terms) {
         node.setTerms(terms);
     }
 
-    /** Ends a process at once; what it had not written to its disk is lost. */
+    /** Ends the process of a node at once. Writes to its disk that have not completed are lost. */
     public void kill(SimulatedNode node) {
-        node.ends();
+        node.processEnded();
     }
 
-    /** Ends a process that tells its peers that it leaves. */
+    /** Ends the process of a node after it has announced to its peers that it leaves the fleet. */
     public void leave(SimulatedNode node) {
         node.membership().leave(clock.nowUs());
-        node.ends();
+        node.processEnded();
     }
 
-    /** Stops a node for so long; its process stays up and goes on afterwards. */
-    public void pause(SimulatedNode node, long us) {
-        node.pauseUntil(clock.nowUs() + us);
+    /** Pauses the process of a node for a duration in microseconds. The process stays up and resumes afterwards. */
+    public void pause(SimulatedNode node, long durationUs) {
+        node.pauseUntil(clock.nowUs() + durationUs);
     }
 
-    // ---- The network and the disks ----
+    // ---- Network and disks ----
 
-    /** Sets which messages get through, by the names of sender and receiver; those under way are held to it too. */
-    public void setLinkFilter(BiPredicate<String, String> passes) {
-        network.setLinkFilter(passes);
+    /** Sets which messages pass, by the names of sender and receiver. The filter also applies to messages in flight. */
+    public void setLinkFilter(BiPredicate<String, String> filter) {
+        network.setLinkFilter(filter);
     }
 
-    /** Lets all messages through again. */
+    /** Removes the link filter, so that all messages pass again. */
     public void heal() {
         network.setLinkFilter((from, to) -> true);
     }
 
-    /** Sets the probability that a message is lost. */
+    /** Sets the probability that a message is lost, from 0 to 1. */
     public void setLossProbability(double probability) {
         network.setLossProbability(probability);
     }
 
-    /** Sets the mean time that a message takes one way; each takes between a half and one and a half of it. */
-    public void setMeanDelayUs(long us) {
-        network.setMeanDelayUs(us);
+    /** Sets the mean one-way delay in microseconds; a message takes between half and one and a half times as long. */
+    public void setMeanDelayUs(long meanDelayUs) {
+        network.setMeanDelayUs(meanDelayUs);
     }
 
-    /** Sets what a message takes on top of that, one way, by the names of sender and receiver. */
-    public void setExtraDelayUs(ToLongBiFunction<String, String> byEnds) {
-        network.setExtraDelayUs(byEnds);
+    /** Sets the one-way delay, in microseconds, that is added by the names of sender and receiver. */
+    public void setExtraDelayUs(ToLongBiFunction<String, String> delayBySenderAndReceiver) {
+        network.setExtraDelayUs(delayBySenderAndReceiver);
     }
 
-    /** Sets what a sender, by name, says in place of a message of its own: how members lie. */
-    public void setMessageRewriter(BiFunction<String, Message, Message> alters) {
-        network.setMessageRewriter(alters);
+    /**
+     * Sets the function that replaces each message before it is sent, so that members send false messages.
+     *
+     * @param rewriter takes the sender's name and its message, and returns the message to send
+     */
+    public void setMessageRewriter(BiFunction<String, Message, Message> rewriter) {
+        network.setMessageRewriter(rewriter);
     }
 
-    /** Sets how long a write to disk takes, by the node's name. */
-    public void setDiskWriteUs(ToLongFunction<String> byName) {
-        disks.setWriteUs(byName);
+    /** Sets how long a write to disk takes, in microseconds, by the node's name. */
+    public void setDiskWriteUs(ToLongFunction<String> durationByNode) {
+        disks.setWriteDurationUs(durationByNode);
     }
 
     // ---- Time ----
 
-    /** The virtual monotonic clock, in microseconds. */
+    /** Returns the time of the virtual monotonic clock, microseconds. */
     public long nowUs() {
         return clock.nowUs();
     }
 
-    /** The wall clock of a node whose clock is right, in milliseconds. */
+    /** Returns the time of a wall clock without error, milliseconds since the Unix epoch. */
     public long wallMs() {
         return clock.wallMs();
     }
 
-    /** Sets how far the clock advances at each step: the grain of all delays. */
-    public void setStepUs(long us) {
-        stepUs = us;
+    /** Sets the length of a step in microseconds, which is the resolution of all delays. */
+    public void setStepUs(long newStepUs) {
+        stepUs = newStepUs;
     }
 
-    /** Runs until the condition holds, for {@code us} at most; returns whether it came to hold. */
-    public boolean runUntil(long us, BooleanSupplier condition) {
-        long end = clock.nowUs() + us;
-        while (clock.nowUs() < end) {
+    /**
+     * Runs the simulation until a condition holds after a step.
+     *
+     * @param limitUs the longest time to run, microseconds
+     * @param condition the condition
+     * @return whether the condition held within the limit
+     */
+    public boolean runUntil(long limitUs, BooleanSupplier condition) {
+        long endUs = clock.nowUs() + limitUs;
+        while (clock.nowUs() < endUs) {
             step();
             if (condition.getAsBoolean()) {
                 return true;
@@ -240,9 +256,9 @@
         return false;
     }
 
-    /** Runs for {@code us}. */
-    public void runFor(long us) {
-        runUntil(us, () -> false);
+    /** Runs the simulation for a duration in microseconds. */
+    public void runFor(long durationUs) {
+        runUntil(durationUs, () -> false);
     }
 
     private void step() {
@@ -259,15 +275,15 @@
         checker.checkOwners();
     }
 
-    // ---- What came of it ----
+    // ---- Results ----
 
-    /** Whether all members that run have one view, and it holds exactly them, by their present starts. */
+    /** Returns whether all running members hold one view, and the view has exactly them with their current starts. */
     public boolean hasConverged() {
         View first = null;
-        int up = 0;
+        int upCount = 0;
         for (SimulatedNode node : nodes.values()) {
             if (node.isUp()) {
-                up++;
+                upCount++;
                 View view = node.view();
                 if (first == null) {
                     first = view;
@@ -277,30 +293,33 @@
                 }
             }
         }
-        return first != null && first.members().size() == up;
+        return first != null && first.members().size() == upCount;
     }
 
-    /** How many shards each operator's members act on now, by operator; without those that act on none. */
+    /** Returns the number of shards that each operator's members act on now; without operators that act on none. */
     public Map<String, Integer> activeShardCounts() {
         Map<String, BitSet> shards = new TreeMap<>();
         for (SimulatedNode node : nodes.values()) {
-            shards.computeIfAbsent(node.operator(), operator -> new BitSet()).or(node.actingShards(clock.nowUs()));
+            shards.computeIfAbsent(node.operator(), operator -> new BitSet()).or(node.activeShards(clock.nowUs()));
         }
         Map<String, Integer> counts = new TreeMap<>();
-        shards.forEach((operator, acting) -> {
-            if (!acting.isEmpty()) {
-                counts.put(operator, acting.cardinality());
+        shards.forEach((operator, activeShards) -> {
+            if (!activeShards.isEmpty()) {
+                counts.put(operator, activeShards.cardinality());
             }
         });
         return counts;
     }
 
-    /** The violations of invariants so far, a sentence with its time each; empty if all held. */
+    /** Returns the violations of invariants so far: each with its time, invariant and details; empty for none. */
     public List<String> violations() {
         return checker.violations();
     }
 
-    /** The longest time that any shard has had no owner, after its first one; since the last reset. */
+    /**
+     * Returns the longest time that any shard has been without an owner since the last reset. The time before a shard's
+     * first owner does not count.
+     */
     public long longestOwnerlessUs() {
         return checker.longestOwnerlessUs();
     }
@@ -310,22 +329,25 @@
         checker.resetLongestOwnerless();
     }
 
-    /** How often members were declared dead that were up and not just paused, by name; since it was last cleared. */
+    /**
+     * Returns how often each member was declared dead by mistake, by name, since the counts were last cleared: while
+     * its process was up and had run without a pause for at least the minimum suspicion time.
+     */
     public Map<String, Integer> falsePositives() {
         return recorder.falsePositives();
     }
 
-    /** Empties {@link #falsePositives()}. */
+    /** Removes all counts of {@link #falsePositives()}. */
     public void clearFalsePositives() {
         recorder.clearFalsePositives();
     }
 
-    /** Keeps the members' log events from now on, for {@link #events()}. */
+    /** Records the members' log events from now on, for {@link #events()}. */
     public void recordEvents() {
         recorder.recordEvents();
     }
 
-    /** The members' log events since {@link #recordEvents()}: time, member, event and its pairs. */
+    /** Returns the log events since {@link #recordEvents()}, one string each: time, member, event and its pairs. */
     public List<String> events() {
         return recorder.events();
     }
--- a/src/rig/java/hopdrum/rig/simulation/InvariantChecker.java
+++ b/src/rig/java/hopdrum/rig/simulation/InvariantChecker.java
@@ -11,111 +11,118 @@
 import java.util.TreeMap;
 
 /**
- * Checks at each step what must always hold: no era and number name two views, numbers at one start never fall, claims
- * of one operator never add up to more than the whole, and no shard has two owners.
+ * Checks the invariants of a fleet at each step of a simulation: an era and a number identify one view; within an era,
+ * the view number of a process never decreases; the quota claims of an operator's members never add up to more than its
+ * quota; and no shard has two owners.
  */
 final class InvariantChecker {
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
-    /** The name of the last view that a node was seen with. */
-    private record ViewName(long era, long number) {
-        static final ViewName NONE = new ViewName(0, 0);
+    /** The ID of the last view that a node was seen with. */
+    private record ViewId(long era, long number) {
+        static final ViewId NONE = new ViewId(0, 0);
     }
 
     private final SimulatedClock clock;
     private final Collection<SimulatedNode> nodes;
-    private final int shards;
+    private final int shardCount;
     private final List<String> violations = new ArrayList<>();
-    private final Map<ViewName, String> contents = new HashMap<>();
-    private final Map<String, ViewName> lastViews = new HashMap<>();
-    private final Map<Integer, Long> lastOwnedUs = new HashMap<>();
+    private final Map<ViewId, String> contentById = new HashMap<>();
+    private final Map<String, ViewId> lastViewByNode = new HashMap<>();
+    private final Map<Integer, Long> lastOwnedUsByShard = new HashMap<>();
     private long longestOwnerlessUs;
 
-    InvariantChecker(SimulatedClock clock, Collection<SimulatedNode> nodes, int shards) {
+    InvariantChecker(SimulatedClock clock, Collection<SimulatedNode> nodes, int shardCount) {
         this.clock = clock;
         this.nodes = nodes;
-        this.shards = shards;
+        this.shardCount = shardCount;
     }
 
-    /** What was violated so far, a sentence with its time each. */
+    /** Returns the violations so far: each with its time, invariant and details; empty for none. */
     List<String> violations() {
         return Collections.unmodifiableList(violations);
     }
 
-    /** The longest time that a shard had no owner, after its first. */
+    /**
+     * Returns the longest time that any shard has been without an owner since the last reset, in microseconds. The time
+     * before a shard's first owner does not count.
+     */
     long longestOwnerlessUs() {
         return longestOwnerlessUs;
     }
 
+    /** Sets {@link #longestOwnerlessUs()} to zero. */
     void resetLongestOwnerless() {
         longestOwnerlessUs = 0;
     }
 
-    private void violated(String what) {
-        violations.add(clock.nowUs() + " " + what);
+    private void addViolation(String description) {
+        violations.add(clock.nowUs() + " " + description);
     }
 
-    /** Forgets which view the node held: a new process of it starts. */
-    void restarted(SimulatedNode node) {
-        lastViews.remove(node.name());
+    /** Forgets the last view of a node at which a new process starts. */
+    void forgetLastView(SimulatedNode node) {
+        lastViewByNode.remove(node.name());
     }
 
+    /** Checks the view that the node's process holds, if the view has changed since the last check. */
     void checkView(SimulatedNode node) {
         View view = node.view();
-        ViewName last = lastViews.getOrDefault(node.name(), ViewName.NONE);
-        if (view.era() == last.era && view.number() == last.number) {
+        ViewId lastId = lastViewByNode.getOrDefault(node.name(), ViewId.NONE);
+        if (view.era() == lastId.era && view.number() == lastId.number) {
             return;
         }
-        if (view.era() == last.era && view.number() < last.number) {
-            violated("order: " + node.name() + " went back to " + view.number());
+        if (view.era() == lastId.era && view.number() < lastId.number) {
+            addViolation("order: the view of " + node.name() + " went back to number " + view.number());
         }
-        ViewName name = new ViewName(view.era(), view.number());
-        lastViews.put(node.name(), name);
+        ViewId id = new ViewId(view.era(), view.number());
+        lastViewByNode.put(node.name(), id);
         String content = view.members() + " " + view.shardAssignment();
-        String before = contents.putIfAbsent(name, content);
-        if (before != null && !before.equals(content)) {
-            violated("one-name-one-view: " + view.era() + "/" + view.number() + " at " + node.name());
+        String earlier = contentById.putIfAbsent(id, content);
+        if (earlier != null && !earlier.equals(content)) {
+            addViolation("one-view: view " + view.era() + "/" + view.number() + " has other content at " + node.name());
         }
     }
 
-    /** What all may claim of one operator's quota at this moment is the whole of it at most. */
+    /** Checks that the members of an operator claim no more than its whole quota between them at this moment. */
     void checkClaims() {
         long nowUs = clock.nowUs();
         Map<String, Double> sums = new TreeMap<>();
         for (SimulatedNode node : nodes) {
-            if (node.isClaiming(nowUs)) {
-                sums.merge(node.operator(), 1.0 / node.largestLiveTier(nowUs), Double::sum);
+            if (node.isClaimingQuota(nowUs)) {
+                sums.merge(node.operator(), 1.0 / node.maxLiveOperatorMembers(nowUs), Double::sum);
             }
         }
         sums.forEach((operator, sum) -> {
-            if (sum > 1 + ROUNDING) {
-                violated("claims: " + sum + " of the whole");
+            if (sum > 1 + ROUNDING_TOLERANCE) {
+                addViolation("claims: the members of an operator claim " + sum + " of its quota");
             }
         });
     }
 
-    /** No two operators act on one shard at this moment. */
+    /** Checks that no two operators act on the same shard at this moment; also measures the time without an owner. */
     void checkOwners() {
-        if (shards == 0) {
+        if (shardCount == 0) {
             return;
         }
         long nowUs = clock.nowUs();
-        String[] owners = new String[shards];
+        String[] owners = new String[shardCount];
         for (SimulatedNode node : nodes) {
             node.refreshShardTable(nowUs);
-            BitSet acting = node.actingShards(nowUs);
-            for (int shard = acting.nextSetBit(0); shard >= 0; shard = acting.nextSetBit(shard + 1)) {
+            BitSet activeShards = node.activeShards(nowUs);
+            for (int shard = activeShards.nextSetBit(0); shard >= 0; shard = activeShards.nextSetBit(shard + 1)) {
                 if (owners[shard] != null && !owners[shard].equals(node.operator())) {
-                    violated("one-owner: " + shard + " has " + owners[shard] + " and " + node.operator());
+                    addViolation("one-owner: shard " + shard + " is owned by both " + owners[shard] + " and "
+                            + node.operator());
                 }
                 owners[shard] = node.operator();
             }
         }
-        for (int shard = 0; shard < shards; shard++) {
+        for (int shard = 0; shard < shardCount; shard++) {
             if (owners[shard] != null) {
-                lastOwnedUs.put(shard, nowUs);
-            } else if (lastOwnedUs.containsKey(shard)) {
-                longestOwnerlessUs = Math.max(longestOwnerlessUs, nowUs - lastOwnedUs.get(shard));
+                lastOwnedUsByShard.put(shard, nowUs);
+            } else if (lastOwnedUsByShard.containsKey(shard)) {
+                longestOwnerlessUs = Math.max(longestOwnerlessUs, nowUs - lastOwnedUsByShard.get(shard));
             }
         }
     }
--- a/src/rig/java/hopdrum/rig/simulation/ShardSettings.java
+++ b/src/rig/java/hopdrum/rig/simulation/ShardSettings.java
@@ -1,16 +1,16 @@
 package hopdrum.rig.simulation;
 
 /**
- * How the simulated operators share customers.
+ * Settings of the customer sharing between simulated operators.
  *
- * @param shardCount number of shards; 0 where customers are not shared
- * @param maxAloneMs how long an operator may act on its shards while it is cut off, at most, in milliseconds
+ * @param shardCount the number of shards; 0 where customers are not shared
+ * @param maxAloneMs the longest that an operator may act on its shards without contact to a majority, milliseconds
  */
 public record ShardSettings(int shardCount, long maxAloneMs) {
-    /** Customers are not shared between operators. */
+    /** The settings of a fleet whose operators do not share customers. */
     public static final ShardSettings NONE = new ShardSettings(0, 0);
 
-    /** Whether customers are shared at all. */
+    /** Returns whether customers are shared between operators. */
     public boolean isSharded() {
         return shardCount > 0;
     }
--- a/src/rig/java/hopdrum/rig/simulation/SimulatedDisks.java
+++ b/src/rig/java/hopdrum/rig/simulation/SimulatedDisks.java
@@ -6,48 +6,60 @@
 import java.util.Deque;
 import java.util.function.ToLongFunction;
 
-/** The nodes' disks: a write takes its time, and what was not yet written when its process is killed is lost. */
+/** The nodes' disks. A write takes some time, and is lost if its process ends before the write completes. */
 final class SimulatedDisks {
     /**
-     * A write on its way to a disk.
+     * A write that has not completed.
      *
-     * @param process the process that wrote; another one of the same node does not complete it
+     * @param dueUs when the write completes, microseconds
+     * @param node the node whose disk is written to
+     * @param process the process that wrote; the write is lost once another process, or none, runs at the node
+     * @param state the state to write
+     * @param onWritten the callback to run once the write has completed
      */
     private record PendingWrite(
-            long dueUs, SimulatedNode node, Membership process, DurableState state, Runnable whenWritten) {}
+            long dueUs, SimulatedNode node, Membership process, DurableState state, Runnable onWritten) {}
 
     private final SimulatedClock clock;
-    private final Deque<PendingWrite> pending = new ArrayDeque<>();
-    private ToLongFunction<String> writeUs = name -> 0;
+    private final Deque<PendingWrite> pendingWrites = new ArrayDeque<>();
+    private ToLongFunction<String> writeDurationUs = name -> 0;
 
     SimulatedDisks(SimulatedClock clock) {
         this.clock = clock;
     }
 
-    void setWriteUs(ToLongFunction<String> byName) {
-        writeUs = byName;
+    /** Sets how long a write takes, in microseconds, by the node's name. */
+    void setWriteDurationUs(ToLongFunction<String> durationByNode) {
+        writeDurationUs = durationByNode;
     }
 
-    void write(SimulatedNode node, DurableState state, Runnable whenWritten) {
-        long dueUs = clock.nowUs() + writeUs.applyAsLong(node.name());
-        pending.add(new PendingWrite(dueUs, node, node.membership(), state, whenWritten));
+    /**
+     * Begins to write the state of a node's process.
+     *
+     * @param node the node
+     * @param state the state to write
+     * @param onWritten the callback to run once the write has completed
+     */
+    void write(SimulatedNode node, DurableState state, Runnable onWritten) {
+        long dueUs = clock.nowUs() + writeDurationUs.applyAsLong(node.name());
+        pendingWrites.add(new PendingWrite(dueUs, node, node.membership(), state, onWritten));
     }
 
-    /** Completes the writes that are due; a paused process learns of its own when it wakes. */
+    /** Completes the writes that are due. The writes of a paused process complete when the process resumes. */
     void completeDue() {
         long nowUs = clock.nowUs();
-        for (int i = pending.size(); i > 0; i--) {
-            PendingWrite write = pending.poll();
+        for (int i = pendingWrites.size(); i > 0; i--) {
+            PendingWrite write = pendingWrites.poll();
             SimulatedNode node = write.node;
             if (node.membership() != write.process) {
                 continue;
             }
             if (write.dueUs > nowUs || node.isPaused(nowUs)) {
-                pending.add(write); // all writes of one node take as long, so they stay in order
+                pendingWrites.add(write); // a node's writes stay in order, as each takes the same time
                 continue;
             }
-            node.store(write.state);
-            write.process.viewConsensus().onStateDurable(write.whenWritten, nowUs);
+            node.setStoredState(write.state);
+            write.process.viewConsensus().onStateDurable(write.onWritten, nowUs);
         }
     }
 }
--- a/src/rig/java/hopdrum/rig/simulation/SimulatedNode.java
+++ b/src/rig/java/hopdrum/rig/simulation/SimulatedNode.java
@@ -13,13 +13,13 @@
 import java.util.List;
 
 /**
- * One place of the fleet, with its name, disk and clock error, and the process that runs there, if one does. Its
- * processes come and go through {@link FleetSimulation}. Not thread-safe.
+ * A node of the simulated fleet: its name, disk and clock error, and the process that runs there, if any. {@link
+ * FleetSimulation} starts and ends the processes. Not thread-safe.
  */
 public final class SimulatedNode {
-    private static final String ADDRESS_PORT = ":7400";
+    private static final String PORT_SUFFIX = ":7400";
     private static final int HOSTS_PER_SUBNET = 200;
-    private static final char ACTS = 'x'; // in ShardTable.acts
+    private static final char ACTIVE = 'x'; // marks an active shard in ShardTable.activeShards
 
     private final String name;
     private final int gateway;
@@ -27,14 +27,14 @@
     private String operator = "one";
     private AgreementTerms terms = AgreementTerms.NONE;
     private long clockOffsetMs;
-    private DurableState stored; // what its disk holds; null for nothing
+    private DurableState storedState; // what the disk holds; null for an empty disk
     private long pausedUntilUs;
 
-    // Of the process that runs, or ran last:
+    // State of the running process, or of the last one that ran:
     private Member self;
-    private Membership membership; // null while none runs
+    private Membership membership; // null while no process runs
     private ShardCoordinator shardCoordinator; // null where customers are not shared
-    private ShardTable shardTable; // as at the last step at which it ran
+    private ShardTable shardTable; // as of the last step at which the process was not paused; null while it may not act
     private long nextTickUs;
 
     private long bytesSent;
@@ -46,34 +46,34 @@
         this.gateway = gateway;
     }
 
-    // ---- The place ----
+    // ---- Node ----
 
-    /** The member's name: {@code m} and its number in three digits, so that names sort by number. */
+    /** Returns the member's name: {@code m} and its number in three digits, so that names sort by number. */
     public String name() {
         return name;
     }
 
-    /** The number of its front door, from 0 on. */
+    /** Returns the gateway number of the node's front door, counted from 0. */
     public int gateway() {
         return gateway;
     }
 
-    /** The operator whose member it is. */
+    /** Returns the operator that the node belongs to. */
     public String operator() {
         return operator;
     }
 
-    /** Makes it a member of this operator from its next start on. */
+    /** Sets the operator that the node belongs to from its next start on. */
     public void setOperator(String operator) {
         this.operator = operator;
     }
 
-    /** Places it at this site from its next start on. */
+    /** Sets the site of the node from its next start on. */
     public void setSite(String site) {
         this.site = site;
     }
 
-    /** Sets the error of its wall clock, in milliseconds ahead of the right time. */
+    /** Sets the error of the node's wall clock, in milliseconds ahead of the correct time. */
     public void setClockOffsetMs(long ms) {
         clockOffsetMs = ms;
     }
@@ -83,34 +83,38 @@
     }
 
     String address() {
-        return "127.0." + (gateway / HOSTS_PER_SUBNET) + "." + (1 + gateway % HOSTS_PER_SUBNET) + ADDRESS_PORT;
+        return "127.0." + (gateway / HOSTS_PER_SUBNET) + "." + (1 + gateway % HOSTS_PER_SUBNET) + PORT_SUFFIX;
     }
 
-    DurableState stored() {
-        return stored;
+    DurableState storedState() {
+        return storedState;
     }
 
-    void store(DurableState state) {
-        stored = state;
+    void setStoredState(DurableState state) {
+        storedState = state;
     }
 
     Member newMember(long start, long voter, boolean servesPartners) {
         return new Member(name, start, voter, operator, site, gateway, address(), servesPartners ? address() : null);
     }
 
-    // ---- The process ----
+    // ---- Process ----
 
-    /** Whether a process runs here; a paused one does. */
+    /** Returns whether a process runs at the node. A paused process counts as running. */
     public boolean isUp() {
         return membership != null;
     }
 
-    /** The view that its process holds; fails while none runs. */
+    /**
+     * Returns the view that the node's process holds.
+     *
+     * @throws NullPointerException while no process runs
+     */
     public View view() {
         return membership.viewConsensus().view();
     }
 
-    /** Its process's membership; null while none runs. */
+    /** Returns the membership of the node's process; null while no process runs. */
     public Membership membership() {
         return membership;
     }
@@ -119,19 +123,19 @@
         return self;
     }
 
-    void starts(Member member, ShardCoordinator coordinator, Membership process, long firstTickUs) {
+    void processStarted(Member member, ShardCoordinator coordinator, Membership process, long firstTickUs) {
         self = member;
         shardCoordinator = coordinator;
         membership = process;
         nextTickUs = firstTickUs;
     }
 
-    void ends() {
+    void processEnded() {
         membership = null;
     }
 
-    void pauseUntil(long us) {
-        pausedUntilUs = us;
+    void pauseUntil(long untilUs) {
+        pausedUntilUs = untilUs;
     }
 
     long pausedUntilUs() {
@@ -154,10 +158,10 @@
     }
 
     void receive(Member sender, byte[] bytes, long nowUs) {
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         Message message = Codec.decode(bytes);
         membership.onMessage(sender, message, nowUs);
-        cpuNanos += System.nanoTime() - began;
+        cpuNanos += System.nanoTime() - startNanos;
     }
 
     boolean isTickDue(long nowUs) {
@@ -166,33 +170,36 @@
 
     void tick(long nowUs, long intervalUs) {
         nextTickUs = nowUs + intervalUs;
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         membership.tick(nowUs);
-        cpuNanos += System.nanoTime() - began;
+        cpuNanos += System.nanoTime() - startNanos;
     }
 
-    // ---- What it acts on ----
+    // ---- Quota claims and shards ----
 
-    /** Whether it may claim its part of its operator's quota; a paused process claims on until its lease is over. */
-    boolean isClaiming(long nowUs) {
+    /**
+     * Returns whether the member may claim its part of the operator's quota. A paused process may claim it until its
+     * lease ends.
+     */
+    boolean isClaimingQuota(long nowUs) {
         return isUp()
                 && !membership.isInactive(nowUs)
                 && nowUs < membership.viewConsensus().lease().expiresAtUs(nowUs);
     }
 
-    /** The most members that its operator has in any view that may still be in force, 1 at least. */
-    int largestLiveTier(long nowUs) {
-        int most = 1;
+    /** Returns the largest number of the operator's members in any view that may still be in force, at least 1. */
+    int maxLiveOperatorMembers(long nowUs) {
+        int max = 1;
         for (View view : membership.viewConsensus().lease().liveViews(nowUs)) {
             long members = view.members().stream()
                     .filter(member -> member.operator().equals(operator))
                     .count();
-            most = Math.max(most, (int) members);
+            max = Math.max(max, (int) members);
         }
-        return most;
+        return max;
     }
 
-    /** Reads its shard table anew; a paused process acts by the last one until its lease is over. */
+    /** Updates the shard table. A paused process keeps its last table, which applies until the lease ends. */
     void refreshShardTable(long nowUs) {
         if (!isUp() || membership.isInactive(nowUs)) {
             shardTable = null;
@@ -201,41 +208,41 @@
         }
     }
 
-    /** The shards that it acts on now, by its shard table. */
-    BitSet actingShards(long nowUs) {
-        BitSet acting = new BitSet();
+    /** Returns the shards that the node acts on now, according to its shard table. */
+    BitSet activeShards(long nowUs) {
+        BitSet shards = new BitSet();
         if (isUp() && shardTable != null) {
-            String acts = shardTable.activeShards(nowUs);
-            for (int shard = acts.indexOf(ACTS); shard >= 0; shard = acts.indexOf(ACTS, shard + 1)) {
-                acting.set(shard);
+            String marks = shardTable.activeShards(nowUs);
+            for (int shard = marks.indexOf(ACTIVE); shard >= 0; shard = marks.indexOf(ACTIVE, shard + 1)) {
+                shards.set(shard);
             }
         }
-        return acting;
+        return shards;
     }
 
-    // ---- What it costs ----
+    // ---- Costs ----
 
     void countSent(int bytes) {
         bytesSent += bytes;
         messagesSent++;
     }
 
-    /** Bytes that it sent, frames' headers included, since the last {@link #resetCounters()}. */
+    /** Returns the bytes sent since the last {@link #resetCounters()}, frame headers included. */
     public long bytesSent() {
         return bytesSent;
     }
 
-    /** Messages that it sent since the last {@link #resetCounters()}. */
+    /** Returns the messages sent since the last {@link #resetCounters()}. */
     public long messagesSent() {
         return messagesSent;
     }
 
-    /** Real time that its code took since the last {@link #resetCounters()}, in nanoseconds. */
+    /** Returns the real time that the node's code took since the last {@link #resetCounters()}, in nanoseconds. */
     public long cpuNanos() {
         return cpuNanos;
     }
 
-    /** Sets the counts of bytes, messages and time to zero. */
+    /** Sets the counters of bytes, messages and time to zero. */
     public void resetCounters() {
         bytesSent = 0;
         messagesSent = 0;
