--- a/src/rig/java/hopdrum/rig/simulation/ShardHandOverReport.java
+++ b/src/rig/java/hopdrum/rig/simulation/ShardHandOverReport.java
@@ -77,12 +77,12 @@
 
     private static void printAmendmentsWithFaults(int seeds) {
         printAmendment(
-                "the same, a ceding member killed as it is agreed, restarted after 5 s", seeds, (fleet, random) -> {
+                "the same, a ceding member killed when it is agreed, restarted after 5 s", seeds, (fleet, random) -> {
                     amendAndAwaitAgreement(fleet);
                     restart(fleet, fleet.node(CEDING_MEMBER_NUMBER), 5 * SECOND_US, true);
                 });
         String allReceiversLabel =
-                "the same, all receiving members killed as it is agreed, restarted after 5 s without their stores";
+                "the same, all receiving members killed when it is agreed, restarted after 5 s without their stores";
         printAmendment(allReceiversLabel, seeds, (fleet, random) -> {
             amendAndAwaitAgreement(fleet);
             List<SimulatedNode> killed = membersOf(fleet, PROPOSER).toList();
@@ -90,12 +90,12 @@
             fleet.runFor(5 * SECOND_US);
             killed.forEach(node -> fleet.start(node, false));
         });
-        printAmendment("the same, the coordinator paused for 8 s while it is being agreed", seeds, (fleet, random) -> {
+        printAmendment("the same, the coordinator paused for 8 s while it is agreed", seeds, (fleet, random) -> {
             amend(fleet);
             fleet.runFor(random.nextLong(3 * SECOND_US));
             fleet.pause(fleet.node(0), 8 * SECOND_US);
         });
-        printAmendment("the same, a ceding member cut off for 15 s as it is agreed", seeds, (fleet, random) -> {
+        printAmendment("the same, a ceding member cut off for 15 s when it is agreed", seeds, (fleet, random) -> {
             amendAndAwaitAgreement(fleet);
             isolate(fleet, List.of(CEDING_MEMBER), 15 * SECOND_US);
         });
