--- a/src/main/java/hopdrum/fleet/Fleet.java
+++ b/src/main/java/hopdrum/fleet/Fleet.java
@@ -71,7 +71,7 @@
         }
 
         @Override
-        public void received(Member from, Message message) {
+        public void messageReceived(Member from, Message message) {
             synchronized (Fleet.this) {
                 if (!closed) {
                     membership.onMessage(from, message, nowUs());
@@ -81,7 +81,7 @@
         }
 
         @Override
-        public void rejectedBy(String address, String reason) {
+        public void rejectedByPeer(String address, String reason) {
             log.rateLimitedEvent("refused_by", address + ": " + reason);
         }
     }
@@ -307,7 +307,7 @@
                         zoneLatencies.update(membership.latencyMap(), nowUs());
                     }
                 }
-                connections.cutStalled(nowUs());
+                connections.closeStalledConnections(nowUs());
             } catch (RuntimeException e) { // a failed tick must not cancel the timer
                 log.rateLimitedEvent("fault", e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?"));
             }
--- a/src/main/java/hopdrum/fleet/latency/package-info.java
+++ b/src/main/java/hopdrum/fleet/latency/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The fleet's latency map: round-trip time estimates between sites, measured by each member from its own site and
- * shared by gossip, merged so that any order, loss or repeat of messages gives the same map.
+ * The fleet's latency map: estimates of the round-trip times between sites. Each member measures the latencies from its
+ * own site and shares its readings by gossip.
  */
 package hopdrum.fleet.latency;
--- a/src/main/java/hopdrum/fleet/link/FrameCodec.java
+++ b/src/main/java/hopdrum/fleet/link/FrameCodec.java
@@ -9,14 +9,14 @@
 import java.net.SocketTimeoutException;
 import java.nio.ByteBuffer;
 
-/** Frames on a stream: four bytes of length, big-endian, then one message. */
+/** Writes and reads frames. A frame is the length of a message as a four-byte big-endian integer, then the message. */
 final class FrameCodec {
     private static final int MAX_BODY_BYTES = 512 << 10;
-    private static final int FRAME_TIMEOUT_MS = 5_000; // from its first byte on: guards against slow senders
+    private static final int FRAME_TIMEOUT_MS = 5_000; // from the first byte on; guards against slow senders
 
     private FrameCodec() {}
 
-    /** A message as one frame. */
+    /** Encodes a message as one frame. */
     static byte[] encode(Message message) {
         byte[] body = Codec.encode(message);
         return ByteBuffer.allocate(Integer.BYTES + body.length)
@@ -28,23 +28,23 @@
     /**
      * Reads one frame.
      *
-     * @param idleMs how long to wait for a frame to begin
-     * @return the message; null at the connection's orderly end
-     * @throws IOException for what is no frame, and where it does not arrive in time
+     * @param idleTimeoutMs how long to wait for the first byte of the frame, milliseconds
+     * @return the message; null if the peer has closed the connection between frames
+     * @throws IOException if the frame or its message is malformed or does not arrive in time
      */
-    static Message read(Socket socket, InputStream in, int idleMs) throws IOException {
-        socket.setSoTimeout(idleMs);
-        int first = in.read();
-        if (first < 0) {
+    static Message read(Socket socket, InputStream in, int idleTimeoutMs) throws IOException {
+        socket.setSoTimeout(idleTimeoutMs);
+        int firstByte = in.read();
+        if (firstByte < 0) {
             return null;
         }
         long deadlineNanos = System.nanoTime() + FRAME_TIMEOUT_MS * 1_000_000L;
         byte[] header = new byte[Integer.BYTES];
-        header[0] = (byte) first;
+        header[0] = (byte) firstByte;
         readFully(socket, in, header, 1, deadlineNanos);
         int length = ByteBuffer.wrap(header).getInt();
         if (length <= 0 || length > MAX_BODY_BYTES) {
-            throw new IOException("a frame of " + length + " bytes");
+            throw new IOException("invalid frame length: " + length + " bytes");
         }
         byte[] body = new byte[length];
         readFully(socket, in, body, 0, deadlineNanos);
@@ -61,12 +61,12 @@
         while (filled < bytes.length) {
             int remainingMs = (int) ((deadlineNanos - System.nanoTime()) / 1_000_000);
             if (remainingMs <= 0) {
-                throw new SocketTimeoutException("a frame that does not end");
+                throw new SocketTimeoutException("timed out within a frame");
             }
             socket.setSoTimeout(remainingMs);
             int count = in.read(bytes, filled, bytes.length - filled);
             if (count < 0) {
-                throw new EOFException("a frame that is cut off");
+                throw new EOFException("the connection ended within a frame");
             }
             filled += count;
         }
--- a/src/main/java/hopdrum/fleet/link/OutboundConnection.java
+++ b/src/main/java/hopdrum/fleet/link/OutboundConnection.java
@@ -11,13 +11,13 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The task that writes to one address: connect, exchange hellos, write what is queued, and after a failure reconnect with
- * exponential backoff and jitter. It ends after an idle time with nothing to write. Runs on its own thread; other
- * methods may be called from any thread.
+ * The task that sends messages to one address. It connects, exchanges hellos and writes the queued messages; after a
+ * failure it reconnects with exponential backoff and jitter. It ends when no message has been queued for an idle time.
+ * {@link #run} occupies a thread of its own; other methods may be called from any thread.
  */
 final class OutboundConnection implements Runnable {
-    private static final int MAX_QUEUED = 256; // the oldest is dropped, since later ones have newer state
-    private static final long MAX_QUEUED_US = 2_000_000; // older ones arrive too late to be useful
+    private static final int MAX_QUEUED_MESSAGES = 256; // the oldest is dropped, because later ones have newer state
+    private static final long MAX_QUEUED_US = 2_000_000; // later than this, a message is no longer useful
     private static final int CONNECT_TIMEOUT_MS = 1_000;
     private static final int HELLO_BUFFER_BYTES = 1 << 10;
     private static final long IDLE_US = 60_000_000;
@@ -29,7 +29,7 @@
     private final PeerConnections connections;
     private final String address;
     private final SplittableRandom random;
-    private final Deque<QueuedMessage> queue = new ArrayDeque<>(); // bounded by MAX_QUEUED
+    private final Deque<QueuedMessage> queue = new ArrayDeque<>(); // bounded by MAX_QUEUED_MESSAGES
     private Socket socket; // null while not connected
     private long writingSinceUs; // 0 while not writing
     private boolean ending;
@@ -44,9 +44,9 @@
         return address;
     }
 
-    /** Queues a message; never waits. */
-    synchronized void offer(Message message) {
-        if (queue.size() == MAX_QUEUED) {
+    /** Queues a message, and drops the oldest one if the queue is full; does not block. */
+    synchronized void enqueue(Message message) {
+        if (queue.size() == MAX_QUEUED_MESSAGES) {
             queue.poll();
             connections.log().rateLimitedEvent("queue_full", address);
         }
@@ -54,7 +54,7 @@
         notifyAll();
     }
 
-    synchronized boolean isEmpty() {
+    synchronized boolean isQueueEmpty() {
         return queue.isEmpty();
     }
 
@@ -65,7 +65,7 @@
     @Override
     public void run() {
         long backoffMs = MIN_BACKOFF_MS;
-        while (awaitWork()) {
+        while (awaitMessage()) {
             try {
                 connect();
                 backoffMs = MIN_BACKOFF_MS;
@@ -84,28 +84,28 @@
         }
     }
 
-    /** Waits for a message; false once this connection is to end. */
-    private boolean awaitWork() {
+    /** Waits until a message is queued; returns false if this connection is to end. */
+    private boolean awaitMessage() {
         synchronized (this) {
             awaitUntil(nowUs() + IDLE_US, () -> !queue.isEmpty());
             if (!queue.isEmpty() && !ending) {
                 return true;
             }
         }
-        return !connections.removeIfEmpty(this) && !isEnding();
+        return !connections.removeIfIdle(this) && !isEnding();
     }
 
     private synchronized boolean isEnding() {
         return ending;
     }
 
-    /** Waits so long; false where this connection is to end. */
+    /** Waits for the given time, milliseconds; returns false if this connection is to end. */
     private synchronized boolean pause(long ms) {
         awaitUntil(nowUs() + ms * 1000, () -> false);
         return !ending;
     }
 
-    /** Waits, under this object's lock, until the condition holds, this connection is to end or the time is up. */
+    /** Waits until the condition holds, this connection is to end or the deadline has passed. */
     private synchronized void awaitUntil(long deadlineUs, BooleanSupplier condition) {
         try {
             while (!condition.getAsBoolean() && !ending && nowUs() < deadlineUs) {
@@ -119,29 +119,32 @@
 
     private void connect() throws IOException {
         int colon = address.lastIndexOf(':');
-        Socket fresh = new Socket();
+        Socket newSocket = new Socket();
         synchronized (this) {
-            socket = fresh;
+            socket = newSocket;
         }
-        fresh.connect(
+        newSocket.connect(
                 new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
                 CONNECT_TIMEOUT_MS);
-        fresh.setTcpNoDelay(true);
-        write(connections.hello());
+        newSocket.setTcpNoDelay(true);
+        write(connections.ownHello());
         Message answer = FrameCodec.read(
-                fresh, new BufferedInputStream(fresh.getInputStream(), HELLO_BUFFER_BYTES), CONNECT_TIMEOUT_MS);
+                newSocket, new BufferedInputStream(newSocket.getInputStream(), HELLO_BUFFER_BYTES), CONNECT_TIMEOUT_MS);
         if (answer instanceof Message.HelloRejected rejected) {
-            connections.handler().rejectedBy(address, rejected.reason());
+            connections.handler().rejectedByPeer(address, rejected.reason());
             throw new IOException("rejected: " + rejected.reason());
         }
-        if (!(answer instanceof Message.Hello theirs)
-                || theirs.version() != Message.VERSION
-                || !theirs.fleet().equals(connections.hello().fleet())) {
-            throw new IOException("no hello of this fleet");
+        if (!(answer instanceof Message.Hello peerHello)
+                || peerHello.version() != Message.VERSION
+                || !peerHello.fleet().equals(connections.ownHello().fleet())) {
+            throw new IOException("the answer is not a hello of this fleet and protocol version");
         }
     }
 
-    /** Null when there has been nothing to write for a while, or this connection is to end. */
+    /**
+     * Takes the next message from the queue and drops those that have been queued for too long. Returns null if the
+     * queue has been empty for the idle time, or if it is empty and this connection is to end.
+     */
     private synchronized Message takeMessage() {
         long idleEndUs = nowUs() + IDLE_US;
         while (true) {
@@ -165,7 +168,7 @@
             current = socket;
         }
         if (current == null) {
-            throw new IOException("cut");
+            throw new IOException("the connection was closed because a write stalled");
         }
         current.getOutputStream().write(frame);
         connections.countSent(frame.length);
@@ -174,16 +177,16 @@
         }
     }
 
-    /** Disconnects where a write has not come through since before that time. */
-    synchronized void cutIfStalledSince(long sinceUs) {
+    /** Disconnects if a write that began before the given time, microseconds, is still blocked. */
+    synchronized void closeIfStalledSince(long sinceUs) {
         if (writingSinceUs != 0 && writingSinceUs < sinceUs) {
-            connections.log().rateLimitedEvent("peer_cut", address + " does not read");
+            connections.log().rateLimitedEvent("peer_cut", address + " has stopped reading, disconnecting");
             disconnect();
         }
     }
 
-    /** Ends the task once what is queued by now has been written. */
-    synchronized void endSoon() {
+    /** Makes the task end; while connected, it first writes the queued messages. */
+    synchronized void endWhenQueueEmpty() {
         ending = true;
         notifyAll();
     }
--- a/src/main/java/hopdrum/fleet/link/PeerConnections.java
+++ b/src/main/java/hopdrum/fleet/link/PeerConnections.java
@@ -21,90 +21,91 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The connections of one member: it writes on those that it opened, one to each address that it has something for, and
- * reads on those that others opened. One thread for each; this class starts and ends them all. Thread-safe.
+ * The peer connections of one member. Messages are sent on outbound connections, one to each address with messages to
+ * send, and received on inbound connections, which peers open. Each connection has a thread of its own, which this
+ * class starts and ends. Thread-safe.
  */
 public final class PeerConnections implements AutoCloseable {
-    /** Takes what peers send. Called from the connections' threads, several at once. */
+    /** Handles the hellos and messages of peers. Called concurrently by the threads of the connections. */
     public interface MessageHandler {
         /**
-         * Decides on a peer that has connected.
+         * Decides whether to admit a peer that has connected.
          *
          * @param hello the peer's first message
-         * @return why the peer is rejected; empty to admit it
+         * @return why the peer is rejected, which the peer is told; empty to admit the peer
          */
         Optional<String> rejectionReason(Message.Hello hello);
 
         /**
-         * Takes a message of a peer that was admitted.
+         * Handles a message from an admitted peer.
          *
-         * @param from the sender, by its hello
+         * @param from the sender, as its hello names it
          * @param message the message
          */
-        void received(Member from, Message message);
+        void messageReceived(Member from, Message message);
 
         /**
-         * Takes note that a peer has rejected this member.
+         * Called when a peer has rejected this member's hello.
          *
          * @param address the peer's address
          * @param reason the reason that the peer gave
          */
-        void rejectedBy(String address, String reason);
+        void rejectedByPeer(String address, String reason);
     }
 
-    private static final int MAX_INBOUND = 2_000;
+    private static final int MAX_INBOUND_CONNECTIONS = 2_000;
     private static final int ACCEPT_BACKLOG = 256;
     private static final int HELLO_TIMEOUT_MS = 3_000;
     private static final int IDLE_TIMEOUT_MS = 120_000;
-    private static final long STALLED_US = 3_000_000;
+    private static final long WRITE_TIMEOUT_US = 3_000_000;
     private static final int READ_BUFFER_BYTES = 16 << 10;
-    private static final int STACK_BYTES = 256 << 10; // there are many threads, and none has a deep stack
+    private static final int STACK_BYTES = 256 << 10; // small, because there are many threads, none with a deep stack
 
     private final MessageHandler handler;
     private final FleetLog log;
-    private final Message.Hello hello;
+    private final Message.Hello ownHello;
     private final ServerSocket listener;
     private final SplittableRandom random;
-    private final Map<String, OutboundConnection> outbound = new HashMap<>(); // by address; removed as its thread ends
-    private final Set<Socket> inbound = new HashSet<>(); // removed as its thread ends; bounded by MAX_INBOUND
+    private final Map<String, OutboundConnection> outbound = new HashMap<>(); // by address; removed when idle
+    private final Set<Socket> inbound = new HashSet<>(); // removed when its thread ends; bounded
     private final AtomicLong bytesSent = new AtomicLong();
     private final AtomicLong messagesSent = new AtomicLong();
     private boolean closed;
 
     /**
-     * Binds the listening address; connections are accepted from {@link #start} on.
+     * Binds the address to listen on; {@link #start} begins to accept connections.
      *
-     * @param listen the address to listen on
-     * @param hello this member's first message on each connection
-     * @param random jitters the backoff of reconnects
-     * @param handler takes what peers send
-     * @param log takes connections' faults
-     * @throws IOException where the address cannot be bound
+     * @param listenAddress the address to listen on
+     * @param ownHello this member's first message on each connection
+     * @param random the source of the jitter in the backoff before reconnecting
+     * @param handler handles the hellos and messages of peers
+     * @param log the log for failures of connections
+     * @throws IOException if the address cannot be bound
      */
     public PeerConnections(
-            InetSocketAddress listen,
-            Message.Hello hello,
+            InetSocketAddress listenAddress,
+            Message.Hello ownHello,
             SplittableRandom random,
             MessageHandler handler,
             FleetLog log)
             throws IOException {
         this.handler = handler;
         this.log = log;
-        this.hello = hello;
+        this.ownHello = ownHello;
         this.random = random;
         this.listener = new ServerSocket();
         try {
             listener.setReuseAddress(true);
-            listener.bind(listen, ACCEPT_BACKLOG);
+            listener.bind(listenAddress, ACCEPT_BACKLOG);
         } catch (IOException | RuntimeException e) {
             listener.close();
             throw e;
         }
     }
 
-    /** Starts to accept connections; called once. */
+    /** Starts to accept connections. Must be called only once. */
     public void start() {
-        newThread("fleet-accept", this::acceptAll).start();
+        newThread("fleet-accept", this::acceptConnections).start();
     }
 
     private static Thread newThread(String name, Runnable task) {
@@ -114,10 +115,10 @@
     }
 
     /**
-     * Queues a message to an address; never waits. The queue is bounded: the oldest message is dropped for a new one.
+     * Queues a message to an address; does not block. A full queue drops its oldest message.
      *
      * @param address the peer's numeric address and port
-     * @param message the message
+     * @param message the message to send
      */
     public synchronized void send(String address, Message message) {
         if (closed) {
@@ -129,32 +130,33 @@
             outbound.put(address, connection);
             newThread("fleet-out-" + address, connection).start();
         }
-        connection.offer(message);
+        connection.enqueue(message);
     }
 
     /**
-     * Cuts connections whose peer does not read: a write that has not come through for 3 s.
+     * Closes outbound connections whose peer does not read, so that a write has been blocked for more than 3 s.
      *
-     * @param nowUs the machine's monotonic clock, microseconds
+     * @param nowUs the time of the machine's monotonic clock, microseconds
      */
-    public synchronized void cutStalled(long nowUs) {
+    public synchronized void closeStalledConnections(long nowUs) {
         for (OutboundConnection connection : outbound.values()) {
-            connection.cutIfStalledSince(nowUs - STALLED_US);
+            connection.closeIfStalledSince(nowUs - WRITE_TIMEOUT_US);
         }
     }
 
-    private void acceptAll() {
+    private void acceptConnections() {
         while (true) {
             try {
                 Socket socket = listener.accept();
                 synchronized (this) {
-                    if (closed || inbound.size() >= MAX_INBOUND) {
+                    if (closed || inbound.size() >= MAX_INBOUND_CONNECTIONS) {
                         socket.close();
                         continue;
                     }
                     inbound.add(socket);
                 }
-                newThread("fleet-in-" + socket.getPort(), () -> serve(socket)).start();
+                newThread("fleet-in-" + socket.getPort(), () -> serveInbound(socket))
+                        .start();
             } catch (IOException e) {
                 if (listener.isClosed()) {
                     return;
@@ -164,8 +166,8 @@
         }
     }
 
-    /** Serves one connection that a peer opened, from its hello to its end. */
-    private void serve(Socket socket) {
+    /** Serves one inbound connection until it ends. */
+    private void serveInbound(Socket socket) {
         try (socket) {
             socket.setTcpNoDelay(true);
             InputStream in = new BufferedInputStream(socket.getInputStream(), READ_BUFFER_BYTES);
@@ -173,7 +175,7 @@
             for (Message message = FrameCodec.read(socket, in, IDLE_TIMEOUT_MS);
                     message != null;
                     message = FrameCodec.read(socket, in, IDLE_TIMEOUT_MS)) {
-                handler.received(peer, message);
+                handler.messageReceived(peer, message);
             }
         } catch (IOException | RuntimeException e) {
             if (!isClosed() && !(e instanceof SocketTimeoutException || e instanceof SocketException)) {
@@ -186,28 +188,29 @@
         }
     }
 
-    /** The peer, by its hello; throws IOException where it is rejected. */
+    /** Reads the peer's hello, answers it, and returns the peer; throws IOException if the peer is rejected. */
     private Member exchangeHellos(Socket socket, InputStream in) throws IOException {
-        if (!(FrameCodec.read(socket, in, HELLO_TIMEOUT_MS) instanceof Message.Hello theirs)) {
-            throw new IOException("no hello");
+        if (!(FrameCodec.read(socket, in, HELLO_TIMEOUT_MS) instanceof Message.Hello peerHello)) {
+            throw new IOException("the first message is not a hello");
         }
-        Optional<String> rejection = theirs.version() == Message.VERSION
-                ? handler.rejectionReason(theirs)
-                : Optional.of("version " + theirs.version());
-        Message answer = rejection.isPresent() ? new Message.HelloRejected(rejection.get()) : hello;
+        Optional<String> rejection = peerHello.version() == Message.VERSION
+                ? handler.rejectionReason(peerHello)
+                : Optional.of("version " + peerHello.version());
+        Message answer = rejection.isPresent() ? new Message.HelloRejected(rejection.get()) : ownHello;
         socket.getOutputStream().write(FrameCodec.encode(answer));
         if (rejection.isPresent()) {
-            throw new IOException(rejection.get() + ", " + theirs.sender().name() + " of " + theirs.fleet());
+            throw new IOException(rejection.get() + ": rejected the hello of "
+                    + peerHello.sender().name() + " of the fleet " + peerHello.fleet());
         }
-        return theirs.sender();
+        return peerHello.sender();
     }
 
     private synchronized boolean isClosed() {
         return closed;
     }
 
-    Message.Hello hello() {
-        return hello;
+    Message.Hello ownHello() {
+        return ownHello;
     }
 
     MessageHandler handler() {
@@ -224,36 +227,39 @@
     }
 
     /**
-     * Returns how many bytes were sent.
+     * Returns the number of bytes sent.
      *
-     * @return bytes since the start, frames' headers included
+     * @return bytes since the start on outbound connections, including the length fields of frames
      */
     public long bytesSent() {
         return bytesSent.get();
     }
 
     /**
-     * Returns how many messages were sent.
+     * Returns the number of messages sent.
      *
-     * @return messages since the start
+     * @return messages since the start on outbound connections, including hellos
      */
     public long messagesSent() {
         return messagesSent.get();
     }
 
-    /** Removes an idle connection whose thread ends; false if a message was queued meanwhile. */
-    synchronized boolean removeIfEmpty(OutboundConnection connection) {
-        return connection.isEmpty() && outbound.remove(connection.address(), connection);
+    /** Removes an idle connection, whose thread then ends; returns false if a message has been queued meanwhile. */
+    synchronized boolean removeIfIdle(OutboundConnection connection) {
+        return connection.isQueueEmpty() && outbound.remove(connection.address(), connection);
     }
 
-    /** Ends all threads; messages queued so far get a short time to be written. */
+    /**
+     * Closes the listening socket and the inbound connections, and makes all threads end. Established outbound
+     * connections first write their queued messages; this method does not wait for that.
+     */
     @Override
     public void close() {
         Set<Socket> sockets;
         synchronized (this) {
             closed = true;
             sockets = new HashSet<>(inbound);
-            outbound.values().forEach(OutboundConnection::endSoon);
+            outbound.values().forEach(OutboundConnection::endWhenQueueEmpty);
         }
         closeQuietly(listener);
         sockets.forEach(PeerConnections::closeQuietly);
@@ -263,7 +269,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // it is gone either way
+            // the socket is of no further use, whether or not closing it succeeded
         }
     }
 }
--- a/src/main/java/hopdrum/fleet/link/package-info.java
+++ b/src/main/java/hopdrum/fleet/link/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Peer connections of one fleet member over TCP: one outbound connection to each peer address that has something
- * queued, inbound connections from peers admitted by their hello, and the length-prefixed frames that carry messages.
+ * The TCP connections of one fleet member to its peers: one outbound connection to each address with queued messages,
+ * inbound connections from peers that are admitted by their hello, and the length-prefixed frames that carry messages.
  */
 package hopdrum.fleet.link;
--- a/src/test/java/hopdrum/fleet/LatencyMapTest.java
+++ b/src/test/java/hopdrum/fleet/LatencyMapTest.java
@@ -14,80 +14,84 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The latency map, one failure each: wrong readings, pauses, old readings, messages in any order. */
+/**
+ * Guards the latency map against faults in the readings and messages that it is built from: single slow samples, wrong
+ * readings of one observer, latencies that no member has measured, old readings, forged readings under the member's own
+ * name, and messages that arrive late, repeatedly or out of order.
+ */
 class LatencyMapTest {
-    private static final long S = 1_000_000;
-    private static final long NOW = 1_000 * S;
-    private final LatencyMap map = new LatencyMap(member("me", "a"), S);
+    private static final long SECOND_US = 1_000_000;
+    private static final long NOW_US = 1_000 * SECOND_US;
+    private final LatencyMap map = new LatencyMap(member("me", "a"), SECOND_US);
 
     private static Member member(String name, String site) {
         return new Member(name, 5, 7, "north", site, 0, "127.0.0.1:9");
     }
 
-    private static LatencyReading reading(String by, String from, String to, long seq, long rttUs, long ageUs) {
-        return new LatencyReading(by, 5, from, to, seq, rttUs, ageUs);
+    private static LatencyReading reading(String observer, String from, String to, long seq, long rttUs, long ageUs) {
+        return new LatencyReading(observer, 5, from, to, seq, rttUs, ageUs);
     }
 
     @Test
-    void oneSlowSampleDoesNotRaiseTheEstimateAndTwoDo() {
-        map.addSample(member("p", "b"), 20_000, NOW);
-        map.addSample(member("p", "b"), 900_000, NOW + S);
-        assertThat(map.estimate("a", "b", NOW + S).rttUs()).isEqualTo(20_000);
-        map.addSample(member("q", "b"), 800_000, NOW + 2 * S);
-        assertThat(map.estimate("a", "b", NOW + 2 * S).rttUs()).isEqualTo(800_000);
+    void oneSlowSampleDoesNotRaiseTheEstimateButTwoDo() {
+        map.addSample(member("p", "b"), 20_000, NOW_US);
+        map.addSample(member("p", "b"), 900_000, NOW_US + SECOND_US);
+        assertThat(map.estimate("a", "b", NOW_US + SECOND_US).rttUs()).isEqualTo(20_000);
+        map.addSample(member("q", "b"), 800_000, NOW_US + 2 * SECOND_US);
+        assertThat(map.estimate("a", "b", NOW_US + 2 * SECOND_US).rttUs()).isEqualTo(800_000);
     }
 
     @Test
-    void aLiarAmongManyObserversChangesNothingAndAloneAtMostByTwoAndNeverBelowTheOwnMinimum() {
-        map.addSample(member("p", "b"), 20_000, NOW);
-        map.merge(List.of(reading("liar", "a", "b", 1, 100, 0)), NOW);
-        assertThat(map.estimate("a", "b", NOW).rttUs()).isEqualTo(20_000);
-        map.merge(List.of(reading("x", "b", "a", 1, 21_000, 0), reading("y", "a", "b", 1, 20_500, 0)), NOW);
-        assertThat(map.estimate("a", "b", NOW).rttUs()).isBetween(20_000L, 21_000L);
-        map.merge(List.of(reading("x", "b", "c", 1, 30_000, 0), reading("liar", "a", "c", 1, 100, 0)), NOW);
-        assertThat(map.estimate("a", "c", NOW)).satisfies(w -> {
-            assertThat(w.kind()).isEqualTo(Kind.TOLD);
-            assertThat(w.rttUs())
-                    .as("10 to 50 ms by way of b: half of the middle at least")
+    void oneWrongObserverIsOutvotedByOthersAndAloneCannotGoBelowTheOwnMinimumOrHalfTheDerivedLatency() {
+        map.addSample(member("p", "b"), 20_000, NOW_US);
+        map.merge(List.of(reading("liar", "a", "b", 1, 100, 0)), NOW_US);
+        assertThat(map.estimate("a", "b", NOW_US).rttUs()).isEqualTo(20_000);
+        map.merge(List.of(reading("x", "b", "a", 1, 21_000, 0), reading("y", "a", "b", 1, 20_500, 0)), NOW_US);
+        assertThat(map.estimate("a", "b", NOW_US).rttUs()).isBetween(20_000L, 21_000L);
+        map.merge(List.of(reading("x", "b", "c", 1, 30_000, 0), reading("liar", "a", "c", 1, 100, 0)), NOW_US);
+        assertThat(map.estimate("a", "c", NOW_US)).satisfies(estimate -> {
+            assertThat(estimate.kind()).isEqualTo(Kind.TOLD);
+            assertThat(estimate.rttUs())
+                    .as("the derived bounds over b are 10 and 50 ms: at least half of their middle")
                     .isEqualTo(15_000);
-            assertThat(w.confidence()).isLessThanOrEqualTo(0.3);
+            assertThat(estimate.confidence()).isLessThanOrEqualTo(0.3);
         });
     }
 
     @Test
-    void aLatencyThatNobodyMeasuredIsEstimatedWithinTheBoundsOverAThirdSite() {
-        map.addSample(member("p", "b"), 20_000, NOW);
-        map.merge(List.of(reading("x", "b", "c", 1, 30_000, 0)), NOW);
-        assertThat(map.estimate("a", "c", NOW).kind()).isEqualTo(Kind.ESTIMATED);
-        assertThat(map.estimate("a", "c", NOW).rttUs()).isBetween(10_000L, 50_000L);
-        assertThat(map.estimate("a", "d", NOW)).isNull();
+    void anUnmeasuredLatencyIsDerivedWithinTheBoundsOverAThirdSite() {
+        map.addSample(member("p", "b"), 20_000, NOW_US);
+        map.merge(List.of(reading("x", "b", "c", 1, 30_000, 0)), NOW_US);
+        assertThat(map.estimate("a", "c", NOW_US).kind()).isEqualTo(Kind.ESTIMATED);
+        assertThat(map.estimate("a", "c", NOW_US).rttUs()).isBetween(10_000L, 50_000L);
+        assertThat(map.estimate("a", "d", NOW_US)).isNull();
     }
 
     @Test
-    void oldReadingsWeighLessAndExpire() {
+    void oldReadingsLowerTheConfidenceAndExpire() {
         map.merge(
                 List.of(
                         reading("x", "b", "c", 1, 10_000, 0),
                         reading("y", "b", "c", 1, 11_000, 0),
                         reading("z", "c", "b", 1, 12_000, 0)),
-                NOW);
-        double fresh = map.estimate("b", "c", NOW).confidence();
-        assertThat(map.estimate("b", "c", NOW + 9 * S).confidence()).isLessThan(fresh / 4);
-        assertThat(map.estimate("b", "c", NOW + 61 * S)).isNull();
-        map.merge(List.of(reading("x", "b", "c", 2, 10_000, 3_000 * S)), NOW + 62 * S);
-        assertThat(map.estimate("b", "c", NOW + 62 * S)).isNull();
+                NOW_US);
+        double fresh = map.estimate("b", "c", NOW_US).confidence();
+        assertThat(map.estimate("b", "c", NOW_US + 9 * SECOND_US).confidence()).isLessThan(fresh / 4);
+        assertThat(map.estimate("b", "c", NOW_US + 61 * SECOND_US)).isNull();
+        map.merge(List.of(reading("x", "b", "c", 2, 10_000, 3_000 * SECOND_US)), NOW_US + 62 * SECOND_US);
+        assertThat(map.estimate("b", "c", NOW_US + 62 * SECOND_US)).isNull();
     }
 
     @Test
     void readingsUnderThisMembersOwnNameAreIgnored() {
-        map.addSample(member("p", "b"), 20_000, NOW);
-        map.merge(List.of(reading("me", "a", "b", 99, 1, 0)), NOW);
-        assertThat(map.estimate("a", "b", NOW).rttUs()).isEqualTo(20_000);
+        map.addSample(member("p", "b"), 20_000, NOW_US);
+        map.merge(List.of(reading("me", "a", "b", 99, 1, 0)), NOW_US);
+        assertThat(map.estimate("a", "b", NOW_US).rttUs()).isEqualTo(20_000);
     }
 
-    /** Any order, any loss that is made up for, any repeat: the same map. */
+    /** Two maps are fed the same readings, one of them in random order and with repeats: both must be equal. */
     @Property(tries = 100)
-    void theOrderLossAndRepeatOfMessagesDoNotChangeTheMap(@ForAll long seed) {
+    void reorderedAndRepeatedMessagesDoNotChangeTheMap(@ForAll long seed) {
         Random random = new Random(seed);
         List<LatencyReading> all = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
@@ -97,23 +101,25 @@
                     "c",
                     1 + random.nextInt(8),
                     1_000 + random.nextInt(50_000),
-                    random.nextInt(5) * S));
+                    random.nextInt(5) * SECOND_US));
         }
         all.sort((x, y) -> Long.compare(x.seq(), y.seq()));
-        List<LatencyReading> distinct = new ArrayList<>(); // one content a number, as an honest observer has
-        for (LatencyReading r : all) {
-            if (distinct.stream().noneMatch(d -> d.observer().equals(r.observer()) && d.seq() == r.seq())) {
-                distinct.add(r);
+        List<LatencyReading> distinct = new ArrayList<>(); // an observer never reuses a sequence number
+        for (LatencyReading reading : all) {
+            if (distinct.stream()
+                    .noneMatch(other -> other.observer().equals(reading.observer()) && other.seq() == reading.seq())) {
+                distinct.add(reading);
             }
         }
-        LatencyMap one = new LatencyMap(member("me", "a"), S);
-        LatencyMap two = new LatencyMap(member("me", "a"), S);
-        one.merge(distinct, NOW);
-        List<LatencyReading> again = new ArrayList<>(distinct);
-        again.addAll(distinct.subList(0, distinct.size() / 2));
-        Collections.shuffle(again, random);
-        again.forEach(r -> two.merge(List.of(r), NOW));
-        assertThat(two.estimate("b", "c", NOW)).isEqualTo(one.estimate("b", "c", NOW));
-        assertThat(two.readingsToShare(NOW)).containsExactlyInAnyOrderElementsOf(one.readingsToShare(NOW));
+        LatencyMap inOrder = new LatencyMap(member("me", "a"), SECOND_US);
+        LatencyMap shuffled = new LatencyMap(member("me", "a"), SECOND_US);
+        inOrder.merge(distinct, NOW_US);
+        List<LatencyReading> repeated = new ArrayList<>(distinct);
+        repeated.addAll(distinct.subList(0, distinct.size() / 2));
+        Collections.shuffle(repeated, random);
+        repeated.forEach(reading -> shuffled.merge(List.of(reading), NOW_US));
+        assertThat(shuffled.estimate("b", "c", NOW_US)).isEqualTo(inOrder.estimate("b", "c", NOW_US));
+        assertThat(shuffled.readingsToShare(NOW_US))
+                .containsExactlyInAnyOrderElementsOf(inOrder.readingsToShare(NOW_US));
     }
 }
