--- a/src/main/java/hopdrum/fleet/config/InvalidFileException.java
+++ b/src/main/java/hopdrum/fleet/config/InvalidFileException.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A fleet or terms file that cannot be used. The message has all its faults, a line each, in the file's order:
- * {@code FILE:LINE: KEY: what was found, expected what}.
+ * Thrown if a fleet or terms file cannot be read or has faults. The message lists all faults in the order of the file,
+ * one on each line: {@code FILE:LINE: KEY: what was found, expected what}.
  */
 public final class InvalidFileException extends Exception {
     private static final long serialVersionUID = 1;
@@ -20,18 +20,18 @@
     }
 
     /**
-     * Returns the file that was read.
+     * Returns the path of the file.
      *
-     * @return its path as it was given
+     * @return the path as the caller gave it
      */
     public String file() {
         return file;
     }
 
     /**
-     * Returns each fault, as the message has it.
+     * Returns the faults in the order of the message.
      *
-     * @return one entry a fault: file, line, key, what was found and what was expected
+     * @return an entry for each fault: file, line, key, what was found and what was expected
      */
     public List<String> faults() {
         return faults;
--- a/src/main/java/hopdrum/fleet/config/YamlFileReader.java
+++ b/src/main/java/hopdrum/fleet/config/YamlFileReader.java
@@ -21,25 +21,30 @@
 import org.yaml.snakeyaml.nodes.SequenceNode;
 
 /**
- * Reads the keys of a flat YAML file one after another and collects all faults with their lines, so that a file's faults
- * are reported together. A key that is faulty reads as its default. Not thread-safe.
+ * Reads the keys of a flat YAML file, and collects all faults with their lines, so that they are reported together. A
+ * key with a fault is read as its default value. Not thread-safe.
  */
 final class YamlFileReader {
     private static final int FIRST_LINE = 1;
 
-    /** @param line 0 where the file as a whole is at fault */
+    /**
+     * A fault of the file.
+     *
+     * @param line the line number, from 1; 0 if the fault concerns the whole file
+     * @param text the message, which begins with the file and the line
+     */
     private record Fault(int line, String text) {}
 
     private final Path file;
-    private final Map<String, Node> unread = new HashMap<>(); // by key
+    private final Map<String, Node> unreadNodes = new HashMap<>(); // by key
     private final List<Fault> faults = new ArrayList<>();
-    private boolean isReadable = true; // if false, missing keys are not reported as faults
+    private boolean isParsed = true; // if false, missing keys are not reported as faults
 
     private YamlFileReader(Path file) {
         this.file = file;
     }
 
-    /** Opens a file; one that cannot be read, or is no YAML, is a fault and has no keys. */
+    /** Opens a file. If the file cannot be read or is not valid YAML, a fault is added and the file has no keys. */
     static YamlFileReader open(Path file) {
         YamlFileReader reader = new YamlFileReader(file);
         reader.parse();
@@ -51,50 +56,50 @@
             Node root = new Yaml(new SafeConstructor(new LoaderOptions()))
                     .compose(new StringReader(Files.readString(file)));
             if (!(root instanceof MappingNode mapping)) {
-                addFault(root, "the file holds no keys, expected 'fleet: NAME' and more");
+                addFault(root, "the file has no keys, expected lines such as 'KEY: VALUE'");
                 return;
             }
             for (NodeTuple pair : mapping.getValue()) {
                 String key = pair.getKeyNode() instanceof ScalarNode scalar ? scalar.getValue() : "?";
-                if (unread.put(key, pair.getValueNode()) != null) {
-                    addFault(pair.getKeyNode(), key + ": is there twice, expected once");
+                if (unreadNodes.put(key, pair.getValueNode()) != null) {
+                    addFault(pair.getKeyNode(), key + ": occurs twice, expected once");
                 }
             }
         } catch (MarkedYAMLException e) {
-            isReadable = false;
+            isParsed = false;
             int line =
                     e.getProblemMark() == null ? FIRST_LINE : e.getProblemMark().getLine() + 1;
-            faults.add(new Fault(line, file + ":" + line + ": no YAML: " + e.getProblem()));
+            faults.add(new Fault(line, file + ":" + line + ": invalid YAML: " + e.getProblem()));
         } catch (IOException e) {
-            isReadable = false;
+            isParsed = false;
             faults.add(new Fault(0, file + ": cannot be read: " + e.getMessage()));
         }
     }
 
-    /** Adds a fault at a node, or at the first line where the node is null. */
+    /** Adds a fault at the line of a node, or at the first line if the node is null. */
     void addFault(Node at, String text) {
         int line = at == null ? FIRST_LINE : at.getStartMark().getLine() + 1;
         faults.add(new Fault(line, file + ":" + line + ": " + text));
     }
 
-    /** A key's node, for the place of a later fault; null where the key is not there or was read. */
+    /** Returns a key's node, the place of a later fault; null if the key is missing or has already been read. */
     Node node(String key) {
-        return unread.get(key);
+        return unreadNodes.get(key);
     }
 
     boolean has(String key) {
-        return unread.containsKey(key);
+        return unreadNodes.containsKey(key);
     }
 
     /**
-     * Reads a text.
+     * Reads a string. The key is then regarded as read.
      *
-     * @param defaultValue returned where the key is not there or faulty; null where the key is required
-     * @param isValid what the text has to be
+     * @param defaultValue the value if the key is missing or invalid; null if the key is required
+     * @param isValid accepts valid values
      * @param expected a description of valid values, for fault messages
      */
     String text(String key, String defaultValue, Predicate<String> isValid, String expected) {
-        Node node = unread.remove(key);
+        Node node = unreadNodes.remove(key);
         if (node == null) {
             if (defaultValue == null) {
                 addMissing(key, expected);
@@ -109,39 +114,39 @@
     }
 
     /**
-     * Reads a list of texts; empty where it is not there or faulty.
+     * Reads a list of strings, without invalid entries; the list is empty if the key is missing or not a list.
      *
-     * @param isRequired whether a missing list is a fault
-     * @param isValid what each text has to be
-     * @param expected a description of valid values, for fault messages
+     * @param isRequired whether a missing key is a fault
+     * @param isValid accepts valid entries
+     * @param expected a description of valid entries, for fault messages
      */
     List<String> list(String key, boolean isRequired, Predicate<String> isValid, String expected) {
-        Node node = unread.remove(key);
-        List<String> all = new ArrayList<>();
+        Node node = unreadNodes.remove(key);
+        List<String> values = new ArrayList<>();
         if (node == null) {
             if (isRequired) {
-                addMissing(key, "a list, each " + expected);
+                addMissing(key, "a list, each entry " + expected);
             }
-            return all;
+            return values;
         }
         if (!(node instanceof SequenceNode sequence)) {
-            addFault(node, key + ": is no list, expected a list, each " + expected);
-            return all;
+            addFault(node, key + ": is not a list, expected a list, each entry " + expected);
+            return values;
         }
         for (Node item : sequence.getValue()) {
             if (item instanceof ScalarNode scalar && isValid.test(scalar.getValue())) {
-                if (all.contains(scalar.getValue())) {
-                    addFault(item, key + ": '" + scalar.getValue() + "' is there twice, expected once");
+                if (values.contains(scalar.getValue())) {
+                    addFault(item, key + ": '" + scalar.getValue() + "' occurs twice, expected once");
                 }
-                all.add(scalar.getValue());
+                values.add(scalar.getValue());
             } else {
-                addUnexpected(item, key, "no plain value", expected);
+                addUnexpected(item, key, "a nested list or mapping", expected);
             }
         }
-        return all;
+        return values;
     }
 
-    /** Reads a whole number from min to max; the default where the key is not there or faulty. */
+    /** Reads a whole number from min to max; returns the default if the key is missing or invalid. */
     long wholeNumber(String key, long defaultValue, long min, long max) {
         return Long.parseLong(text(
                 key,
@@ -150,26 +155,26 @@
                 "a whole number from " + min + " to " + max));
     }
 
-    /** Reads true or false; false where the key is not there or faulty. */
+    /** Reads true or false; returns false if the key is missing or invalid. */
     boolean flag(String key) {
         return text(key, "false", text -> text.equals("true") || text.equals("false"), "true or false")
                 .equals("true");
     }
 
     private void addMissing(String key, String expected) {
-        if (isReadable) {
+        if (isParsed) {
             addFault(null, key + ": is missing, expected " + expected);
         }
     }
 
-    private void addUnexpected(Node found, String key, String unlessScalar, String expected) {
-        String value = found instanceof ScalarNode scalar ? "'" + scalar.getValue() + "'" : unlessScalar;
+    private void addUnexpected(Node found, String key, String descriptionUnlessScalar, String expected) {
+        String value = found instanceof ScalarNode scalar ? "'" + scalar.getValue() + "'" : descriptionUnlessScalar;
         addFault(found, key + ": " + value + ", expected " + expected);
     }
 
-    /** Throws all faults in the file's order, keys that were never read among them; returns if there are none. */
+    /** Adds a fault for each key that has not been read, and throws all faults, by line, if there are any. */
     void throwIfFaulty() throws InvalidFileException {
-        unread.forEach((key, node) -> addFault(node, key + ": is not known here"));
+        unreadNodes.forEach((key, node) -> addFault(node, key + ": is not a known key"));
         if (!faults.isEmpty()) {
             faults.sort(Comparator.comparingInt(Fault::line));
             throw new InvalidFileException(
--- a/src/main/java/hopdrum/fleet/config/package-info.java
+++ b/src/main/java/hopdrum/fleet/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The files of a fleet member: the fleet file that {@code serve --fleet} names, and the operator's terms file. Both are
- * read whole, and all faults are reported together with their lines.
+ * The configuration files of a fleet member: the fleet file, which {@code serve --fleet} names, and the operator's
+ * terms file. All faults of a file are reported together, each with its line.
  */
 package hopdrum.fleet.config;
--- a/src/test/java/hopdrum/fleet/BadInputTest.java
+++ b/src/test/java/hopdrum/fleet/BadInputTest.java
@@ -32,18 +32,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Files, frames, messages and stores that cannot be used: all named or dropped, and no state changed. */
+/**
+ * Guards against invalid input that is accepted, reported without its fault, or changes a member's state: fleet and
+ * terms files with faults, malformed or truncated messages and frames, hellos that must be rejected, damaged stores.
+ */
 class BadInputTest {
     @TempDir
     Path folder;
 
-    private static final Member ONE = new Member("n1", 5, 7, "north", "ams", 0, "127.0.0.1:9");
+    private static final Member MEMBER = new Member("n1", 5, 7, "north", "ams", 0, "127.0.0.1:9");
 
-    private Path fleetFile(String text) throws IOException {
+    private Path writeFleetFile(String text) throws IOException {
         return Files.writeString(folder.resolve("fleet.yaml"), text);
     }
 
-    private String good(int port, String name) {
+    private String validFleetFile(int port, String name) {
         return "fleet: demo\noperator: north\nsite: ams\nname: " + name + "\nlisten: 127.0.0.1:" + port
                 + "\nseeds: [\"127.0.0.1:" + port
                 + "\"]\nfounders: [" + name + "]\nstore: " + folder.resolve("store-" + name) + "\nlog: "
@@ -59,7 +62,7 @@
 
     @Test
     void allFaultsOfAFleetFileAreReportedTogetherWithTheirLines() throws IOException {
-        Path file = fleetFile("""
+        Path file = writeFleetFile("""
                           fleet: demo
                           operator: no rth
                           site: ams
@@ -76,11 +79,11 @@
                 .hasMessageContaining("fleet.yaml:2: operator: 'no rth', expected a name")
                 .hasMessageContaining(":5: listen: 'here', expected a numeric address")
                 .hasMessageContaining(":6: seeds: '127.0.0.1:0', expected")
-                .hasMessageContaining(":7: founders: is no list")
-                .hasMessageContaining(":9: lease_ms: 900, expected five times probe_period_ms")
-                .hasMessageContaining(":10: colour: is not known")
+                .hasMessageContaining(":7: founders: is not a list, expected a list")
+                .hasMessageContaining(":9: lease_ms: 900, expected at least five times probe_period_ms")
+                .hasMessageContaining(":10: colour: is not a known key")
                 .hasMessageContaining("store: is missing, expected a folder");
-        assertThatThrownBy(() -> FleetFile.read(fleetFile("a: [\n"))).hasMessageContaining("no YAML");
+        assertThatThrownBy(() -> FleetFile.read(writeFleetFile("a: [\n"))).hasMessageContaining("invalid YAML");
         assertThatThrownBy(() -> FleetFile.read(folder.resolve("none.yaml"))).hasMessageContaining("cannot be read");
     }
 
@@ -97,9 +100,9 @@
         assertThatThrownBy(() -> TermsFile.read(file))
                 .isInstanceOf(InvalidFileException.class)
                 .hasMessageContaining("terms.yaml:3: parties: 'north brings many', expected a party")
-                .hasMessageContaining(":4: until: 'tomorrow', expected a moment")
+                .hasMessageContaining(":4: until: 'tomorrow', expected a time")
                 .hasMessageContaining(":5: alone_ms: '999999', expected")
-                .hasMessageContaining(":6: colour: is not known");
+                .hasMessageContaining(":6: colour: is not a known key");
         Path twice = Files.writeString(folder.resolve("twice.yaml"), """
                 agreement: pact
                 revision: 1
@@ -110,7 +113,7 @@
     }
 
     @Property(tries = 500)
-    void arbitraryBytesDecodeToAMessageOrAOneLineError(@ForAll byte[] bytes) {
+    void arbitraryBytesAreDecodedOrRejectedWithAMessageOfOneLine(@ForAll byte[] bytes) {
         try {
             assertThat(Codec.decode(bytes)).isNotNull();
         } catch (IllegalArgumentException e) {
@@ -119,7 +122,7 @@
     }
 
     @Test
-    void bytesWhoseMessageTypeIsNoTextAreRejected() { // the library answers these two with a NullPointerException
+    void bytesWhoseMessageTypeIsNotAStringAreRejected() { // Jackson throws a NullPointerException for these two inputs
         for (String bytes : List.of("8141beff93", "8140a49a98778c28bf")) {
             assertThatThrownBy(() -> Codec.decode(HexFormat.of().parseHex(bytes)))
                     .isInstanceOf(IllegalArgumentException.class)
@@ -128,17 +131,17 @@
     }
 
     @Test
-    void messagesSurviveARoundTripAndInvalidComponentsAreRejected() {
-        View view = new View(9, 3, List.of(ONE));
+    void messagesSurviveARoundTripAndTruncatedOrInvalidOnesAreRejected() {
+        View view = new View(9, 3, List.of(MEMBER));
         List<Message> all = List.of(
-                new Message.Hello(1, "demo", ONE),
-                new Message.Ping(4, 9, 3, List.of(new GossipUpdate(ONE, 2, GossipUpdate.State.SUSPECT, "n2"))),
+                new Message.Hello(1, "demo", MEMBER),
+                new Message.Ping(4, 9, 3, List.of(new GossipUpdate(MEMBER, 2, GossipUpdate.State.SUSPECT, "n2"))),
                 new Message.Promise(9, 3, new Ballot(2, "n1"), null, null),
                 new Message.ViewSettled(view),
                 new Message.LeaseGranted(9, 3, 77));
-        for (Message m : all) {
-            byte[] bytes = Codec.encode(m);
-            assertThat(Codec.decode(bytes)).isEqualTo(m);
+        for (Message message : all) {
+            byte[] bytes = Codec.encode(message);
+            assertThat(Codec.decode(bytes)).isEqualTo(message);
             assertThatThrownBy(() -> Codec.decode(Arrays.copyOf(bytes, bytes.length - 1)))
                     .isInstanceOf(IllegalArgumentException.class);
         }
@@ -146,36 +149,36 @@
                 .isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> new Member("n1", 5, 7, "north", "ams", 0, "example.org:9"))
                 .isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> new View(9, 3, List.of(ONE, ONE))).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> new Message.Accept(9, 3, Ballot.NONE, new View(9, 5, List.of(ONE))))
+        assertThatThrownBy(() -> new View(9, 3, List.of(MEMBER, MEMBER))).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new Message.Accept(9, 3, Ballot.NONE, new View(9, 5, List.of(MEMBER))))
                 .isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> new GossipUpdate(ONE, Long.MAX_VALUE, GossipUpdate.State.ALIVE, "n1"))
+        assertThatThrownBy(() -> new GossipUpdate(MEMBER, Long.MAX_VALUE, GossipUpdate.State.ALIVE, "n1"))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
     @Test
-    void aTruncatedStoreIsSetAsideWithAReasonAndAStoreIsLockedToOneProcess() throws IOException {
+    void aTruncatedStoreIsRenamedWithAReasonAndAnOpenStoreIsLocked() throws IOException {
         Path store = folder.resolve("store");
         try (Store first = new Store(store)) {
-            first.write(new Store.DurableState(7, 5, new View(9, 3, List.of(ONE)), new Ballot(2, "n1"), null, null));
-            assertThat(first.read().view().members()).containsExactly(ONE);
+            first.write(new Store.DurableState(7, 5, new View(9, 3, List.of(MEMBER)), new Ballot(2, "n1"), null, null));
+            assertThat(first.read().view().members()).containsExactly(MEMBER);
             assertThatThrownBy(() -> new Store(store)).isInstanceOf(IOException.class);
         }
         byte[] bytes = Files.readAllBytes(store.resolve("member.cbor"));
         for (int length : new int[] {0, 5, 12, bytes.length - 1}) {
             Files.write(store.resolve("member.cbor"), Arrays.copyOf(bytes, length));
-            try (Store again = new Store(store)) {
-                assertThat(again.read()).isNull();
-                assertThat(again.damage()).isNotBlank();
-                assertThat(again.read()).isNull();
-                assertThat(again.damage()).isNull(); // nothing is there any more
+            try (Store reopened = new Store(store)) {
+                assertThat(reopened.read()).isNull();
+                assertThat(reopened.damage()).isNotBlank();
+                assertThat(reopened.read()).isNull();
+                assertThat(reopened.damage()).isNull(); // the damaged file has been renamed, so that there is none
             }
         }
     }
 
     private static void send(Socket to, Message... messages) throws IOException {
-        for (Message m : messages) {
-            byte[] body = Codec.encode(m);
+        for (Message message : messages) {
+            byte[] body = Codec.encode(message);
             to.getOutputStream()
                     .write(ByteBuffer.allocate(4 + body.length)
                             .putInt(body.length)
@@ -192,20 +195,20 @@
     }
 
     @Test
-    void peersThatAreNotAdmittedOrSendNoFramesAreDroppedAndChangeNoState() throws Exception {
+    void peersThatAreRejectedOrSendMalformedFramesAreDisconnectedAndChangeNoState() throws Exception {
         int port = freePort();
         Path log = folder.resolve("n0.jsonl");
-        FleetFile file = FleetFile.read(fleetFile(good(port, "n0")));
+        FleetFile file = FleetFile.read(writeFleetFile(validFleetFile(port, "n0")));
         try (Fleet fleet = Fleet.start(file, AgreementTerms.NONE, 0, 0, 1, 0)) {
             Awaitility.await()
                     .atMost(10, TimeUnit.SECONDS)
                     .until(() -> Files.readString(log).contains("\"event\":\"view\""));
-            Member foreign = new Member("x", 5, 7, "south", "ams", 0, "127.0.0.1:9");
+            Member unknownOperator = new Member("x", 5, 7, "south", "ams", 0, "127.0.0.1:9");
             for (Message.Hello hello : List.of(
-                    new Message.Hello(Message.VERSION, "other", ONE),
-                    new Message.Hello(Message.VERSION, "demo", foreign),
-                    new Message.Hello(1, "demo", ONE),
-                    new Message.Hello(Message.VERSION, "demo", 8, 1_000, ONE))) {
+                    new Message.Hello(Message.VERSION, "other", MEMBER),
+                    new Message.Hello(Message.VERSION, "demo", unknownOperator),
+                    new Message.Hello(1, "demo", MEMBER),
+                    new Message.Hello(Message.VERSION, "demo", 8, 1_000, MEMBER))) {
                 try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                     send(socket, hello);
                     assertThat(receive(socket)).isInstanceOf(Message.HelloRejected.class);
@@ -215,7 +218,7 @@
             for (byte[] bytes : List.of(
                     new byte[] {-1, -1, -1, -1, 0}, new byte[] {0x7f, 0, 0, 0}, new byte[] {0, 0, 0, 2, 9, 9})) {
                 try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                    send(socket, new Message.Hello(Message.VERSION, "demo", ONE));
+                    send(socket, new Message.Hello(Message.VERSION, "demo", MEMBER));
                     assertThat(receive(socket)).isInstanceOf(Message.Hello.class);
                     socket.getOutputStream().write(bytes);
                     assertThat(socket.getInputStream().read()).isNegative();
@@ -230,6 +233,6 @@
         Awaitility.await()
                 .atMost(5, TimeUnit.SECONDS)
                 .until(() -> Thread.getAllStackTraces().keySet().stream()
-                        .noneMatch(t -> t.getName().startsWith("fleet-")));
+                        .noneMatch(thread -> thread.getName().startsWith("fleet-")));
     }
 }
