--- a/src/main/java/hopdrum/fleet/Fleet.java
+++ b/src/main/java/hopdrum/fleet/Fleet.java
@@ -24,24 +24,24 @@
 import java.util.function.Supplier;
 
 /**
- * This front door's part in its fleet, from start to end: it owns the peer connections, the store and the timer thread,
- * and publishes what was settled as immutable snapshots. Nothing here waits on the front door's event loop, nor that on
- * anything here. Public methods may be called from any thread.
+ * Runs this front door as a member of its fleet. A fleet member owns the peer connections, the store and the timer
+ * thread, and publishes the settled state as immutable snapshots. Neither the fleet member nor the front door's event
+ * loop ever waits for the other. Public methods may be called from any thread.
  */
 public final class Fleet implements AutoCloseable, Supplier<QuotaLease> {
     private static final int TICKS_PER_PERIOD = 10;
     private static final int STACK_BYTES = 256 << 10;
 
-    private final FleetFile file;
+    private final FleetFile settings;
     private final Member self;
     private final FleetLog log;
     private final Store store;
     private final PeerConnections connections;
-    private final Membership membership; // under this object's lock
-    private final ShardCoordinator shardCoordinator; // the same; null where no shards are shared
-    private final ShardTablePublisher shardTables; // the same
-    private final TermsFileReloader termsReloader; // the same; null also where there is no terms file
-    private final Deque<PendingSend> pendingSends = new ArrayDeque<>(); // the same; emptied by publishAndSend()
+    private final Membership membership; // guarded by this object's lock
+    private final ShardCoordinator shardCoordinator; // guarded; null if no shards are shared
+    private final ShardTablePublisher shardTables; // guarded; null if no shards are shared
+    private final TermsFileReloader termsReloader; // guarded; null if no shards or no terms file
+    private final Deque<PendingSend> pendingSends = new ArrayDeque<>(); // guarded; see publishAndSend()
     private final Thread tickThread;
     private final VoteWriter voteWriter;
     private final ZoneLatencyPublisher zoneLatencies;
@@ -52,18 +52,18 @@
 
     private record PendingSend(String to, Message message) {}
 
-    /** Admits peers by their hello and takes their messages under the fleet's lock. */
+    /** Decides on the hellos of peers, and handles their messages under the lock of the fleet member. */
     private final class PeerMessageHandler implements PeerConnections.MessageHandler {
         @Override
         public Optional<String> rejectionReason(Message.Hello hello) {
-            return PeerAdmission.rejectionReason(file, hello).or(() -> {
+            return PeerAdmission.rejectionReason(settings, hello).or(() -> {
                 synchronized (Fleet.this) {
-                    Member known = membership
+                    Member knownMember = membership
                             .failureDetector()
                             .latestStart(hello.sender().name());
-                    boolean isSameStart =
-                            known != null && known.start() == hello.sender().start();
-                    return isSameStart && !known.equals(hello.sender())
+                    boolean isSameStart = knownMember != null
+                            && knownMember.start() == hello.sender().start();
+                    return isSameStart && !knownMember.equals(hello.sender())
                             ? Optional.of("the name is another's")
                             : Optional.empty();
                 }
@@ -86,38 +86,40 @@
         }
     }
 
-    private Fleet(FleetFile file, long termsMs, int gateway, long seed, long loopOffsetUs) throws IOException {
-        this.file = file;
-        store = new Store(file.storeFolder());
+    private Fleet(FleetFile settings, long termsWrittenMs, int gateway, long seed, long loopOffsetUs)
+            throws IOException {
+        this.settings = settings;
+        store = new Store(settings.storeFolder());
         try {
             Store.DurableState stored = store.read();
             long start = Math.max(System.currentTimeMillis() * 1000, stored == null ? 0 : stored.lastStart() + 1);
-            SplittableRandom random = new SplittableRandom(seed ^ start); // the seed may be another member's too
+            SplittableRandom random = new SplittableRandom(seed ^ start); // several members may have the same seed
             long voter = stored == null ? random.nextLong() | 1 : stored.voter();
             self = new Member(
-                    file.name(),
+                    settings.name(),
                     start,
                     voter,
-                    file.operator(),
-                    file.site(),
+                    settings.operator(),
+                    settings.site(),
                     gateway,
-                    file.advertisedAddress(),
-                    file.partnerAddress());
-            log = new FleetLog(file.logFile(), self.name(), self.start());
+                    settings.advertisedAddress(),
+                    settings.partnerAddress());
+            log = new FleetLog(settings.logFile(), self.name(), self.start());
             logStart(gateway, stored != null);
             store.write(stateAtStart(stored, voter, start));
             connections = openConnections(random.split());
-            shardCoordinator = file.shardCount() == 0 ? null : newShardCoordinator(random.split());
+            shardCoordinator = settings.shardCount() == 0 ? null : newShardCoordinator(random.split());
             shardTables = shardCoordinator == null
                     ? null
-                    : new ShardTablePublisher(shardCoordinator, file.operators(), loopOffsetUs);
-            termsReloader = shardCoordinator == null || file.termsFile() == null ? null : newTermsReloader(termsMs);
-            voteWriter = new VoteWriter(store, log, () -> closed, this::voteWritten);
+                    : new ShardTablePublisher(shardCoordinator, settings.operators(), loopOffsetUs);
+            termsReloader =
+                    shardCoordinator == null || settings.termsFile() == null ? null : newTermsReloader(termsWrittenMs);
+            voteWriter = new VoteWriter(store, log, () -> closed, this::onVoteWritten);
             membership = newMembership(stored, random.split());
             tickThread = new Thread(null, this::runTicks, "fleet-view", STACK_BYTES);
             tickThread.setDaemon(true);
             zoneLatencies = new ZoneLatencyPublisher(self.site());
-            statusLog = new FleetStatusLog(self, log, file.timing().probePeriodUs());
+            statusLog = new FleetStatusLog(self, log, settings.timing().probePeriodUs());
             quotaLeases = new QuotaLeasePublisher(self.operator(), log, loopOffsetUs);
         } catch (IOException | RuntimeException e) {
             store.close();
@@ -125,11 +127,11 @@
         }
     }
 
-    private void logStart(int gateway, boolean hadState) {
+    private void logStart(int gateway, boolean stateRestored) {
         log.event(
                 "starts",
                 "fleet",
-                file.fleetName(),
+                settings.fleetName(),
                 "operator",
                 self.operator(),
                 "site",
@@ -141,13 +143,13 @@
                 "voter",
                 self.voter(),
                 "kept",
-                hadState);
+                stateRestored);
         if (store.damage() != null) {
             log.event("store_damaged", "why", store.damage());
         }
     }
 
-    /** What the store holds from this start on: the state read, under this start's number. */
+    /** Returns the state to store at this start: the restored state, if any, with the number of this start. */
     private static Store.DurableState stateAtStart(Store.DurableState stored, long voter, long start) {
         return stored == null
                 ? new Store.DurableState(voter, start, View.NONE, null, null, null)
@@ -156,16 +158,16 @@
     }
 
     private PeerConnections openConnections(SplittableRandom random) throws IOException {
-        int colon = file.listenAddress().lastIndexOf(':');
+        int colon = settings.listenAddress().lastIndexOf(':');
         return new PeerConnections(
                 new InetSocketAddress(
-                        file.listenAddress().substring(0, colon),
-                        Integer.parseInt(file.listenAddress().substring(colon + 1))),
+                        settings.listenAddress().substring(0, colon),
+                        Integer.parseInt(settings.listenAddress().substring(colon + 1))),
                 new Message.Hello(
                         Message.VERSION,
-                        file.fleetName(),
-                        file.shardCount(),
-                        file.shardCount() == 0 ? 0 : file.maxAloneMs(),
+                        settings.fleetName(),
+                        settings.shardCount(),
+                        settings.shardCount() == 0 ? 0 : settings.maxAloneMs(),
                         self),
                 random,
                 new PeerMessageHandler(),
@@ -175,30 +177,30 @@
     private ShardCoordinator newShardCoordinator(SplittableRandom random) {
         return new ShardCoordinator(
                 self,
-                file.shardCount(),
-                file.maxAloneMs(),
-                file.timing(),
+                settings.shardCount(),
+                settings.maxAloneMs(),
+                settings.timing(),
                 random,
                 this::queueSend,
                 log::event,
                 System::currentTimeMillis);
     }
 
-    private TermsFileReloader newTermsReloader(long termsMs) {
+    private TermsFileReloader newTermsReloader(long termsWrittenMs) {
         return new TermsFileReloader(
-                file.termsFile(), shardCoordinator, log, file.timing().probePeriodUs(), termsMs);
+                settings.termsFile(), shardCoordinator, log, settings.timing().probePeriodUs(), termsWrittenMs);
     }
 
     private Membership newMembership(Store.DurableState stored, SplittableRandom random) {
         return new Membership(
                 self,
-                file.seedAddresses(),
-                file.founders(),
+                settings.seedAddresses(),
+                settings.founders(),
                 stored,
-                file.timing(),
+                settings.timing(),
                 random,
                 this::queueSend,
-                voteWriter::queue,
+                voteWriter::enqueue,
                 shardCoordinator,
                 log::event,
                 nowUs());
@@ -207,19 +209,19 @@
     /**
      * Starts a fleet member and its threads.
      *
-     * @param file the fleet file
-     * @param terms what this operator proposes to its partners, as its terms file had it at termsMs
-     * @param termsMs when the terms file was last written, milliseconds of the wall clock; 0 for none
-     * @param gateway this front door's number in its operator's tier
-     * @param seed seeds this member's random choices, mixed with its start
-     * @param loopOffsetUs what the front door's clock is ahead of this machine's monotonic one, microseconds
-     * @return the running fleet member; close it to end its threads
-     * @throws IOException with one line, where the store, the log or the listening address cannot be used
+     * @param settings the settings from the fleet file
+     * @param terms the terms read from this operator's terms file; unused if no shards are shared
+     * @param termsWrittenMs when the terms file was last written, milliseconds of the wall clock; 0 if there is none
+     * @param gateway this front door's gateway number in its operator's tier
+     * @param seed the seed of this member's random choices, combined with its start number
+     * @param loopOffsetUs the clock of the front door's event loop minus the machine's monotonic clock, microseconds
+     * @return the running fleet member; closing it ends its threads
+     * @throws IOException if the store, the log or the address to listen on cannot be used; the message is one line
      */
     public static Fleet start(
-            FleetFile file, AgreementTerms terms, long termsMs, int gateway, long seed, long loopOffsetUs)
+            FleetFile settings, AgreementTerms terms, long termsWrittenMs, int gateway, long seed, long loopOffsetUs)
             throws IOException {
-        Fleet fleet = new Fleet(file, termsMs, gateway, seed, loopOffsetUs);
+        Fleet fleet = new Fleet(settings, termsWrittenMs, gateway, seed, loopOffsetUs);
         if (fleet.shardCoordinator != null) {
             fleet.shardCoordinator.updateTerms(terms);
         }
@@ -234,56 +236,59 @@
     }
 
     /**
-     * Returns which gateways share this operator's quotas, and until when this one may claim its share; never waits.
+     * Returns the gateways that share this operator's quotas, and until when this gateway may claim its share; does not
+     * block.
      *
-     * @return the last quota lease
+     * @return the latest quota lease
      */
     @Override
     public QuotaLease get() {
-        return quotaLeases.current();
+        return quotaLeases.currentLease();
     }
 
     /**
-     * Sets the backend zones whose latencies {@link #zoneLatencies} returns from now on.
+     * Sets the zones of backends whose latencies {@link #zoneLatencies} returns from now on.
      *
-     * @param names zone names, in the order of the settings' backends
+     * @param names the names of the zones, in the order of the front door's settings
      */
     public synchronized void setBackendZones(List<String> names) {
         zoneLatencies.setZones(names);
     }
 
     /**
-     * Returns the latency from here to each backend zone; never waits.
+     * Returns the latencies from this front door's site to the zones of backends; does not block.
      *
-     * @return null where the map lacks a confident estimate for any zone: then placement must ignore latency
+     * @return the latencies; null if any zone lacks a confident estimate, in which case the choice of backends must
+     *     ignore latencies
      */
     public ZoneLatencies zoneLatencies() {
-        return zoneLatencies.current();
+        return zoneLatencies.currentLatencies();
     }
 
     /**
-     * Returns whether customers are shared with partners, in shards.
+     * Returns whether customers, divided into shards, are shared with partners.
      *
-     * @return true where the fleet file sets a number of shards
+     * @return true if the fleet file sets a number of shards
      */
     public boolean sharesCustomers() {
         return shardCoordinator != null;
     }
 
     /**
-     * Returns the shard ownership known to this front door; does not block.
+     * Returns the latest known ownership of shards; does not block.
      *
-     * @return null until shards are assigned
+     * @return the ownership; null until shards are assigned
      */
     public ShardOwnership shardOwnership() {
-        return shardTables == null ? null : shardTables.current();
+        return shardTables == null ? null : shardTables.currentOwnership();
     }
 
     /**
-     * Sets the listener for the front doors that RPCs may be forwarded to. It is called on a thread of the fleet: for all
-     * tiers now, then for each tier whose front doors change.
+     * Sets the listener for the partners' front doors to which requests may be forwarded. The listener is called at
+     * once for each tier that has such front doors, then on a thread of the fleet member for each tier whose front
+     * doors change.
      *
-     * @param listener called with the tier (1 for the first operator) and all its front doors
+     * @param listener called with a tier (1 for the first operator) and all front doors of that tier; must not block
      */
     public synchronized void setPartnerEndpointListener(
             BiConsumer<Integer, List<ShardOwnership.PartnerEndpoint>> listener) {
@@ -303,27 +308,27 @@
                     publishAndSend();
                     statusLog.logStatusIfDue(membership, connections, nowUs());
                     statusLog.logLatencyMapIfDue(membership, nowUs());
-                    if (file.usesLatencyMap()) {
-                        zoneLatencies.update(membership.latencyMap(), nowUs());
+                    if (settings.usesLatencyMap()) {
+                        zoneLatencies.updateLatencies(membership.latencyMap(), nowUs());
                     }
                 }
                 connections.closeStalledConnections(nowUs());
-            } catch (RuntimeException e) { // a failed tick must not cancel the timer
+            } catch (RuntimeException e) { // a failed tick must not end the timer thread
                 log.rateLimitedEvent("fault", e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?"));
             }
-            pause(file.timing().probePeriodUs() / TICKS_PER_PERIOD / 1000);
+            sleep(settings.timing().probePeriodUs() / TICKS_PER_PERIOD / 1000);
         }
     }
 
-    /** On the vote writer's thread, once a vote is on disk. */
-    private synchronized void voteWritten(Runnable continuation) {
+    /** Called on the vote writer's thread once a vote is on disk. */
+    private synchronized void onVoteWritten(Runnable continuation) {
         if (!closed) {
             membership.viewConsensus().onStateDurable(continuation, nowUs());
             publishAndSend();
         }
     }
 
-    private static void pause(long ms) {
+    private static void sleep(long ms) {
         try {
             Thread.sleep(Math.max(1, ms));
         } catch (InterruptedException e) {
@@ -335,7 +340,10 @@
         pendingSends.add(new PendingSend(to, message));
     }
 
-    /** Publishes before it sends: no peer learns that this member has stopped before it has. */
+    /**
+     * Publishes the present state, then sends the queued messages. The order matters: when a peer learns that this
+     * member has stopped acting, this member must have stopped.
+     */
     private void publishAndSend() {
         quotaLeases.publishIfChanged(membership, nowUs());
         publishShardTable();
@@ -347,24 +355,25 @@
     private void publishShardTable() {
         if (shardTables != null) {
             long now = nowUs();
-            shardTables.publish(membership.viewConsensus().lease(), leaving || membership.isInactive(now), now);
+            shardTables.publishOwnership(
+                    membership.viewConsensus().lease(), leaving || membership.isInactive(now), now);
         }
     }
 
-    /** Leaves the fleet gracefully: notifies peers immediately, and claims nothing from here on. */
+    /** Leaves the fleet gracefully: notifies peers at once, and claims no quotas or shards from now on. */
     public void leave() {
         synchronized (this) {
             leaving = true;
-            publishShardTable(); // first, so that the shards it acted on are forwarded before peers take them over
+            publishShardTable(); // first: requests must be forwarded before peers take over the shards
             membership.leave(nowUs());
             publishAndSend();
         }
     }
 
     /**
-     * Ends all threads and gives back address and store.
+     * Ends all threads, stops listening and closes the store and the log.
      *
-     * @throws IOException where the store cannot be closed
+     * @throws IOException if the store cannot be closed
      */
     @Override
     public void close() throws IOException {
--- a/src/main/java/hopdrum/fleet/FleetStatusLog.java
+++ b/src/main/java/hopdrum/fleet/FleetStatusLog.java
@@ -12,29 +12,29 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** The periodic log lines of one member: its status and its latency map. Called under the fleet's lock. */
+/** Writes the periodic log lines of a member: its status and its latency map. Called under the fleet member's lock. */
 final class FleetStatusLog {
     private static final long STATUS_INTERVAL_US = 10_000_000;
-    private static final int MAP_INTERVAL_PERIODS = 2;
+    private static final int LATENCY_MAP_INTERVAL_PERIODS = 2;
 
     private final Member self;
     private final FleetLog log;
-    private final long periodUs;
-    private long lastStatusUs;
-    private long lastMapUs;
+    private final long probePeriodUs;
+    private long statusLoggedAtUs;
+    private long mapLoggedAtUs;
 
-    FleetStatusLog(Member self, FleetLog log, long periodUs) {
+    FleetStatusLog(Member self, FleetLog log, long probePeriodUs) {
         this.self = self;
         this.log = log;
-        this.periodUs = periodUs;
+        this.probePeriodUs = probePeriodUs;
     }
 
-    /** Logs the latency estimate to each site, with its confidence and kind. */
+    /** Logs the latency estimates to all sites of present members, every two probe periods. */
     void logLatencyMapIfDue(Membership membership, long nowUs) {
-        if (nowUs - lastMapUs < MAP_INTERVAL_PERIODS * periodUs) {
+        if (nowUs - mapLoggedAtUs < LATENCY_MAP_INTERVAL_PERIODS * probePeriodUs) {
             return;
         }
-        lastMapUs = nowUs;
+        mapLoggedAtUs = nowUs;
         Set<String> sites = new TreeSet<>();
         membership.failureDetector().presentMembers().forEach(member -> sites.add(member.site()));
         Map<String, Object> estimates = new TreeMap<>();
@@ -50,14 +50,14 @@
         log.event("map", "site", self.site(), "ways", estimates);
     }
 
-    /** Logs the view, how many are alive and what was sent, every ten seconds. */
+    /** Logs the view, the number of live members and the traffic sent, every ten seconds. */
     void logStatusIfDue(Membership membership, PeerConnections connections, long nowUs) {
-        if (nowUs - lastStatusUs < STATUS_INTERVAL_US) {
+        if (nowUs - statusLoggedAtUs < STATUS_INTERVAL_US) {
             return;
         }
-        lastStatusUs = nowUs;
+        statusLoggedAtUs = nowUs;
         View view = membership.viewConsensus().view();
-        long alive = membership.failureDetector().states().values().stream()
+        long alivePeers = membership.failureDetector().states().values().stream()
                 .filter(state -> state == State.ALIVE)
                 .count();
         log.event(
@@ -71,7 +71,7 @@
                 "members",
                 view.members().size(),
                 "alive",
-                alive + 1,
+                alivePeers + 1,
                 "cut_off",
                 membership.viewConsensus().lease().isCutOff(),
                 "bytes_out",
--- a/src/main/java/hopdrum/fleet/QuotaLeasePublisher.java
+++ b/src/main/java/hopdrum/fleet/QuotaLeasePublisher.java
@@ -11,34 +11,41 @@
 import java.util.List;
 
 /**
- * The quota lease that Policy reads: which gateways share this operator's quotas, and until when this one may claim its
- * share. Replaced, never changed, when that changes. Published under the fleet's lock; {@link #current()} may be read from any thread.
+ * Publishes the quota lease that the policy reads: which gateways share this operator's quotas, and until when this
+ * gateway may claim its share. Each change publishes a new immutable lease. Leases are published under the fleet
+ * member's lock; {@link #currentLease()} may be called from any thread.
  */
 final class QuotaLeasePublisher {
-    private static final long NO_LEASE_US = Long.MIN_VALUE / 2; // in the past
+    private static final long EXPIRED_US = Long.MIN_VALUE / 2; // far in the past
 
     private final String operator;
     private final FleetLog log;
     private final long loopOffsetUs;
-    private volatile QuotaLease current = new QuotaLease(NO_LEASE_US, List.of());
+    private volatile QuotaLease currentLease = new QuotaLease(EXPIRED_US, List.of());
     private String lastClaim = "";
 
-    /** @param loopOffsetUs what the front door's clock is ahead of this machine's monotonic one, microseconds */
+    /**
+     * Creates a publisher, whose first lease has expired.
+     *
+     * @param operator the name of this front door's operator
+     * @param log the log for changes of the lease
+     * @param loopOffsetUs the clock of the front door's event loop minus the machine's monotonic clock, microseconds
+     */
     QuotaLeasePublisher(String operator, FleetLog log, long loopOffsetUs) {
         this.operator = operator;
         this.log = log;
         this.loopOffsetUs = loopOffsetUs;
     }
 
-    /** The last lease; never waits. */
-    QuotaLease current() {
-        return current;
+    /** Returns the latest lease; does not block. */
+    QuotaLease currentLease() {
+        return currentLease;
     }
 
-    /** Publishes a new lease if what may be claimed has changed; that is logged first. */
+    /** Logs and publishes a new lease if this gateway's claim has changed. */
     void publishIfChanged(Membership membership, long nowUs) {
         ViewLease lease = membership.viewConsensus().lease();
-        long untilUs = membership.isInactive(nowUs) ? NO_LEASE_US : lease.expiresAtUs(nowUs);
+        long untilUs = membership.isInactive(nowUs) ? EXPIRED_US : lease.expiresAtUs(nowUs);
         List<BitSet> views = new ArrayList<>();
         int maxGateways = 0;
         for (View view : lease.liveViews(nowUs)) {
@@ -56,7 +63,7 @@
         if (!claim.equals(lastClaim)) {
             lastClaim = claim;
             log.event("claim", "until_us", Math.max(0, untilUs), "of", maxGateways, "operator", operator);
-            current = new QuotaLease(untilUs + loopOffsetUs, List.copyOf(views));
+            currentLease = new QuotaLease(untilUs + loopOffsetUs, List.copyOf(views));
         }
     }
 }
--- a/src/main/java/hopdrum/fleet/TermsFileReloader.java
+++ b/src/main/java/hopdrum/fleet/TermsFileReloader.java
@@ -7,36 +7,45 @@
 import java.nio.file.Path;
 
 /**
- * Reloads the operator's terms file when it has changed; an invalid file leaves the terms in use unchanged. Called under the
- * fleet's lock.
+ * Reloads the operator's terms file when it has changed. If the file is invalid, the present terms remain in use.
+ * Called under the fleet member's lock.
  */
 final class TermsFileReloader {
     private final Path file;
     private final ShardCoordinator coordinator;
     private final FleetLog log;
     private final long checkIntervalUs;
-    private long loadedMs; // when the terms in use were written
-    private long checkedUs;
+    private long loadedFileMs; // when the last loaded file was written
+    private long lastCheckUs;
 
-    /** @param loadedMs when the file that is in use already was written, milliseconds of the wall clock */
-    TermsFileReloader(Path file, ShardCoordinator coordinator, FleetLog log, long checkIntervalUs, long loadedMs) {
+    /**
+     * Creates a reloader for a file whose present terms are already in use.
+     *
+     * @param file the terms file
+     * @param coordinator receives changed terms
+     * @param log the log for faults of the file
+     * @param checkIntervalUs how often the file is checked for changes, microseconds
+     * @param loadedFileMs when the loaded file was written, milliseconds of the wall clock
+     */
+    TermsFileReloader(Path file, ShardCoordinator coordinator, FleetLog log, long checkIntervalUs, long loadedFileMs) {
         this.file = file;
         this.coordinator = coordinator;
         this.log = log;
         this.checkIntervalUs = checkIntervalUs;
-        this.loadedMs = loadedMs;
+        this.loadedFileMs = loadedFileMs;
     }
 
+    /** Reloads the file if the check interval has passed and the file has been written since it was last loaded. */
     void reloadIfChanged(long nowUs) {
-        if (nowUs - checkedUs < checkIntervalUs) {
+        if (nowUs - lastCheckUs < checkIntervalUs) {
             return;
         }
-        checkedUs = nowUs;
+        lastCheckUs = nowUs;
         long writtenMs = file.toFile().lastModified(); // 0 if the file does not exist
-        if (writtenMs == loadedMs || writtenMs == 0) {
+        if (writtenMs == loadedFileMs || writtenMs == 0) {
             return;
         }
-        loadedMs = writtenMs;
+        loadedFileMs = writtenMs;
         try {
             coordinator.updateTerms(TermsFile.read(file));
         } catch (InvalidFileException e) {
--- a/src/main/java/hopdrum/fleet/ZoneLatencyPublisher.java
+++ b/src/main/java/hopdrum/fleet/ZoneLatencyPublisher.java
@@ -8,40 +8,46 @@
 import java.util.Map;
 
 /**
- * Latencies from this front door's site to the backend zones, from the latency map. Updated under the
- * fleet's lock; {@link #current()} may be read from any thread.
+ * Publishes the latencies from this front door's site to the zones of backends, as the latency map estimates them.
+ * Latencies are updated under the fleet member's lock; {@link #currentLatencies()} may be called from any thread.
  */
 final class ZoneLatencyPublisher {
-    private static final double MIN_CONFIDENCE = 0.3; // below it: old, contradicted, or from one member only
-    private static final double DECREASE_PER_TICK = 0.02; // of the difference, so that load moves slowly
+    /** Excludes estimates from old or contradictory readings and from the readings of a single member. */
+    private static final double MIN_CONFIDENCE = 0.3;
+
+    /** The fraction of a decrease that is published in each tick; small, so that load shifts slowly. */
+    private static final double DECREASE_PER_TICK = 0.02;
 
     private final String homeSite;
     private List<String> zones = List.of();
-    private double[] publishedUs = {}; // by zone; empty where nothing is published
-    private volatile ZoneLatencies current; // null while the estimates are not reliable
+    private double[] publishedUs = {}; // by zone; empty if no latencies are published
+    private volatile ZoneLatencies currentLatencies; // null if any estimate is missing or not confident
 
     ZoneLatencyPublisher(String homeSite) {
         this.homeSite = homeSite;
     }
 
-    /** Sets the zones, in the settings' order, that {@link #current()} covers from now on. */
+    /** Sets the zones, in the order of the settings, that the latencies cover from now on. */
     void setZones(List<String> names) {
         zones = List.copyOf(names);
     }
 
-    /** Null where the map lacks a confident estimate for any zone: then placement must ignore latency. */
-    ZoneLatencies current() {
-        return current;
+    /**
+     * Returns the latest latencies; null if any zone lacks a confident estimate, in which case the choice of backends
+     * must ignore latencies. Does not block.
+     */
+    ZoneLatencies currentLatencies() {
+        return currentLatencies;
     }
 
-    /** Recomputes the latencies from the map; a zone that has come nearer is approached slowly. */
-    void update(LatencyMap latency, long nowUs) {
+    /** Updates the latencies from the map. An increase is published at once, a decrease gradually. */
+    void updateLatencies(LatencyMap latencyMap, long nowUs) {
         if (zones.isEmpty()) {
             return;
         }
-        double[] nextUs = extraLatencies(latency.estimatesFromOwnSite(zones, nowUs));
+        double[] nextUs = extraLatenciesUs(latencyMap.estimatesFromOwnSite(zones, nowUs));
         if (nextUs.length == 0) {
-            current = null;
+            currentLatencies = null;
             publishedUs = nextUs;
             return;
         }
@@ -51,12 +57,15 @@
             }
         }
         publishedUs = nextUs;
-        current = new ZoneLatencies(
+        currentLatencies = new ZoneLatencies(
                 Arrays.stream(nextUs).mapToLong(us -> (long) us).toArray());
     }
 
-    /** By zone, beyond the home site's own latency; empty where a zone's estimate is missing or not confident. */
-    private double[] extraLatencies(Map<String, LatencyEstimate> estimates) {
+    /**
+     * Returns by how many microseconds the latency to each zone exceeds the latency within the home site; empty if any
+     * zone lacks a confident estimate.
+     */
+    private double[] extraLatenciesUs(Map<String, LatencyEstimate> estimates) {
         LatencyEstimate home = estimates.get(homeSite);
         long homeUs = home == null ? 0 : home.rttUs();
         double[] extraUs = new double[zones.size()];
--- a/src/main/java/hopdrum/fleet/package-info.java
+++ b/src/main/java/hopdrum/fleet/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A fleet of front doors that know of each other: membership, settled views, leases, shard assignment and the latency map,
- * started by {@code serve --fleet FILE}. {@link hopdrum.fleet.Fleet} runs one member and publishes what its front door
- * reads; the sub-packages do not import this one. Times are microseconds of the machine's monotonic clock unless a name
- * says milliseconds.
+ * A fleet of front doors, which {@code serve --fleet FILE} joins: membership, settled views, leases, shard assignment
+ * and the latency map. {@link hopdrum.fleet.Fleet} runs one member and publishes the snapshots that its front door
+ * reads. The sub-packages do not import this package. Times are microseconds of the machine's monotonic clock unless a
+ * name says milliseconds.
  */
 package hopdrum.fleet;
