--- a/src/main/java/hopdrum/fleet/link/OutboundConnection.java
+++ b/src/main/java/hopdrum/fleet/link/OutboundConnection.java
@@ -168,7 +168,7 @@
             current = socket;
         }
         if (current == null) {
-            throw new IOException("the connection was closed because a write stalled");
+            throw new IOException("cut");
         }
         current.getOutputStream().write(frame);
         connections.countSent(frame.length);
