--- a/src/main/java/hopdrum/fleet/Fleet.java
+++ b/src/main/java/hopdrum/fleet/Fleet.java
@@ -37,17 +37,17 @@
     private final FleetLog log;
     private final Store store;
     private final PeerConnections connections;
-    private final Membership membership; // guarded by this object's lock
-    private final ShardCoordinator shardCoordinator; // guarded; null if no shards are shared
-    private final ShardTablePublisher shardTables; // guarded; null if no shards are shared
-    private final TermsFileReloader termsReloader; // guarded; null if no shards or no terms file
-    private final Deque<PendingSend> pendingSends = new ArrayDeque<>(); // guarded; see publishAndSend()
+    private final Membership membership; // guarded by this
+    private final ShardCoordinator shardCoordinator; // guarded by this; null if no shards are shared
+    private final ShardTablePublisher shardTables; // guarded by this; null if no shards are shared
+    private final TermsFileReloader termsReloader; // guarded by this; null if no shards or no terms file
+    private final Deque<PendingSend> pendingSends = new ArrayDeque<>(); // guarded by this; see publishAndSend()
     private final Thread tickThread;
     private final VoteWriter voteWriter;
     private final ZoneLatencyPublisher zoneLatencies;
     private final FleetStatusLog statusLog;
     private final QuotaLeasePublisher quotaLeases;
-    private boolean leaving;
+    private boolean leaving; // guarded by this
     private volatile boolean closed;
 
     private record PendingSend(String to, Message message) {}
@@ -86,7 +86,7 @@
         }
     }
 
-    private Fleet(FleetFile settings, long termsWrittenMs, int gateway, long seed, long loopOffsetUs)
+    private Fleet(FleetFile settings, long termsModifiedAtMs, int gateway, long seed, long loopOffsetUs)
             throws IOException {
         this.settings = settings;
         store = new Store(settings.storeFolder());
@@ -112,8 +112,9 @@
             shardTables = shardCoordinator == null
                     ? null
                     : new ShardTablePublisher(shardCoordinator, settings.operators(), loopOffsetUs);
-            termsReloader =
-                    shardCoordinator == null || settings.termsFile() == null ? null : newTermsReloader(termsWrittenMs);
+            termsReloader = shardCoordinator == null || settings.termsFile() == null
+                    ? null
+                    : newTermsReloader(termsModifiedAtMs);
             voteWriter = new VoteWriter(store, log, () -> closed, this::onVoteWritten);
             membership = newMembership(stored, random.split());
             tickThread = new Thread(null, this::runTicks, "fleet-view", STACK_BYTES);
@@ -186,9 +187,9 @@
                 System::currentTimeMillis);
     }
 
-    private TermsFileReloader newTermsReloader(long termsWrittenMs) {
+    private TermsFileReloader newTermsReloader(long termsModifiedAtMs) {
         return new TermsFileReloader(
-                settings.termsFile(), shardCoordinator, log, settings.timing().probePeriodUs(), termsWrittenMs);
+                settings.termsFile(), shardCoordinator, log, settings.timing().probePeriodUs(), termsModifiedAtMs);
     }
 
     private Membership newMembership(Store.DurableState stored, SplittableRandom random) {
@@ -211,7 +212,7 @@
      *
      * @param settings the settings from the fleet file
      * @param terms the terms read from this operator's terms file; unused if no shards are shared
-     * @param termsWrittenMs when the terms file was last written, milliseconds of the wall clock; 0 if there is none
+     * @param termsModifiedAtMs when the terms file was last written, milliseconds of the wall clock; 0 if there is none
      * @param gateway this front door's gateway number in its operator's tier
      * @param seed the seed of this member's random choices, combined with its start number
      * @param loopOffsetUs the clock of the front door's event loop minus the machine's monotonic clock, microseconds
@@ -219,9 +220,9 @@
      * @throws IOException if the store, the log or the address to listen on cannot be used; the message is one line
      */
     public static Fleet start(
-            FleetFile settings, AgreementTerms terms, long termsWrittenMs, int gateway, long seed, long loopOffsetUs)
+            FleetFile settings, AgreementTerms terms, long termsModifiedAtMs, int gateway, long seed, long loopOffsetUs)
             throws IOException {
-        Fleet fleet = new Fleet(settings, termsWrittenMs, gateway, seed, loopOffsetUs);
+        Fleet fleet = new Fleet(settings, termsModifiedAtMs, gateway, seed, loopOffsetUs);
         if (fleet.shardCoordinator != null) {
             fleet.shardCoordinator.updateTerms(terms);
         }
--- a/src/main/java/hopdrum/fleet/ShardTablePublisher.java
+++ b/src/main/java/hopdrum/fleet/ShardTablePublisher.java
@@ -39,7 +39,8 @@
     }
 
     /**
-     * Sets the listener. It is called at once for each tier that has endpoints, then for each tier whose endpoints change.
+     * Sets the listener. It is called at once for each tier that has endpoints, then for each tier whose endpoints
+     * change.
      */
     void setListener(BiConsumer<Integer, List<PartnerEndpoint>> newListener) {
         listener = newListener;
--- a/src/main/java/hopdrum/fleet/TermsFileReloader.java
+++ b/src/main/java/hopdrum/fleet/TermsFileReloader.java
@@ -15,7 +15,7 @@
     private final ShardCoordinator coordinator;
     private final FleetLog log;
     private final long checkIntervalUs;
-    private long loadedFileMs; // when the last loaded file was written
+    private long loadedModifiedAtMs; // modification time of the last loaded file, wall clock
     private long lastCheckUs;
 
     /**
@@ -25,14 +25,15 @@
      * @param coordinator receives changed terms
      * @param log the log for faults of the file
      * @param checkIntervalUs how often the file is checked for changes, microseconds
-     * @param loadedFileMs when the loaded file was written, milliseconds of the wall clock
+     * @param loadedModifiedAtMs the modification time of the loaded file, milliseconds of the wall clock
      */
-    TermsFileReloader(Path file, ShardCoordinator coordinator, FleetLog log, long checkIntervalUs, long loadedFileMs) {
+    TermsFileReloader(
+            Path file, ShardCoordinator coordinator, FleetLog log, long checkIntervalUs, long loadedModifiedAtMs) {
         this.file = file;
         this.coordinator = coordinator;
         this.log = log;
         this.checkIntervalUs = checkIntervalUs;
-        this.loadedFileMs = loadedFileMs;
+        this.loadedModifiedAtMs = loadedModifiedAtMs;
     }
 
     /** Reloads the file if the check interval has passed and the file has been written since it was last loaded. */
@@ -41,11 +42,11 @@
             return;
         }
         lastCheckUs = nowUs;
-        long writtenMs = file.toFile().lastModified(); // 0 if the file does not exist
-        if (writtenMs == loadedFileMs || writtenMs == 0) {
+        long modifiedAtMs = file.toFile().lastModified(); // 0 if the file does not exist
+        if (modifiedAtMs == loadedModifiedAtMs || modifiedAtMs == 0) {
             return;
         }
-        loadedFileMs = writtenMs;
+        loadedModifiedAtMs = modifiedAtMs;
         try {
             coordinator.updateTerms(TermsFile.read(file));
         } catch (InvalidFileException e) {
--- a/src/main/java/hopdrum/fleet/link/OutboundConnection.java
+++ b/src/main/java/hopdrum/fleet/link/OutboundConnection.java
@@ -12,8 +12,8 @@
 
 /**
  * The task that sends messages to one address. It connects, exchanges hellos and writes the queued messages; after a
- * failure it reconnects with exponential backoff and jitter. It ends when no message has been queued for an idle time.
- * {@link #run} occupies a thread of its own; other methods may be called from any thread.
+ * failure it reconnects with exponential backoff and jitter. The task ends when no message has been queued for an idle
+ * time. {@link #run} occupies a thread of its own; other methods may be called from any thread.
  */
 final class OutboundConnection implements Runnable {
     private static final int MAX_QUEUED_MESSAGES = 256; // the oldest is dropped, because later ones have newer state
@@ -143,7 +143,7 @@
 
     /**
      * Takes the next message from the queue and drops those that have been queued for too long. Returns null if the
-     * queue has been empty for the idle time, or if it is empty and this connection is to end.
+     * queue has been empty for the idle time, or if the queue is empty and this connection is to end.
      */
     private synchronized Message takeMessage() {
         long idleEndUs = nowUs() + IDLE_US;
@@ -185,7 +185,7 @@
         }
     }
 
-    /** Makes the task end; while connected, it first writes the queued messages. */
+    /** Makes the task end; a connected task first writes the queued messages. */
     synchronized void endWhenQueueEmpty() {
         ending = true;
         notifyAll();
--- a/src/main/java/hopdrum/fleet/link/PeerConnections.java
+++ b/src/main/java/hopdrum/fleet/link/PeerConnections.java
@@ -188,7 +188,7 @@
         }
     }
 
-    /** Reads the peer's hello, answers it, and returns the peer; throws IOException if the peer is rejected. */
+    /** Reads and answers the peer's hello and returns the peer; throws IOException if the peer is rejected. */
     private Member exchangeHellos(Socket socket, InputStream in) throws IOException {
         if (!(FrameCodec.read(socket, in, HELLO_TIMEOUT_MS) instanceof Message.Hello peerHello)) {
             throw new IOException("the first message is not a hello");
