--- a/src/main/java/hopdrum/fleet/latency/LatencyMap.java
+++ b/src/main/java/hopdrum/fleet/latency/LatencyMap.java
@@ -22,7 +22,7 @@
  * Times are microseconds of one monotonic clock.
  */
 public final class LatencyMap {
-    /** The source of an estimate; the fleet's log has these names. */
+    /** The source of an estimate. The values are logged under their names. */
     public enum Kind {
         /** Measured by this member. */
         SEEN,
