--- a/src/rig/java/hopdrum/rig/check/Execution.java
+++ b/src/rig/java/hopdrum/rig/check/Execution.java
@@ -1,15 +1,15 @@
 package hopdrum.rig.check;
 
 /**
- * One execution of an RPC at a backend.
+ * One execution of a request at a backend.
  *
- * @param rpc the RPC's trace identifier
- * @param method the RPC's method; {@code once} is the one that is not idempotent
- * @param operator whose backend ran it
- * @param site where the backend is
- * @param atUs when it began
+ * @param requestId the request's trace identifier
+ * @param method the request's method; {@code once} is the only method that is not idempotent
+ * @param operator the operator whose backend executed it
+ * @param site the site of the backend
+ * @param atUs when the execution began
  */
-record Execution(String rpc, String method, String operator, String site, long atUs) {
+record Execution(String requestId, String method, String operator, String site, long atUs) {
     static Execution of(LogEntry entry) {
         return new Execution(
                 entry.text("rpc"), entry.text("method"), entry.text("operator"), entry.text("site"), entry.atUs());
--- a/src/rig/java/hopdrum/rig/check/LoadExpectations.java
+++ b/src/rig/java/hopdrum/rig/check/LoadExpectations.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Rules "share" and "in_time": what a trial expects of the answers to its clients. */
+/** Checks the rules "share" and "in_time": what a trial expects of the responses to its clients. */
 final class LoadExpectations {
     private final TrialLogs logs;
     private final TrialReport report;
@@ -16,75 +16,85 @@
         this.report = report;
     }
 
-    /** "share": of the RPCs sent meanwhile, so large a part is answered with 200. */
+    /** Rule "share": at least the expected share of the requests sent in the period is answered with status 200. */
     void checkAnswered(Expectation expectation) {
-        List<RpcOutcome> rpcs = logs.rpcs().stream()
-                .filter(rpc -> rpc.isSentWithin(expectation.atUs(), expectation.untilUs()))
+        List<RequestOutcome> requests = logs.requests().stream()
+                .filter(request -> request.isSentWithin(expectation.atUs(), expectation.periodEndUs()))
                 .toList();
-        double share = share(rpcs.stream().filter(RpcOutcome::isOk).count(), rpcs.size());
-        report.measure(String.format(
-                Locale.ROOT, "share answered with 200 from %s: %.3f", report.seconds(expectation.atUs()), share));
-        if (share < wantedShare(expectation)) {
-            report.violation(
+        double share = share(requests.stream().filter(RequestOutcome::isOk).count(), requests.size());
+        report.addMeasurement(String.format(
+                Locale.ROOT, "share answered with 200 from %s: %.3f", report.formatTime(expectation.atUs()), share));
+        if (share < expectedShare(expectation)) {
+            report.addViolation(
                     "share",
-                    expectation.untilUs(),
-                    String.format(Locale.ROOT, "%.3f of %d RPCs were answered with 200", share, rpcs.size()));
+                    expectation.periodEndUs(),
+                    String.format(Locale.ROOT, "%.3f of %d requests were answered with 200", share, requests.size()));
         }
     }
 
-    /** "in_time": of the RPCs sent meanwhile that were not beyond a quota, so large a part has its 200 within the soft deadline. */
+    /**
+     * Rule "in_time": of the requests sent in the period that were not rejected with 429, at least the expected share
+     * is answered with status 200 within the soft deadline, which is half the deadline.
+     */
     void checkInTime(Expectation expectation) {
-        List<RpcOutcome> rpcs = logs.rpcs().stream()
-                .filter(rpc -> rpc.isSentWithin(expectation.atUs(), expectation.untilUs())
-                        && !rpc.status().equals("429"))
+        List<RequestOutcome> requests = logs.requests().stream()
+                .filter(request -> request.isSentWithin(expectation.atUs(), expectation.periodEndUs())
+                        && !request.status().equals("429"))
                 .toList();
-        List<Long> tookUs = rpcs.stream()
-                .filter(RpcOutcome::isOk)
-                .map(RpcOutcome::tookUs)
+        List<Long> tookUs = requests.stream()
+                .filter(RequestOutcome::isOk)
+                .map(RequestOutcome::tookUs)
                 .sorted()
                 .toList();
-        long softDeadlineUs = logs.setup().deadlineUs() / 2;
-        long inTime = tookUs.stream().filter(us -> us <= softDeadlineUs).count();
-        double share = share(inTime, rpcs.size());
-        report.measure(String.format(
+        long softDeadlineUs = logs.setup().requestDeadlineUs() / 2;
+        long inTimeCount = tookUs.stream().filter(us -> us <= softDeadlineUs).count();
+        double share = share(inTimeCount, requests.size());
+        report.addMeasurement(String.format(
                 Locale.ROOT,
-                "from %s for %.0f s: %d RPCs, in time %.3f, p50 %.1f ms, p99 %.1f ms, %s",
-                report.seconds(expectation.atUs()),
-                (expectation.untilUs() - expectation.atUs()) / 1e6,
-                rpcs.size(),
+                "from %s for %.0f s: %d requests, in time %.3f, p50 %.1f ms, p99 %.1f ms, %s",
+                report.formatTime(expectation.atUs()),
+                (expectation.periodEndUs() - expectation.atUs()) / 1e6,
+                requests.size(),
                 share,
                 Percentiles.millis(tookUs, 50),
                 Percentiles.millis(tookUs, 99),
-                placement(rpcs)));
-        if (share < wantedShare(expectation)) {
-            report.violation(
+                describePlacement(requests)));
+        if (share < expectedShare(expectation)) {
+            report.addViolation(
                     "in_time",
-                    expectation.untilUs(),
-                    String.format(Locale.ROOT, "%.3f of %d RPCs were in time", share, rpcs.size()));
+                    expectation.periodEndUs(),
+                    String.format(Locale.ROOT, "%.3f of %d requests were in time", share, requests.size()));
         }
     }
 
-    /** At which sites these RPCs ran, and which part at another than their door's. */
-    private String placement(List<RpcOutcome> rpcs) {
-        Map<String, String> doorSites = new HashMap<>();
-        rpcs.forEach(rpc -> doorSites.put(rpc.id(), logs.setup().siteOf(rpc.door())));
-        int crossed = 0;
-        Map<String, Integer> bySite = new TreeMap<>();
+    /**
+     * Describes at which sites requests were executed, and the share executed at a site other than their front door's.
+     */
+    private String describePlacement(List<RequestOutcome> requests) {
+        Map<String, String> frontDoorSites = new HashMap<>();
+        requests.forEach(
+                request -> frontDoorSites.put(request.id(), logs.setup().siteOf(request.frontDoor())));
+        int executedElsewhere = 0;
+        Map<String, Integer> executionsBySite = new TreeMap<>();
         for (Execution execution : logs.executions()) {
-            String doorSite = doorSites.get(execution.rpc());
-            if (doorSite != null) {
-                bySite.merge(execution.site(), 1, Integer::sum);
-                crossed += doorSite.equals(execution.site()) ? 0 : 1;
+            String frontDoorSite = frontDoorSites.get(execution.requestId());
+            if (frontDoorSite != null) {
+                executionsBySite.merge(execution.site(), 1, Integer::sum);
+                executedElsewhere += frontDoorSite.equals(execution.site()) ? 0 : 1;
             }
         }
-        return String.format(Locale.ROOT, "crossed %.3f, by site %s", share(crossed, rpcs.size()), bySite);
+        return String.format(
+                Locale.ROOT,
+                "executed at another site %.3f, by site %s",
+                share(executedElsewhere, requests.size()),
+                executionsBySite);
     }
 
-    private static double share(long part, int all) {
-        return all == 0 ? 0 : (double) part / all;
+    private static double share(long count, int total) {
+        return total == 0 ? 0 : (double) count / total;
     }
 
-    private static double wantedShare(Expectation expectation) {
+    private static double expectedShare(Expectation expectation) {
         return expectation.arguments().path("share").asDouble();
     }
 }
--- a/src/rig/java/hopdrum/rig/check/LogEntry.java
+++ b/src/rig/java/hopdrum/rig/check/LogEntry.java
@@ -13,16 +13,16 @@
 import java.util.stream.Stream;
 
 /**
- * One line of a log.
+ * One line of a log: an event in JSON.
  *
- * @param event what happened
- * @param atUs when, by the machine's monotonic clock, in microseconds
- * @param fields the whole line
+ * @param event the name of the event
+ * @param atUs the time of the event by the machine's monotonic clock, in microseconds
+ * @param fields all fields of the line
  */
 record LogEntry(String event, long atUs, JsonNode fields) {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** All entries of a log, in its order. */
+    /** Reads all entries of a log, in the order of the file; lines without an event are left out. */
     static List<LogEntry> readAll(Path file) throws IOException {
         List<LogEntry> entries = new ArrayList<>();
         try (Stream<String> lines = Files.lines(file)) {
@@ -36,28 +36,28 @@
                                 fields));
                     }
                 } catch (JsonProcessingException e) {
-                    // A process that was killed leaves its last line incomplete: not a fault.
+                    // A killed process may leave its last line incomplete. This is not a fault.
                 }
             }
         }
         return entries;
     }
 
-    boolean is(String wanted) {
-        return event.equals(wanted);
+    boolean hasEvent(String name) {
+        return event.equals(name);
     }
 
-    /** Whether it was logged within these limits, both included. */
+    /** Whether the entry was logged between two times, both inclusive. */
     boolean isWithin(long fromUs, long untilUs) {
         return atUs >= fromUs && atUs <= untilUs;
     }
 
-    /** A field as text; empty if absent. */
+    /** Returns a field as text; empty if it is absent. */
     String text(String key) {
         return fields.path(key).asText();
     }
 
-    /** A field as a number; 0 if absent. */
+    /** Returns a field as a number; 0 if it is absent. */
     long number(String key) {
         return fields.path(key).asLong();
     }
@@ -66,19 +66,19 @@
         return fields.path(key);
     }
 
-    /** Of a view or a shard assignment. */
+    /** Returns the version that the entry of a view or of a shard assignment states. */
     Version version() {
         return new Version(number("era"), number("number"));
     }
 
-    /** The names of the members of a view. */
+    /** Returns the sorted names of the members that the entry of a view lists. */
     Set<String> members() {
         Set<String> members = new TreeSet<>();
         field("members").fieldNames().forEachRemaining(members::add);
         return members;
     }
 
-    /** The earlier of two, the first if both are of one moment. */
+    /** Returns the earlier of two entries, or the first if their times are equal. */
     static LogEntry earlier(LogEntry first, LogEntry second) {
         return first.atUs <= second.atUs ? first : second;
     }
--- a/src/rig/java/hopdrum/rig/check/ProcessHistory.java
+++ b/src/rig/java/hopdrum/rig/check/ProcessHistory.java
@@ -6,93 +6,97 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** When the process of each door ran, was paused and was asked to end, as the rig recorded it. */
+/** Records when the process of each front door ran, was paused and got SIGTERM, as the rig logged it. */
 final class ProcessHistory {
     private static final long STILL_RUNNING = Long.MAX_VALUE;
 
-    /** New connections arrive for so long after SIGTERM, as the platform's own clients do. */
-    private static final long DRAIN_GRACE_US = 400_000;
+    /** The platform's own clients still open connections for this time after SIGTERM. */
+    private static final long ACCEPT_AFTER_SIGTERM_US = 400_000;
 
-    /** One run of a door's process; the end is not included. */
-    record Run(String door, long fromUs, long untilUs) {
-        boolean covers(String wanted, long atUs) {
-            return door.equals(wanted) && fromUs <= atUs && atUs < untilUs;
+    /** One run of a front door's process; the end is exclusive. */
+    record Run(String frontDoor, long fromUs, long untilUs) {
+        boolean covers(String name, long atUs) {
+            return frontDoor.equals(name) && fromUs <= atUs && atUs < untilUs;
         }
     }
 
     private final List<Run> runs = new ArrayList<>();
     private final List<LogEntry> signals;
-    private final List<LogEntry> startsAndTerms;
+    private final List<LogEntry> startsAndTerminations;
 
-    ProcessHistory(List<LogEntry> rig) {
-        signals = rig.stream().filter(entry -> entry.is("signal")).toList();
-        startsAndTerms = rig.stream()
-                .filter(entry -> entry.is("started") || entry.is("term"))
+    ProcessHistory(List<LogEntry> rigLog) {
+        signals = rigLog.stream().filter(entry -> entry.hasEvent("signal")).toList();
+        startsAndTerminations = rigLog.stream()
+                .filter(entry -> entry.hasEvent("started") || entry.hasEvent("term"))
                 .toList();
-        Map<String, Integer> current = new HashMap<>(); // by door: the index of its latest run
-        for (LogEntry entry : rig) {
-            String door = entry.text("door");
-            if (entry.is("started")) {
-                current.put(door, runs.size());
-                runs.add(new Run(door, entry.atUs(), STILL_RUNNING));
-            } else if (entry.is("killed") || entry.is("exited") || entry.is("ended")) {
-                Integer index = current.get(door);
+        Map<String, Integer> latestRunIndex = new HashMap<>(); // by front door
+        for (LogEntry entry : rigLog) {
+            String frontDoor = entry.text("door");
+            if (entry.hasEvent("started")) {
+                latestRunIndex.put(frontDoor, runs.size());
+                runs.add(new Run(frontDoor, entry.atUs(), STILL_RUNNING));
+            } else if (entry.hasEvent("killed") || entry.hasEvent("exited") || entry.hasEvent("ended")) {
+                Integer index = latestRunIndex.get(frontDoor);
                 if (index != null && runs.get(index).untilUs == STILL_RUNNING) {
-                    runs.set(index, new Run(door, runs.get(index).fromUs, entry.atUs()));
+                    runs.set(index, new Run(frontDoor, runs.get(index).fromUs, entry.atUs()));
                 }
             }
         }
     }
 
-    /** The run of a door's process at a moment. */
-    Optional<Run> runAt(String door, long atUs) {
-        return runs.stream().filter(run -> run.covers(door, atUs)).findFirst();
+    /** Returns the run of a front door's process at a time; empty if the front door was not running. */
+    Optional<Run> runAt(String frontDoor, long atUs) {
+        return runs.stream().filter(run -> run.covers(frontDoor, atUs)).findFirst();
     }
 
-    boolean isRunning(String door, long atUs) {
-        return runAt(door, atUs).isPresent();
+    boolean isRunning(String frontDoor, long atUs) {
+        return runAt(frontDoor, atUs).isPresent();
     }
 
-    /** Whether one process of a door ran all this time. */
-    boolean isRunningThroughout(String door, long fromUs, long untilUs) {
-        return runs.stream().anyMatch(run -> run.door.equals(door) && run.fromUs <= fromUs && untilUs < run.untilUs);
+    /** Whether one process of a front door ran from {@code fromUs} through {@code untilUs}. */
+    boolean isRunningThroughout(String frontDoor, long fromUs, long untilUs) {
+        return runs.stream()
+                .anyMatch(run -> run.frontDoor.equals(frontDoor) && run.fromUs <= fromUs && untilUs < run.untilUs);
     }
 
-    /** When the latest process of a door started, at this moment or before; 0 if none has. */
-    long latestStartUs(String door, long atUs) {
+    /** Returns the latest start of a front door's process at or before a time; 0 if there is none. */
+    long latestStartUs(String frontDoor, long atUs) {
         return runs.stream()
-                .filter(run -> run.door.equals(door) && run.fromUs <= atUs)
+                .filter(run -> run.frontDoor.equals(frontDoor) && run.fromUs <= atUs)
                 .mapToLong(Run::fromUs)
                 .max()
                 .orElse(0);
     }
 
-    /** Whether a door's process was stopped by SIGSTOP at any moment of this time. */
-    boolean isPausedWithin(String door, long fromUs, long untilUs) {
-        long sinceUs = Long.MAX_VALUE;
+    /** Whether a front door's process was paused by SIGSTOP at any time between two times. */
+    boolean isPausedWithin(String frontDoor, long fromUs, long untilUs) {
+        long pausedSinceUs = Long.MAX_VALUE;
         for (LogEntry signal : signals) {
-            if (!signal.text("door").equals(door)) {
+            if (!signal.text("door").equals(frontDoor)) {
                 continue;
             }
             if (signal.text("which").equals("STOP")) {
-                sinceUs = signal.atUs();
-            } else if (sinceUs <= untilUs && signal.atUs() >= fromUs) {
+                pausedSinceUs = signal.atUs();
+            } else if (pausedSinceUs <= untilUs && signal.atUs() >= fromUs) {
                 return true;
             } else {
-                sinceUs = Long.MAX_VALUE;
+                pausedSinceUs = Long.MAX_VALUE;
             }
         }
-        return sinceUs <= untilUs;
+        return pausedSinceUs <= untilUs;
     }
 
-    /** Whether a door had had SIGTERM for so long at this moment that it need not accept new connections. */
-    boolean isDrained(String door, long atUs) {
-        long termUs = Long.MAX_VALUE;
-        for (LogEntry entry : startsAndTerms) {
-            if (entry.text("door").equals(door) && entry.atUs() <= atUs) {
-                termUs = entry.is("term") ? entry.atUs() : Long.MAX_VALUE;
+    /**
+     * Whether a front door got SIGTERM so long before a time that it may refuse new connections: more than 400 ms, in
+     * which clients may still connect.
+     */
+    boolean mayRefuseConnections(String frontDoor, long atUs) {
+        long sigtermUs = Long.MAX_VALUE;
+        for (LogEntry entry : startsAndTerminations) {
+            if (entry.text("door").equals(frontDoor) && entry.atUs() <= atUs) {
+                sigtermUs = entry.hasEvent("term") ? entry.atUs() : Long.MAX_VALUE;
             }
         }
-        return termUs != Long.MAX_VALUE && atUs > termUs + DRAIN_GRACE_US;
+        return sigtermUs != Long.MAX_VALUE && atUs > sigtermUs + ACCEPT_AFTER_SIGTERM_US;
     }
 }
--- a/src/rig/java/hopdrum/rig/check/QuotaClaimChecker.java
+++ b/src/rig/java/hopdrum/rig/check/QuotaClaimChecker.java
@@ -7,16 +7,16 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Rule "claims": at no moment do the gateways of one operator claim more than the whole of a quota together. */
+/** Checks the rule "claims": the gateways of one operator together never claim more than the whole of a quota. */
 final class QuotaClaimChecker {
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
-    /** A claim begins or ends: by how much the sum of all claims changes. */
-    private record Change(long atUs, double amount) {}
+    /** The begin or end of a claim, with the amount by which the sum of all claims changes: a share of the quota. */
+    private record ClaimChange(long atUs, double amount) {}
 
     private final TrialLogs logs;
     private final TrialReport report;
-    private final Map<String, List<Change>> changes = new HashMap<>(); // by operator
+    private final Map<String, List<ClaimChange>> changesByOperator = new HashMap<>();
 
     QuotaClaimChecker(TrialLogs logs, TrialReport report) {
         this.logs = logs;
@@ -24,49 +24,51 @@
     }
 
     void check() {
-        logs.doors().forEach(this::collect);
-        changes.forEach(this::checkSum);
+        logs.frontDoorLogs().forEach(this::collect);
+        changesByOperator.forEach(this::checkSum);
     }
 
-    private void collect(String door, List<LogEntry> log) {
-        List<LogEntry> claims = log.stream()
-                .filter(entry -> entry.is("claim") || entry.is("starts"))
+    private void collect(String frontDoor, List<LogEntry> log) {
+        List<LogEntry> entries = log.stream()
+                .filter(entry -> entry.hasEvent("claim") || entry.hasEvent("starts"))
                 .toList();
-        for (int i = 0; i < claims.size(); i++) {
-            LogEntry claim = claims.get(i);
-            int gateways = claim.field("of").asInt();
-            if (!claim.is("claim") || gateways <= 0) {
+        for (int i = 0; i < entries.size(); i++) {
+            LogEntry entry = entries.get(i);
+            int gateways = entry.field("of").asInt();
+            if (!entry.hasEvent("claim") || gateways <= 0) {
                 continue;
             }
-            long replacedUs = i + 1 < claims.size() ? claims.get(i + 1).atUs() : Long.MAX_VALUE;
+            long supersededUs = i + 1 < entries.size() ? entries.get(i + 1).atUs() : Long.MAX_VALUE;
             long processEndUs = logs.processes()
-                    .runAt(door, claim.atUs())
+                    .runAt(frontDoor, entry.atUs())
                     .map(ProcessHistory.Run::untilUs)
                     .orElse(Long.MAX_VALUE);
-            long untilUs = Math.min(Math.min(claim.number("until_us"), replacedUs), processEndUs);
-            if (untilUs > claim.atUs()) {
-                List<Change> sum = changes.computeIfAbsent(claim.text("operator"), operator -> new ArrayList<>());
-                sum.add(new Change(claim.atUs(), 1.0 / gateways));
-                sum.add(new Change(untilUs, -1.0 / gateways));
+            long untilUs = Math.min(Math.min(entry.number("until_us"), supersededUs), processEndUs);
+            if (untilUs > entry.atUs()) {
+                List<ClaimChange> changes =
+                        changesByOperator.computeIfAbsent(entry.text("operator"), operator -> new ArrayList<>());
+                changes.add(new ClaimChange(entry.atUs(), 1.0 / gateways));
+                changes.add(new ClaimChange(untilUs, -1.0 / gateways));
             }
         }
     }
 
-    private void checkSum(String operator, List<Change> operatorChanges) {
-        operatorChanges.sort(Comparator.comparingLong(Change::atUs).thenComparingDouble(Change::amount));
+    private void checkSum(String operator, List<ClaimChange> changes) {
+        changes.sort(Comparator.comparingLong(ClaimChange::atUs).thenComparingDouble(ClaimChange::amount));
         double sum = 0;
-        double most = 0;
-        for (Change change : operatorChanges) {
+        double largestSum = 0;
+        for (ClaimChange change : changes) {
             sum += change.amount;
-            most = Math.max(most, sum);
-            if (sum > 1 + ROUNDING) {
-                report.violation(
+            largestSum = Math.max(largestSum, sum);
+            if (sum > 1 + ROUNDING_TOLERANCE) {
+                report.addViolation(
                         "claims",
                         change.atUs,
                         String.format(Locale.ROOT, "the gateways of %s claim %.3f of the whole", operator, sum));
                 return;
             }
         }
-        report.measure(String.format(Locale.ROOT, "most claimed at once of %s's quotas: %.3f", operator, most));
+        report.addMeasurement(
+                String.format(Locale.ROOT, "largest share of %s's quotas claimed at once: %.3f", operator, largestSum));
     }
 }
--- a/src/rig/java/hopdrum/rig/check/ShardAgreementChecker.java
+++ b/src/rig/java/hopdrum/rig/check/ShardAgreementChecker.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Rules "moves" and "agreed": shards are divided as the operators agreed. */
+/** Checks the rules "moves" and "agreed": shards are assigned to operators as the operators agreed. */
 final class ShardAgreementChecker {
-    /** What an operator may change alone, by giving notice. */
+    /** The keys of the terms that an operator may change without the others' consent, by giving notice. */
     private static final Set<String> NOTICE_KEYS = Set.of("revision", "until_ms");
 
-    /** One epoch of an agreement; its index counts from 1970. */
+    /** One epoch of an agreement; the index counts epochs since 1970-01-01 UTC. */
     private record Epoch(long era, long lengthMs, long index) {}
 
     private final TrialLogs logs;
@@ -25,81 +25,82 @@
         this.report = report;
     }
 
-    /** "moves": no more shards change their owner in an epoch than the agreement allows. */
+    /** Rule "moves": no more shards change their owner in one epoch than the agreement allows. */
     void checkMoves() {
-        int shardCount = logs.setup().shards();
+        int shardCount = logs.setup().shardCount();
         List<ShardAssignment> assignments = shards.assignments();
-        Map<Epoch, Integer> moves = new HashMap<>();
+        Map<Epoch, Integer> movesByEpoch = new HashMap<>();
         for (int i = 1; i < assignments.size(); i++) {
-            ShardAssignment before = assignments.get(i - 1);
+            ShardAssignment previous = assignments.get(i - 1);
             ShardAssignment assignment = assignments.get(i);
             long epochMs = assignment.epochMs();
             Epoch epoch = new Epoch(assignment.version().era(), epochMs, assignment.asOfMs() / epochMs);
-            int moved =
-                    moves.merge(epoch, assignment.movedSince(before, shardCount).size(), Integer::sum);
+            int moved = movesByEpoch.merge(
+                    epoch, assignment.movedSince(previous, shardCount).size(), Integer::sum);
             int allowed = assignment.movesAllowed(shardCount);
             boolean isFirstOfEra = assignment.version().number() == 1;
-            boolean isAmended = !assignment.agreement().equals(before.agreement());
+            boolean isAmended = !assignment.agreement().equals(previous.agreement());
             if (moved > allowed && !isFirstOfEra && !isAmended) {
-                report.violation(
+                report.addViolation(
                         "moves",
                         assignment.atUs(),
-                        assignment.door() + ": " + moved + " shards moved in one epoch, " + allowed + " at most");
+                        assignment.frontDoor() + ": " + moved + " shards moved in one epoch, at most " + allowed
+                                + " are allowed");
             }
         }
     }
 
     /**
-     * "agreed": no agreement is in force that a party named in it has not accepted, unless it differs from the one before
-     * only by a notice.
+     * Rule "agreed": every agreement in force was accepted by all parties named in it, unless it differs from the
+     * preceding agreement only by a notice.
      */
     void checkAgreed() {
         Map<String, Set<String>> accepted = acceptedTerms();
-        JsonNode before = null;
+        JsonNode previous = null;
         for (ShardAssignment assignment : shards.assignments()) {
             JsonNode agreement = assignment.agreement();
-            if (agreement.size() > 0 && !agreement.equals(before)) {
-                checkParties(assignment, before, accepted.getOrDefault(agreement.toString(), Set.of()));
-                before = agreement;
+            if (agreement.size() > 0 && !agreement.equals(previous)) {
+                checkParties(assignment, previous, accepted.getOrDefault(agreement.toString(), Set.of()));
+                previous = agreement;
             }
         }
     }
 
-    /** By terms, as they are written: the operators that accepted them. */
+    /** Returns the operators that accepted each set of terms, by the text of the terms. */
     private Map<String, Set<String>> acceptedTerms() {
         Map<String, Set<String>> accepted = new HashMap<>();
-        logs.doors()
-                .forEach((door, log) -> log.stream()
-                        .filter(entry -> entry.is("agrees"))
+        logs.frontDoorLogs()
+                .forEach((frontDoor, log) -> log.stream()
+                        .filter(entry -> entry.hasEvent("agrees"))
                         .forEach(entry -> accepted.computeIfAbsent(
                                         entry.field("terms").toString(), terms -> new HashSet<>())
-                                .add(logs.setup().operatorOf(door))));
+                                .add(logs.setup().operatorOf(frontDoor))));
         return accepted;
     }
 
-    private void checkParties(ShardAssignment assignment, JsonNode before, Set<String> accepted) {
+    private void checkParties(ShardAssignment assignment, JsonNode previous, Set<String> accepted) {
         JsonNode agreement = assignment.agreement();
-        if (before != null && isNotice(before, agreement) && !accepted.isEmpty()) {
+        if (previous != null && isNotice(previous, agreement) && !accepted.isEmpty()) {
             return;
         }
         for (Map.Entry<String, JsonNode> party : agreement.path("parties").properties()) {
             if (!accepted.contains(party.getKey())) {
-                report.violation(
+                report.addViolation(
                         "agreed",
                         assignment.atUs(),
-                        assignment.door() + ": revision " + agreement.path("revision") + " is in force, "
+                        assignment.frontDoor() + ": revision " + agreement.path("revision") + " is in force, but "
                                 + party.getKey() + " has not agreed to it");
             }
         }
     }
 
-    /** Whether the terms are the same one revision on, but end sooner. */
-    private static boolean isNotice(JsonNode before, JsonNode after) {
-        for (Map.Entry<String, JsonNode> field : before.properties()) {
+    /** Whether the later terms differ from the earlier ones only in the revision and in an earlier end. */
+    private static boolean isNotice(JsonNode previous, JsonNode after) {
+        for (Map.Entry<String, JsonNode> field : previous.properties()) {
             if (!NOTICE_KEYS.contains(field.getKey()) && !field.getValue().equals(after.path(field.getKey()))) {
                 return false;
             }
         }
-        return after.path("until_ms").asLong() < before.path("until_ms").asLong();
+        return after.path("until_ms").asLong() < previous.path("until_ms").asLong();
     }
 }
--- a/src/rig/java/hopdrum/rig/check/ShardAssignment.java
+++ b/src/rig/java/hopdrum/rig/check/ShardAssignment.java
@@ -5,18 +5,24 @@
 import java.util.stream.IntStream;
 
 /**
- * One assignment of all shards to operators ("division" in the logs), as it was logged first.
+ * One assignment of all shards to operators ("division" in the logs), as the first front door logged it.
  *
- * @param version its place in the order of assignments
+ * @param version the era and number that order assignments
  * @param atUs when it was logged
- * @param door the door that logged it
- * @param owners one letter a shard: A for the first operator, a dash for none
- * @param operators the operators that the letters stand for
+ * @param frontDoor the front door that logged it first
+ * @param owners one character per shard: A for the first operator and so on, a dash for none
+ * @param operators the operators that the letters stand for, in the order of the letters
  * @param agreement the agreement in force
- * @param asOfMs the moment that the assignment was decided for, wall clock, in milliseconds
+ * @param asOfMs the wall-clock time for which the assignment was decided, in milliseconds
  */
 record ShardAssignment(
-        Version version, long atUs, String door, String owners, JsonNode operators, JsonNode agreement, long asOfMs) {
+        Version version,
+        long atUs,
+        String frontDoor,
+        String owners,
+        JsonNode operators,
+        JsonNode agreement,
+        long asOfMs) {
     private static final int DEFAULT_EPOCH_MS = 60_000;
 
     static ShardAssignment of(LogEntry entry) {
@@ -30,27 +36,27 @@
                 entry.number("as_of_ms"));
     }
 
-    /** The operator that owns a shard; empty if none does. */
+    /** Returns the operator that owns a shard; empty if none does. */
     String ownerOf(int shard) {
         char letter = owners.charAt(shard);
         return letter == '-' ? "" : operators.path(letter - 'A').asText();
     }
 
-    /** The shards, of so many, whose owner is another than in an earlier assignment. */
-    List<Integer> movedSince(ShardAssignment before, int shards) {
-        return IntStream.range(0, shards)
-                .filter(shard -> !ownerOf(shard).equals(before.ownerOf(shard)))
+    /** Returns the shards below {@code shardCount} whose owner differs from the owner in an earlier assignment. */
+    List<Integer> movedSince(ShardAssignment previous, int shardCount) {
+        return IntStream.range(0, shardCount)
+                .filter(shard -> !ownerOf(shard).equals(previous.ownerOf(shard)))
                 .boxed()
                 .toList();
     }
 
-    /** The length of the agreement's epochs. */
+    /** Returns the length of the agreement's epochs, in milliseconds; 60,000 if the agreement does not state it. */
     long epochMs() {
         return agreement.path("epoch_ms").asLong(DEFAULT_EPOCH_MS);
     }
 
-    /** How many shards the agreement lets move in one epoch; the given number if it does not say. */
-    int movesAllowed(int absent) {
-        return agreement.path("moves").asInt(absent);
+    /** Returns how many shards the agreement lets move in one epoch; the default if the agreement does not state it. */
+    int movesAllowed(int defaultMoves) {
+        return agreement.path("moves").asInt(defaultMoves);
     }
 }
--- a/src/rig/java/hopdrum/rig/check/ShardExpectations.java
+++ b/src/rig/java/hopdrum/rig/check/ShardExpectations.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Rules "shares", "owned" and "refusal": what a trial expects of shards. */
+/** Checks the rules "shares", "owned" and "refusal": what a trial expects of shards and their owners. */
 final class ShardExpectations {
-    private static final long POLL_US = 20_000;
-    private static final double DEFAULT_GAP_S = 0.5;
+    private static final long CHECK_INTERVAL_US = 20_000;
+    private static final double DEFAULT_MAX_GAP_S = 0.5;
 
     private final TrialLogs logs;
     private final ShardHistory shards;
@@ -22,45 +22,51 @@
         this.report = report;
     }
 
-    /** "shares": within the limit these operators act on so many shards; measures how long that took. */
+    /**
+     * Rule "shares": before the deadline, each operator acts on exactly the expected number of shards. Measures how
+     * long this took.
+     */
     void checkShares(Expectation expectation) {
-        Map<String, Integer> wanted = new TreeMap<>();
+        Map<String, Integer> expectedCounts = new TreeMap<>();
         expectation.arguments().path("of").properties().forEach(share -> {
             if (share.getValue().asInt() > 0) {
-                wanted.put(share.getKey(), share.getValue().asInt());
+                expectedCounts.put(share.getKey(), share.getValue().asInt());
             }
         });
-        for (long momentUs = expectation.atUs(); momentUs <= expectation.withinUs(); momentUs += POLL_US) {
-            if (shards.ownedShards(momentUs).equals(wanted)) {
-                report.measure(String.format(
+        for (long timeUs = expectation.atUs(); timeUs <= expectation.deadlineUs(); timeUs += CHECK_INTERVAL_US) {
+            if (shards.shardCountsByOperator(timeUs).equals(expectedCounts)) {
+                report.addMeasurement(String.format(
                         Locale.ROOT,
-                        "shares %s %.2f s after they were asked for",
-                        wanted,
-                        (momentUs - expectation.atUs()) / 1e6));
+                        "the operators act on the expected shards %s after %.2f s",
+                        expectedCounts,
+                        (timeUs - expectation.atUs()) / 1e6));
                 return;
             }
         }
-        report.violation(
+        report.addViolation(
                 "shares",
-                expectation.withinUs(),
-                "acted on are " + shards.ownedShards(expectation.withinUs()) + ", not " + wanted);
+                expectation.deadlineUs(),
+                "the operators act on the shards " + shards.shardCountsByOperator(expectation.deadlineUs())
+                        + ", expected: " + expectedCounts);
     }
 
-    /** "owned": from the limit on, for so long, no shard is without an owner for longer than is said. */
+    /**
+     * Rule "owned": from the deadline to the end of the period, no shard lacks an owner for longer than the stated gap.
+     */
     void checkOwned(Expectation expectation) {
-        long mostUs = expectation.durationUs("most_s", DEFAULT_GAP_S);
-        long untilUs = expectation.untilUs();
-        for (int shard = 0; shard < logs.setup().shards(); shard++) {
-            long ownedUntilUs = expectation.withinUs();
+        long maxGapUs = expectation.durationUs("most_s", DEFAULT_MAX_GAP_S);
+        long untilUs = expectation.periodEndUs();
+        for (int shard = 0; shard < logs.setup().shardCount(); shard++) {
+            long ownedUntilUs = expectation.deadlineUs();
             List<Interval> owned = new ArrayList<>(shards.ownedIntervals(shard));
             owned.add(new Interval(untilUs, untilUs));
             for (Interval interval : owned) {
                 long gapUs = Math.min(interval.fromUs(), untilUs) - ownedUntilUs;
-                if (interval.untilUs() >= ownedUntilUs && gapUs > mostUs) {
-                    report.violation(
+                if (interval.untilUs() >= ownedUntilUs && gapUs > maxGapUs) {
+                    report.addViolation(
                             "owned",
                             ownedUntilUs,
-                            String.format(Locale.ROOT, "shard %d has nobody for %.2f s", shard, gapUs / 1e6));
+                            String.format(Locale.ROOT, "shard %d has no owner for %.2f s", shard, gapUs / 1e6));
                     return;
                 }
                 ownedUntilUs = Math.max(ownedUntilUs, interval.untilUs());
@@ -68,16 +74,20 @@
         }
     }
 
-    /** "refusal": within the limit some door refuses an offer with these words. */
+    /**
+     * Rule "refusal": before the deadline, some front door refuses an offer with a reason that contains the expected
+     * text.
+     */
     void checkRefusal(Expectation expectation) {
-        String words = expectation.arguments().path("says").asText();
-        boolean isRefused = logs.doors().values().stream()
+        String expectedText = expectation.arguments().path("says").asText();
+        boolean isRefused = logs.frontDoorLogs().values().stream()
                 .flatMap(List::stream)
-                .anyMatch(entry -> entry.is("refuses")
-                        && entry.isWithin(expectation.atUs(), expectation.withinUs())
-                        && entry.text("why").contains(words));
+                .anyMatch(entry -> entry.hasEvent("refuses")
+                        && entry.isWithin(expectation.atUs(), expectation.deadlineUs())
+                        && entry.text("why").contains(expectedText));
         if (!isRefused) {
-            report.violation("refusal", expectation.withinUs(), "nobody refused with: " + words);
+            report.addViolation(
+                    "refusal", expectation.deadlineUs(), "no front door refused an offer with: " + expectedText);
         }
     }
 }
--- a/src/rig/java/hopdrum/rig/check/ShardHistory.java
+++ b/src/rig/java/hopdrum/rig/check/ShardHistory.java
@@ -10,144 +10,158 @@
 import java.util.TreeMap;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** Which door acted on which shard from when until when, and all shard assignments, by the doors' own logs. */
+/**
+ * Records which front door acted on which shard at which times, and all shard assignments, as read from the logs of the
+ * front doors.
+ */
 final class ShardHistory {
-    private static final long HAND_OVER_US = 15_000_000;
+    private static final long HAND_OVER_DURATION_US = 15_000_000;
 
-    /** One door acted on a shard for its operator; the end is not included. */
-    record Tenure(String operator, String door, long fromUs, long untilUs) {
+    /** A period in which one front door acted on a shard for its operator; the end is exclusive. */
+    record OwnershipPeriod(String operator, String frontDoor, long fromUs, long untilUs) {
         boolean covers(long atUs) {
             return fromUs <= atUs && atUs < untilUs;
         }
     }
 
-    /** A time in which a shard had an owner throughout. */
+    /** An interval in which a shard had an owner throughout. */
     record Interval(long fromUs, long untilUs) {}
 
-    private final int shards;
-    private final Map<Integer, List<Tenure>> tenures = new TreeMap<>(); // by shard
+    private final int shardCount;
+    private final Map<Integer, List<OwnershipPeriod>> ownershipPeriods = new TreeMap<>(); // by shard
     private final List<ShardAssignment> assignments = new ArrayList<>();
-    private final Map<Integer, List<Long>> movedUs = new HashMap<>(); // by shard
+    private final Map<Integer, List<Long>> moveTimesUs = new HashMap<>(); // by shard
 
-    private ShardHistory(int shards) {
-        this.shards = shards;
+    private ShardHistory(int shardCount) {
+        this.shardCount = shardCount;
     }
 
-    /** Empty for a trial without shards. */
+    /** Returns the history of a trial's shards, which is empty for a trial without shards. */
     static ShardHistory of(TrialLogs logs) {
-        ShardHistory history = new ShardHistory(logs.setup().shards());
-        if (history.shards > 0) {
-            logs.doors().forEach((door, log) -> history.readTenures(door, log, logs.processes()));
+        ShardHistory history = new ShardHistory(logs.setup().shardCount());
+        if (history.shardCount > 0) {
+            logs.frontDoorLogs()
+                    .forEach((frontDoor, log) -> history.readOwnershipPeriods(frontDoor, log, logs.processes()));
             history.readAssignments(logs);
         }
         return history;
     }
 
-    private void readTenures(String door, List<LogEntry> log, ProcessHistory processes) {
-        List<LogEntry> acts = log.stream()
-                .filter(entry -> entry.is("acts") || entry.is("starts"))
+    private void readOwnershipPeriods(String frontDoor, List<LogEntry> log, ProcessHistory processes) {
+        List<LogEntry> entries = log.stream()
+                .filter(entry -> entry.hasEvent("acts") || entry.hasEvent("starts"))
                 .toList();
-        for (int i = 0; i < acts.size(); i++) {
-            LogEntry act = acts.get(i);
-            long replacedUs = i + 1 < acts.size() ? acts.get(i + 1).atUs() : Long.MAX_VALUE;
+        for (int i = 0; i < entries.size(); i++) {
+            LogEntry entry = entries.get(i);
+            long supersededUs = i + 1 < entries.size() ? entries.get(i + 1).atUs() : Long.MAX_VALUE;
             long processEndUs = processes
-                    .runAt(door, act.atUs())
+                    .runAt(frontDoor, entry.atUs())
                     .map(ProcessHistory.Run::untilUs)
-                    .orElse(act.atUs());
-            long untilUs = Math.min(Math.min(act.number("until_us"), replacedUs), processEndUs);
-            String shardFlags = act.text("on"); // one letter a shard
-            for (int shard = 0; shard < shardFlags.length() && untilUs > act.atUs(); shard++) {
+                    .orElse(entry.atUs());
+            long untilUs = Math.min(Math.min(entry.number("until_us"), supersededUs), processEndUs);
+            String shardFlags = entry.text("on"); // one character per shard
+            for (int shard = 0; shard < shardFlags.length() && untilUs > entry.atUs(); shard++) {
                 if (shardFlags.charAt(shard) == 'x') {
-                    tenures.computeIfAbsent(shard, key -> new ArrayList<>())
-                            .add(new Tenure(act.text("operator"), door, act.atUs(), untilUs));
+                    ownershipPeriods
+                            .computeIfAbsent(shard, key -> new ArrayList<>())
+                            .add(new OwnershipPeriod(entry.text("operator"), frontDoor, entry.atUs(), untilUs));
                 }
             }
         }
     }
 
     private void readAssignments(TrialLogs logs) {
-        Map<Version, LogEntry> first = new LinkedHashMap<>();
-        logs.doors()
+        Map<Version, LogEntry> firstByVersion = new LinkedHashMap<>();
+        logs.frontDoorLogs()
                 .values()
                 .forEach(log -> log.stream()
-                        .filter(entry -> entry.is("division"))
-                        .forEach(entry -> first.merge(entry.version(), entry, LogEntry::earlier)));
-        first.values().stream()
+                        .filter(entry -> entry.hasEvent("division"))
+                        .forEach(entry -> firstByVersion.merge(entry.version(), entry, LogEntry::earlier)));
+        firstByVersion.values().stream()
                 .map(ShardAssignment::of)
                 .sorted(Comparator.comparing(ShardAssignment::version))
                 .forEach(assignments::add);
         for (int i = 1; i < assignments.size(); i++) {
             ShardAssignment assignment = assignments.get(i);
-            for (int shard : assignment.movedSince(assignments.get(i - 1), shards)) {
-                movedUs.computeIfAbsent(shard, key -> new ArrayList<>()).add(assignment.atUs());
+            for (int shard : assignment.movedSince(assignments.get(i - 1), shardCount)) {
+                moveTimesUs.computeIfAbsent(shard, key -> new ArrayList<>()).add(assignment.atUs());
             }
         }
     }
 
     /**
-     * As docs/fleet.md has it: MurmurHash3, x86, 32 bits, seed 0, of the key's eight bytes. The key is the customer's number
-     * and 1.
+     * Returns the shard of a customer as docs/fleet.md defines it: the 32-bit x86 MurmurHash3, with seed 0, of the
+     * eight bytes of the key, modulo the number of shards. The key is the customer's number plus 1.
      */
     int shardOf(int customer) {
         byte[] key = ByteBuffer.allocate(8).putLong(customer + 1L).array();
-        return Integer.remainderUnsigned(MurmurHash3.hash32x86(key, 0, 8, 0), shards);
+        return Integer.remainderUnsigned(MurmurHash3.hash32x86(key, 0, 8, 0), shardCount);
     }
 
-    /** All tenures of a shard, by door. */
-    List<Tenure> tenuresOf(int shard) {
-        return tenures.getOrDefault(shard, List.of());
+    /** Returns all ownership periods of a shard, grouped by front door. */
+    List<OwnershipPeriod> ownershipPeriodsOf(int shard) {
+        return ownershipPeriods.getOrDefault(shard, List.of());
     }
 
-    /** All assignments by version, each as it was logged first. */
+    /** Returns all assignments sorted by version, each as the first front door logged it. */
     List<ShardAssignment> assignments() {
         return assignments;
     }
 
-    /** How many times a shard changed its operator, over all shards. */
+    /** Returns the number of changes of a shard's operator, summed over all shards. */
     int countAllMoves() {
-        return movedUs.values().stream().mapToInt(List::size).sum();
+        return moveTimesUs.values().stream().mapToInt(List::size).sum();
     }
 
-    /** Whether a customer's shard changed its operator after the first moment, and at the second or before. */
+    /**
+     * Whether a customer's shard changed its operator later than {@code afterUs} and not later than {@code untilUs}.
+     */
     boolean isMovedWithin(int customer, long afterUs, long untilUs) {
-        return movedUs.getOrDefault(shardOf(customer), List.of()).stream()
-                .anyMatch(movedAtUs -> movedAtUs > afterUs && movedAtUs <= untilUs);
+        return moveTimesUs.getOrDefault(shardOf(customer), List.of()).stream()
+                .anyMatch(moveUs -> moveUs > afterUs && moveUs <= untilUs);
     }
 
-    /** How often a customer's shard moved, or was being handed over, within a window: each may admit a burst more. */
+    /**
+     * Returns the number of moves of a customer's shard within a window or shortly enough before it that the hand-over
+     * may still go on. Each of them may admit one more burst.
+     */
     int countMoves(int customer, long fromUs, long untilUs) {
-        if (shards == 0) {
+        if (shardCount == 0) {
             return 0;
         }
-        return (int) movedUs.getOrDefault(shardOf(customer), List.of()).stream()
-                .filter(movedAtUs -> movedAtUs >= fromUs - HAND_OVER_US && movedAtUs <= untilUs)
+        return (int) moveTimesUs.getOrDefault(shardOf(customer), List.of()).stream()
+                .filter(moveUs -> moveUs >= fromUs - HAND_OVER_DURATION_US && moveUs <= untilUs)
                 .count();
     }
 
-    /** When a shard had an owner, merged over the doors of all operators, in the order of time. */
+    /**
+     * Returns the intervals in which a shard had an owner, merged over all operators' front doors and sorted by time.
+     */
     List<Interval> ownedIntervals(int shard) {
         List<Interval> merged = new ArrayList<>();
-        tenuresOf(shard).stream()
-                .sorted(Comparator.comparingLong(Tenure::fromUs))
-                .forEach(tenure -> {
+        ownershipPeriodsOf(shard).stream()
+                .sorted(Comparator.comparingLong(OwnershipPeriod::fromUs))
+                .forEach(period -> {
                     int last = merged.size() - 1;
-                    if (last >= 0 && merged.get(last).untilUs >= tenure.fromUs) {
-                        Interval before = merged.get(last);
-                        merged.set(last, new Interval(before.fromUs, Math.max(before.untilUs, tenure.untilUs)));
+                    if (last >= 0 && merged.get(last).untilUs >= period.fromUs) {
+                        Interval previous = merged.get(last);
+                        merged.set(last, new Interval(previous.fromUs, Math.max(previous.untilUs, period.untilUs)));
                     } else {
-                        merged.add(new Interval(tenure.fromUs, tenure.untilUs));
+                        merged.add(new Interval(period.fromUs, period.untilUs));
                     }
                 });
         return merged;
     }
 
-    /** By operator: how many shards its doors act on at a moment; those with none are left out. */
-    Map<String, Integer> ownedShards(long atUs) {
+    /**
+     * Returns the number of shards that each operator's front doors act on at a time; operators with none are left out.
+     */
+    Map<String, Integer> shardCountsByOperator(long atUs) {
         Map<String, Integer> counts = new TreeMap<>();
-        for (int shard = 0; shard < shards; shard++) {
-            tenuresOf(shard).stream()
-                    .filter(tenure -> tenure.covers(atUs))
-                    .map(Tenure::operator)
+        for (int shard = 0; shard < shardCount; shard++) {
+            ownershipPeriodsOf(shard).stream()
+                    .filter(period -> period.covers(atUs))
+                    .map(OwnershipPeriod::operator)
                     .distinct()
                     .forEach(operator -> counts.merge(operator, 1, Integer::sum));
         }
--- a/src/rig/java/hopdrum/rig/check/ShardMoveCost.java
+++ b/src/rig/java/hopdrum/rig/check/ShardMoveCost.java
@@ -8,34 +8,37 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** No rule: measures how long shards had no owner, what a move costs RPCs, and what forwarding costs them. */
+/**
+ * Measures how long shards had no owner, and how moves of shards and forwarding to another operator affect requests.
+ * These are measurements only; no rule limits them.
+ */
 final class ShardMoveCost {
     private static final long AFFECTED_BEFORE_MOVE_US = 500_000;
     private static final long AFFECTED_AFTER_MOVE_US = 2_000_000;
 
-    /** Outcomes of RPCs, counted. */
+    /** Counts requests by outcome. */
     private static final class OutcomeCount {
-        private int all;
+        private int total;
         private int rejected;
-        private int late; // or without an answer
+        private int lateOrUnanswered;
 
-        void add(RpcOutcome rpc, long latencyObjectiveUs) {
-            all++;
-            if (rpc.isRejected()) {
+        void add(RequestOutcome request, long softDeadlineUs) {
+            total++;
+            if (request.isRejected()) {
                 rejected++;
-            } else if (!rpc.isOk() || rpc.tookUs() > latencyObjectiveUs) {
-                late++;
+            } else if (!request.isOk() || request.tookUs() > softDeadlineUs) {
+                lateOrUnanswered++;
             }
         }
 
-        String summary(String which) {
+        String summary(String shardDescription) {
             return String.format(
                     Locale.ROOT,
-                    "RPCs of shards that %s: %d, refused %.3f, late or without an answer %.3f",
-                    which,
-                    all,
-                    rejected / Math.max(1.0, all),
-                    late / Math.max(1.0, all));
+                    "requests of shards that %s: %d, rejected %.3f, late or without an answer %.3f",
+                    shardDescription,
+                    total,
+                    rejected / Math.max(1.0, total),
+                    lateOrUnanswered / Math.max(1.0, total));
         }
     }
 
@@ -49,56 +52,62 @@
         this.report = report;
     }
 
-    /** Measures how long shards had no owner between two. */
+    /** Measures the gaps in which a shard had no owner between two ownership periods, up to the end of the trial. */
     void reportGaps() {
         List<Long> gapsUs = new ArrayList<>();
-        for (int shard = 0; shard < logs.setup().shards(); shard++) {
+        for (int shard = 0; shard < logs.setup().shardCount(); shard++) {
             List<Interval> owned = shards.ownedIntervals(shard);
             for (int i = 1; i < owned.size() && owned.get(i).fromUs() < logs.endUs(); i++) {
                 gapsUs.add(owned.get(i).fromUs() - owned.get(i - 1).untilUs());
             }
         }
         Collections.sort(gapsUs);
-        report.measure(String.format(
+        report.addMeasurement(String.format(
                 Locale.ROOT,
-                "shards moved: %d; times without an owner: %d, median %.2f s, worst %.2f s",
+                "shard moves: %d; gaps without an owner: %d, median %.2f s, worst %.2f s",
                 shards.countAllMoves(),
                 gapsUs.size(),
                 Percentiles.seconds(gapsUs, 50),
                 Percentiles.seconds(gapsUs, 100)));
     }
 
-    /** Measures outcomes beside moves and elsewhere, and latencies with and without forwarding. */
-    void reportRpcs() {
-        Map<String, String> operators = new HashMap<>(); // by RPC: where it ran last
-        logs.executions().forEach(execution -> operators.put(execution.rpc(), execution.operator()));
-        OutcomeCount beside = new OutcomeCount();
-        OutcomeCount elsewhere = new OutcomeCount();
+    /**
+     * Measures the outcomes of requests near a move of their shard and of all others, and the latencies with and
+     * without forwarding to another operator.
+     */
+    void reportRequests() {
+        Map<String, String> lastOperators = new HashMap<>(); // by request: whose backend executed it last
+        logs.executions().forEach(execution -> lastOperators.put(execution.requestId(), execution.operator()));
+        OutcomeCount nearMove = new OutcomeCount();
+        OutcomeCount awayFromMove = new OutcomeCount();
         List<Long> directUs = new ArrayList<>();
         List<Long> forwardedUs = new ArrayList<>();
-        for (RpcOutcome rpc : logs.rpcs()) {
-            (isBesideMove(rpc) ? beside : elsewhere).add(rpc, logs.setup().deadlineUs() / 2);
-            String operator = operators.get(rpc.id());
-            if (rpc.isOk() && operator != null) {
-                boolean isDirect = operator.equals(logs.setup().operatorOf(rpc.door()));
-                (isDirect ? directUs : forwardedUs).add(rpc.tookUs());
+        for (RequestOutcome request : logs.requests()) {
+            (isNearMove(request) ? nearMove : awayFromMove)
+                    .add(request, logs.setup().requestDeadlineUs() / 2);
+            String operator = lastOperators.get(request.id());
+            if (request.isOk() && operator != null) {
+                boolean isDirect = operator.equals(logs.setup().operatorOf(request.frontDoor()));
+                (isDirect ? directUs : forwardedUs).add(request.tookUs());
             }
         }
-        report.measure(beside.summary("moved within 2 s"));
-        report.measure(elsewhere.summary("did not"));
+        report.addMeasurement(nearMove.summary("moved within 2 s"));
+        report.addMeasurement(awayFromMove.summary("did not"));
         Collections.sort(directUs);
         Collections.sort(forwardedUs);
-        report.measure(String.format(
+        report.addMeasurement(String.format(
                 Locale.ROOT,
-                "answered where they came: %d, p50 %.1f ms; passed on: %d, p50 %.1f ms",
+                "executed at the receiving operator: %d, p50 %.1f ms; forwarded to another: %d, p50 %.1f ms",
                 directUs.size(),
                 Percentiles.millis(directUs, 50),
                 forwardedUs.size(),
                 Percentiles.millis(forwardedUs, 50)));
     }
 
-    private boolean isBesideMove(RpcOutcome rpc) {
+    private boolean isNearMove(RequestOutcome request) {
         return shards.isMovedWithin(
-                rpc.customer(), rpc.sentUs() - AFFECTED_AFTER_MOVE_US, rpc.sentUs() + AFFECTED_BEFORE_MOVE_US);
+                request.customer(),
+                request.sentUs() - AFFECTED_AFTER_MOVE_US,
+                request.sentUs() + AFFECTED_BEFORE_MOVE_US);
     }
 }
--- a/src/rig/java/hopdrum/rig/check/ShardOwnershipChecker.java
+++ b/src/rig/java/hopdrum/rig/check/ShardOwnershipChecker.java
@@ -1,15 +1,18 @@
 package hopdrum.rig.check;
 
-import hopdrum.rig.check.ShardHistory.Tenure;
+import hopdrum.rig.check.ShardHistory.OwnershipPeriod;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
-/** Rules "one-owner", "owner" and "one-operator": who acts on a shard, and where its RPCs run. */
+/**
+ * Checks the rules "one-owner", "owner" and "one-operator": who acts on a shard, and whose backends execute its
+ * requests.
+ */
 final class ShardOwnershipChecker {
-    private static final long LOG_DELAY_US = 20_000; // between an event and its line in a log
+    private static final long LOG_DELAY_US = 20_000; // at most, from an event to its log line
 
     private final TrialLogs logs;
     private final ShardHistory shards;
@@ -21,69 +24,71 @@
         this.report = report;
     }
 
-    /** "one-owner": at no moment do doors of two operators act on one shard. */
+    /** Rule "one-owner": front doors of two operators never act on the same shard at the same time. */
     void checkOneOwner() {
-        for (int shard = 0; shard < logs.setup().shards(); shard++) {
+        for (int shard = 0; shard < logs.setup().shardCount(); shard++) {
             checkOneOwner(shard);
         }
     }
 
     private void checkOneOwner(int shard) {
-        List<Tenure> tenures = new ArrayList<>(shards.tenuresOf(shard));
-        tenures.sort(Comparator.comparingLong(Tenure::fromUs));
-        Map<String, Tenure> longest = new HashMap<>(); // by operator: the tenure so far that ends last
-        for (Tenure tenure : tenures) {
-            for (Tenure other : longest.values()) {
-                if (!other.operator().equals(tenure.operator()) && other.untilUs() > tenure.fromUs()) {
-                    report.violation(
+        List<OwnershipPeriod> ownershipPeriods = new ArrayList<>(shards.ownershipPeriodsOf(shard));
+        ownershipPeriods.sort(Comparator.comparingLong(OwnershipPeriod::fromUs));
+        Map<String, OwnershipPeriod> lastEnding = new HashMap<>(); // by operator: the period so far that ends last
+        for (OwnershipPeriod period : ownershipPeriods) {
+            for (OwnershipPeriod other : lastEnding.values()) {
+                if (!other.operator().equals(period.operator()) && other.untilUs() > period.fromUs()) {
+                    report.addViolation(
                             "one-owner",
-                            tenure.fromUs(),
-                            tenure.door() + " of " + tenure.operator() + " and " + other.door() + " of "
+                            period.fromUs(),
+                            period.frontDoor() + " of " + period.operator() + " and " + other.frontDoor() + " of "
                                     + other.operator() + " act on shard " + shard);
                     return;
                 }
             }
-            longest.merge(
-                    tenure.operator(), tenure, (first, second) -> first.untilUs() >= second.untilUs() ? first : second);
+            lastEnding.merge(
+                    period.operator(), period, (first, second) -> first.untilUs() >= second.untilUs() ? first : second);
         }
     }
 
     /**
-     * "owner": an RPC runs at an operator's backends only if a door of it acted on the customer's shard while the RPC was
-     * under way. "one-operator": no RPC runs at two operators' backends.
+     * Rule "owner": a request is executed at an operator's backends only if one of the operator's front doors acted on
+     * the customer's shard at some time between the sending of the request and its execution. Rule "one-operator": no
+     * request is executed at the backends of two operators.
      */
     void checkExecutions() {
-        Map<String, RpcOutcome> rpcs = new HashMap<>();
-        logs.rpcs().forEach(rpc -> rpcs.put(rpc.id(), rpc));
-        Map<String, String> operators = new HashMap<>(); // by RPC: where it ran first
+        Map<String, RequestOutcome> requests = new HashMap<>();
+        logs.requests().forEach(request -> requests.put(request.id(), request));
+        Map<String, String> firstOperators = new HashMap<>(); // by request: whose backend executed it first
         for (Execution execution : logs.executions()) {
-            RpcOutcome rpc = rpcs.get(execution.rpc());
-            if (rpc == null) {
+            RequestOutcome request = requests.get(execution.requestId());
+            if (request == null) {
                 continue;
             }
-            String before = operators.putIfAbsent(rpc.id(), execution.operator());
-            if (before != null && !before.equals(execution.operator())) {
-                report.violation(
+            String firstOperator = firstOperators.putIfAbsent(request.id(), execution.operator());
+            if (firstOperator != null && !firstOperator.equals(execution.operator())) {
+                report.addViolation(
                         "one-operator",
                         execution.atUs(),
-                        "RPC " + rpc.id() + " ran at " + before + "'s and at " + execution.operator() + "'s");
+                        "request " + request.id() + " was executed at " + firstOperator + "'s and at "
+                                + execution.operator() + "'s backends");
             }
-            checkOwner(rpc, execution);
+            checkOwner(request, execution);
         }
     }
 
-    private void checkOwner(RpcOutcome rpc, Execution execution) {
-        int shard = shards.shardOf(rpc.customer());
-        boolean isOwned = shards.tenuresOf(shard).stream()
-                .anyMatch(tenure -> tenure.operator().equals(execution.operator())
-                        && tenure.fromUs() <= execution.atUs() + LOG_DELAY_US
-                        && tenure.untilUs() >= rpc.sentUs() - LOG_DELAY_US);
+    private void checkOwner(RequestOutcome request, Execution execution) {
+        int shard = shards.shardOf(request.customer());
+        boolean isOwned = shards.ownershipPeriodsOf(shard).stream()
+                .anyMatch(period -> period.operator().equals(execution.operator())
+                        && period.fromUs() <= execution.atUs() + LOG_DELAY_US
+                        && period.untilUs() >= request.sentUs() - LOG_DELAY_US);
         if (!isOwned) {
-            report.violation(
+            report.addViolation(
                     "owner",
                     execution.atUs(),
-                    "RPC " + rpc.id() + " of shard " + shard + " ran at " + execution.operator()
-                            + "'s, none of whose doors acted on it");
+                    "request " + request.id() + " of shard " + shard + " was executed at " + execution.operator()
+                            + "'s backends, but none of its front doors acted on the shard");
         }
     }
 }
--- a/src/rig/java/hopdrum/rig/check/TrialChecker.java
+++ b/src/rig/java/hopdrum/rig/check/TrialChecker.java
@@ -6,8 +6,8 @@
 import java.util.Locale;
 
 /**
- * Checks the logs of one finished trial against all invariants and against the expectations of its file. It shares no code
- * with the program under test. Stateless; callable from any thread.
+ * Checks the logs of one finished trial against all invariants and against the expectations of the trial file. The
+ * class shares no code with the program under test. It is stateless and may be called from any thread.
  */
 public final class TrialChecker {
     private TrialChecker() {}
@@ -26,14 +26,14 @@
         new ViewOrderChecker(logs, report).check();
         new ViewMajorityChecker(logs, report).check();
         new QuotaClaimChecker(logs, report).check();
-        RpcChecker rpcs = new RpcChecker(logs, report);
-        rpcs.checkAnswered();
+        RequestChecker requests = new RequestChecker(logs, report);
+        requests.checkAnswered();
         ShardHistory shards = ShardHistory.of(logs);
-        if (logs.setup().shards() > 0) {
+        if (logs.setup().shardCount() > 0) {
             checkShards(logs, shards, report);
         }
         new QuotaChecker(logs, shards, report).check();
-        rpcs.checkRunOnce();
+        requests.checkRunOnce();
         new ExpectationChecker(logs, shards, report).check();
         reportSchedulingDelay(logs, report);
         return report;
@@ -48,22 +48,22 @@
         agreement.checkAgreed();
         ShardMoveCost cost = new ShardMoveCost(logs, shards, report);
         cost.reportGaps();
-        cost.reportRpcs();
+        cost.reportRequests();
     }
 
-    /** Not a rule: how late the rig's own threads woke, so that a slow machine is not mistaken for a slow program. */
+    /** Measures how late the rig's own threads woke, so that a slow machine is not mistaken for a slow program. */
     private static void reportSchedulingDelay(TrialLogs logs, TrialReport report) {
-        List<Long> worst = logs.rig().stream()
-                .filter(entry -> entry.is("late"))
+        List<Long> worstDelaysUs = logs.rigLog().stream()
+                .filter(entry -> entry.hasEvent("late"))
                 .map(entry -> entry.number("us"))
                 .sorted()
                 .toList();
-        if (!worst.isEmpty()) {
-            report.measure(String.format(
+        if (!worstDelaysUs.isEmpty()) {
+            report.addMeasurement(String.format(
                     Locale.ROOT,
-                    "the rig's own lateness, worst of each second: median %.1f ms, worst %.1f ms",
-                    Percentiles.millis(worst, 50),
-                    Percentiles.millis(worst, 100)));
+                    "scheduling delay of the rig, worst of each second: median %.1f ms, worst %.1f ms",
+                    Percentiles.millis(worstDelaysUs, 50),
+                    Percentiles.millis(worstDelaysUs, 100)));
         }
     }
 }
--- a/src/rig/java/hopdrum/rig/check/TrialLogs.java
+++ b/src/rig/java/hopdrum/rig/check/TrialLogs.java
@@ -8,58 +8,61 @@
 import java.util.TreeMap;
 
 /**
- * All logs of one trial.
+ * The contents of all logs of one trial.
  *
- * @param setup the trial as the rig described it
- * @param beginUs when the trial's own time began
- * @param endUs when the trial ended and all processes were asked to; {@link Long#MAX_VALUE} if that was not logged
- * @param rig what the rig recorded
- * @param doors by door: what its processes logged
- * @param rpcs all RPCs, in the order in which they ended
- * @param executions all executions at backends, in their order
- * @param processes when each process ran
+ * @param setup the settings of the trial as the rig logged them
+ * @param beginUs when the time of the trial's steps began
+ * @param endUs when the trial ended and all processes were asked to end; {@link Long#MAX_VALUE} if that was not logged
+ * @param rigLog the entries that the rig logged
+ * @param frontDoorLogs by front door, the entries that its processes logged
+ * @param requests all requests, in the order in which they ended
+ * @param executions all executions at backends, in the order in which they were logged
+ * @param processes the runs of each front door's process
  */
 record TrialLogs(
         TrialSetup setup,
         long beginUs,
         long endUs,
-        List<LogEntry> rig,
-        Map<String, List<LogEntry>> doors,
-        List<RpcOutcome> rpcs,
+        List<LogEntry> rigLog,
+        Map<String, List<LogEntry>> frontDoorLogs,
+        List<RequestOutcome> requests,
         List<Execution> executions,
         ProcessHistory processes) {
 
     static TrialLogs read(Path folder) throws IOException {
-        List<LogEntry> rig = LogEntry.readAll(folder.resolve("rig.jsonl"));
-        LogEntry trial = rig.stream()
-                .filter(entry -> entry.is("trial"))
+        List<LogEntry> rigLog = LogEntry.readAll(folder.resolve("rig.jsonl"));
+        LogEntry trialEntry = rigLog.stream()
+                .filter(entry -> entry.hasEvent("trial"))
                 .findFirst()
-                .orElseThrow(() -> new IOException("no trial in " + folder));
-        TrialSetup setup = TrialSetup.of(trial.fields());
-        Map<String, List<LogEntry>> doors = new TreeMap<>();
-        for (String door : setup.operators().keySet()) {
-            Path log = folder.resolve(door + ".jsonl");
-            doors.put(door, Files.exists(log) ? LogEntry.readAll(log) : List.of());
+                .orElseThrow(() -> new IOException("no trial event in the log of the rig in " + folder));
+        TrialSetup setup = TrialSetup.of(trialEntry.fields());
+        Map<String, List<LogEntry>> frontDoorLogs = new TreeMap<>();
+        for (String frontDoor : setup.operatorByFrontDoor().keySet()) {
+            Path log = folder.resolve(frontDoor + ".jsonl");
+            frontDoorLogs.put(frontDoor, Files.exists(log) ? LogEntry.readAll(log) : List.of());
         }
         return new TrialLogs(
                 setup,
-                firstAt(rig, "begin", trial.atUs()),
-                firstAt(rig, "end", Long.MAX_VALUE),
-                rig,
-                doors,
-                rig.stream()
-                        .filter(entry -> entry.is("rpc"))
-                        .map(RpcOutcome::of)
+                firstTimeUs(rigLog, "begin", trialEntry.atUs()),
+                firstTimeUs(rigLog, "end", Long.MAX_VALUE),
+                rigLog,
+                frontDoorLogs,
+                rigLog.stream()
+                        .filter(entry -> entry.hasEvent("rpc"))
+                        .map(RequestOutcome::of)
                         .toList(),
-                rig.stream().filter(entry -> entry.is("ran")).map(Execution::of).toList(),
-                new ProcessHistory(rig));
+                rigLog.stream()
+                        .filter(entry -> entry.hasEvent("ran"))
+                        .map(Execution::of)
+                        .toList(),
+                new ProcessHistory(rigLog));
     }
 
-    private static long firstAt(List<LogEntry> rig, String event, long absent) {
-        return rig.stream()
-                .filter(entry -> entry.is(event))
+    private static long firstTimeUs(List<LogEntry> rigLog, String event, long defaultUs) {
+        return rigLog.stream()
+                .filter(entry -> entry.hasEvent(event))
                 .mapToLong(LogEntry::atUs)
                 .findFirst()
-                .orElse(absent);
+                .orElse(defaultUs);
     }
 }
--- a/src/rig/java/hopdrum/rig/check/TrialSetup.java
+++ b/src/rig/java/hopdrum/rig/check/TrialSetup.java
@@ -7,68 +7,68 @@
 import java.util.Set;
 
 /**
- * The trial as the rig's first log entry describes it.
+ * The settings of a trial, as the rig's first log entry describes them.
  *
- * @param periodUs the fleet's probe period
- * @param deadlineUs the deadline of each RPC
- * @param rate a customer's quota, RPCs a second
- * @param burst a customer's burst, RPCs
- * @param ceilingRate a customer's ceiling over all operators, RPCs a second; 0: none
- * @param ceilingBurst the ceiling's burst, RPCs
- * @param shards how many shards customers are divided into; 0: none
- * @param largestTier the most gateways that one operator has
- * @param operators the operator of each door
- * @param sites the site of each door
- * @param founders the members of the fleet's first view
+ * @param probePeriodUs the fleet's probe period, in microseconds
+ * @param requestDeadlineUs the deadline of each request, in microseconds
+ * @param quotaRate a customer's quota, in requests per second
+ * @param quotaBurst the burst of a customer's quota, in requests
+ * @param ceilingRate a customer's ceiling over all operators, in requests per second; 0 if there is none
+ * @param ceilingBurst the ceiling's burst, in requests
+ * @param shardCount the number of shards that customers are divided into; 0 if there are none
+ * @param maxGatewaysPerOperator the largest number of gateways that one operator has
+ * @param operatorByFrontDoor the operator of each front door, by the front door's name
+ * @param siteByFrontDoor the site of each front door, by the front door's name
+ * @param founders the names of the members of the fleet's first view
  */
 record TrialSetup(
-        long periodUs,
-        long deadlineUs,
-        double rate,
-        double burst,
+        long probePeriodUs,
+        long requestDeadlineUs,
+        double quotaRate,
+        double quotaBurst,
         double ceilingRate,
         double ceilingBurst,
-        int shards,
-        int largestTier,
-        Map<String, String> operators,
-        Map<String, String> sites,
+        int shardCount,
+        int maxGatewaysPerOperator,
+        Map<String, String> operatorByFrontDoor,
+        Map<String, String> siteByFrontDoor,
         Set<String> founders) {
 
-    static TrialSetup of(JsonNode trial) {
-        int largestTier = 0;
-        for (JsonNode tier : trial.path("tiers")) {
-            largestTier = Math.max(largestTier, tier.size());
+    static TrialSetup of(JsonNode description) {
+        int maxGatewaysPerOperator = 0;
+        for (JsonNode tier : description.path("tiers")) {
+            maxGatewaysPerOperator = Math.max(maxGatewaysPerOperator, tier.size());
         }
         Set<String> founders = new LinkedHashSet<>();
-        trial.path("founders").forEach(founder -> founders.add(founder.asText()));
+        description.path("founders").forEach(founder -> founders.add(founder.asText()));
         return new TrialSetup(
-                trial.path("period_us").asLong(),
-                trial.path("deadline_us").asLong(),
-                trial.path("rate").asDouble(),
-                trial.path("burst").asDouble(),
-                trial.path("ceiling_rate").asDouble(),
-                trial.path("ceiling_burst").asDouble(),
-                trial.path("shards").asInt(),
-                largestTier,
-                texts(trial.path("doors")),
-                texts(trial.path("sites")),
+                description.path("period_us").asLong(),
+                description.path("deadline_us").asLong(),
+                description.path("rate").asDouble(),
+                description.path("burst").asDouble(),
+                description.path("ceiling_rate").asDouble(),
+                description.path("ceiling_burst").asDouble(),
+                description.path("shards").asInt(),
+                maxGatewaysPerOperator,
+                readTextByKey(description.path("doors")),
+                readTextByKey(description.path("sites")),
                 founders);
     }
 
-    private static Map<String, String> texts(JsonNode object) {
-        Map<String, String> texts = new LinkedHashMap<>();
+    private static Map<String, String> readTextByKey(JsonNode object) {
+        Map<String, String> textByKey = new LinkedHashMap<>();
         object.properties()
-                .forEach(field -> texts.put(field.getKey(), field.getValue().asText()));
-        return texts;
+                .forEach(field -> textByKey.put(field.getKey(), field.getValue().asText()));
+        return textByKey;
     }
 
-    /** The operator of a door; empty if unknown. */
-    String operatorOf(String door) {
-        return operators.getOrDefault(door, "");
+    /** Returns the operator of a front door; empty if the front door is unknown. */
+    String operatorOf(String frontDoor) {
+        return operatorByFrontDoor.getOrDefault(frontDoor, "");
     }
 
-    /** The site of a door; empty if unknown. */
-    String siteOf(String door) {
-        return sites.getOrDefault(door, "");
+    /** Returns the site of a front door; empty if the front door is unknown. */
+    String siteOf(String frontDoor) {
+        return siteByFrontDoor.getOrDefault(frontDoor, "");
     }
 }
--- a/src/rig/java/hopdrum/rig/check/Version.java
+++ b/src/rig/java/hopdrum/rig/check/Version.java
@@ -2,7 +2,7 @@
 
 import java.util.Comparator;
 
-/** Names a view, or a shard assignment ("division" in the logs): an era and a number within it. */
+/** Identifies a view or a shard assignment ("division" in the logs) by an era and a number within the era. */
 record Version(long era, long number) implements Comparable<Version> {
     private static final Comparator<Version> ORDER =
             Comparator.comparingLong(Version::era).thenComparingLong(Version::number);
--- a/src/rig/java/hopdrum/rig/check/ViewExpectations.java
+++ b/src/rig/java/hopdrum/rig/check/ViewExpectations.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Rules "settled", "says", "unchanged" and "dropped": what a trial expects of views. */
+/** Checks the rules "settled", "says", "unchanged" and "dropped": what a trial expects of views. */
 final class ViewExpectations {
     private final TrialLogs logs;
     private final TrialReport report;
@@ -18,106 +18,117 @@
         this.report = report;
     }
 
-    /** "settled": at some moment before the limit all doors have one view; where that is asked, of exactly them. */
-    void checkSettled(Expectation expectation, boolean exactly) {
-        Set<String> doors = expectation.doors();
-        TreeSet<Long> moments = new TreeSet<>();
-        moments.add(expectation.atUs());
-        doors.forEach(door -> logs.doors().get(door).stream()
-                .filter(entry -> entry.is("view") && entry.isWithin(expectation.atUs(), expectation.withinUs()))
-                .forEach(entry -> moments.add(entry.atUs())));
-        for (long momentUs : moments) {
-            if (disagreement(doors, momentUs, exactly) == null) {
+    /**
+     * Rule "settled": at some time before the deadline, all front doors have the same view; if required, the members of
+     * the view are exactly these front doors. Measures how long this took.
+     */
+    void checkSettled(Expectation expectation, boolean requiresSameMembers) {
+        Set<String> frontDoors = expectation.frontDoors();
+        TreeSet<Long> timesUs = new TreeSet<>();
+        timesUs.add(expectation.atUs());
+        frontDoors.forEach(frontDoor -> logs.frontDoorLogs().get(frontDoor).stream()
+                .filter(entry -> entry.hasEvent("view") && entry.isWithin(expectation.atUs(), expectation.deadlineUs()))
+                .forEach(entry -> timesUs.add(entry.atUs())));
+        for (long timeUs : timesUs) {
+            if (describeDisagreement(frontDoors, timeUs, requiresSameMembers) == null) {
                 double periods =
-                        (momentUs - expectation.atUs()) / (double) logs.setup().periodUs();
-                report.measure(String.format(
+                        (timeUs - expectation.atUs()) / (double) logs.setup().probePeriodUs();
+                report.addMeasurement(String.format(
                         Locale.ROOT,
                         "settled %.1f periods after %s: %s",
                         periods,
-                        report.seconds(expectation.atUs()),
-                        String.join(" ", doors)));
+                        report.formatTime(expectation.atUs()),
+                        String.join(" ", frontDoors)));
                 return;
             }
         }
-        report.violation(
+        report.addViolation(
                 "settled",
-                expectation.withinUs(),
-                "not one view: " + disagreement(doors, expectation.withinUs(), exactly));
+                expectation.deadlineUs(),
+                "the front doors do not have the same view: "
+                        + describeDisagreement(frontDoors, expectation.deadlineUs(), requiresSameMembers));
     }
 
-    /** Why these doors do not have one view at a moment; null if they have. */
-    private String disagreement(Set<String> doors, long atUs, boolean exactly) {
+    /** Describes why front doors do not have the same view at a time; null if they have. */
+    private String describeDisagreement(Set<String> frontDoors, long atUs, boolean requiresSameMembers) {
         Version first = null;
-        for (String door : doors) {
-            LogEntry view = viewAt(door, atUs);
-            if (view == null || !logs.processes().isRunning(door, atUs)) {
-                return door + " has none";
+        for (String frontDoor : frontDoors) {
+            LogEntry view = latestViewAt(frontDoor, atUs);
+            if (view == null || !logs.processes().isRunning(frontDoor, atUs)) {
+                return frontDoor + " has no view or is not running";
             }
             if (first != null && !first.equals(view.version())) {
-                return door + " has " + view.version() + ", others " + first;
+                return frontDoor + " has " + view.version() + ", others " + first;
             }
             first = view.version();
-            if (exactly && !view.members().equals(doors)) {
-                return door + "'s view " + first + " holds " + view.members();
+            if (requiresSameMembers && !view.members().equals(frontDoors)) {
+                return frontDoor + "'s view " + first + " contains " + view.members();
             }
-            if (exactly && view.field("members").path(door).asLong() != view.number("start")) {
-                return door + "'s view holds another start of it";
+            if (requiresSameMembers && view.field("members").path(frontDoor).asLong() != view.number("start")) {
+                return frontDoor + "'s view contains another incarnation of it";
             }
         }
         return null;
     }
 
-    /** The latest view of the door's current process; one of an earlier process under its name does not count. */
-    private LogEntry viewAt(String door, long atUs) {
-        long fromUs = logs.processes().latestStartUs(door, atUs);
+    /**
+     * Returns the latest view that a front door's current process has logged; null if there is none. A view of an
+     * earlier process of the front door does not count.
+     */
+    private LogEntry latestViewAt(String frontDoor, long atUs) {
+        long fromUs = logs.processes().latestStartUs(frontDoor, atUs);
         LogEntry latest = null;
-        for (LogEntry entry : logs.doors().get(door)) {
-            if (entry.is("view") && entry.isWithin(fromUs, atUs)) {
+        for (LogEntry entry : logs.frontDoorLogs().get(frontDoor)) {
+            if (entry.hasEvent("view") && entry.isWithin(fromUs, atUs)) {
                 latest = entry;
             }
         }
         return latest;
     }
 
-    /** "says": within the limit each door logs this event. */
+    /** Rule "says": before the deadline, each front door logs the event. */
     void checkLogged(Expectation expectation, String event, String description) {
-        for (String door : expectation.doors()) {
-            if (logs.doors().get(door).stream()
-                    .noneMatch(
-                            entry -> entry.is(event) && entry.isWithin(expectation.atUs(), expectation.withinUs()))) {
-                report.violation("says", expectation.withinUs(), door + " did not say that it is " + description);
+        for (String frontDoor : expectation.frontDoors()) {
+            if (logs.frontDoorLogs().get(frontDoor).stream()
+                    .noneMatch(entry ->
+                            entry.hasEvent(event) && entry.isWithin(expectation.atUs(), expectation.deadlineUs()))) {
+                report.addViolation(
+                        "says", expectation.deadlineUs(), frontDoor + " did not log that it is " + description);
             }
         }
     }
 
-    /** "unchanged": no view is settled for so long; a door that learns a view that others had is no change. */
+    /**
+     * Rule "unchanged": no new view is settled within the period. A front door that learns a view which another front
+     * door already had does not count as a change.
+     */
     void checkUnchanged(Expectation expectation) {
-        Map<Version, LogEntry> first = new HashMap<>();
-        logs.doors()
+        Map<Version, LogEntry> firstByVersion = new HashMap<>();
+        logs.frontDoorLogs()
                 .values()
                 .forEach(log -> log.stream()
-                        .filter(entry -> entry.is("view"))
-                        .forEach(entry -> first.merge(entry.version(), entry, LogEntry::earlier)));
-        first.values().stream()
-                .filter(view -> isDuring(view, expectation))
+                        .filter(entry -> entry.hasEvent("view"))
+                        .forEach(entry -> firstByVersion.merge(entry.version(), entry, LogEntry::earlier)));
+        firstByVersion.values().stream()
+                .filter(view -> isWithinPeriod(view, expectation))
                 .min(Comparator.comparingLong(LogEntry::atUs))
-                .ifPresent(view -> report.violation(
+                .ifPresent(view -> report.addViolation(
                         "unchanged",
                         view.atUs(),
                         view.text("name") + " has a new view " + view.version() + " of "
                                 + view.field("members").size()));
     }
 
-    /** "dropped": no view that is settled meanwhile lacks any of these doors. */
+    /** Rule "dropped": every view that is logged within the period contains each of the front doors. */
     void checkNotDropped(Expectation expectation) {
-        for (List<LogEntry> log : logs.doors().values()) {
+        for (List<LogEntry> log : logs.frontDoorLogs().values()) {
             for (LogEntry view : log) {
-                if (!view.is("view") || !isDuring(view, expectation)) {
+                if (!view.hasEvent("view") || !isWithinPeriod(view, expectation)) {
                     continue;
                 }
-                for (String door : expectation.doors()) {
-                    if (!view.field("members").has(door)) {
-                        report.violation("dropped", view.atUs(), door + " is not in " + view.version());
+                for (String frontDoor : expectation.frontDoors()) {
+                    if (!view.field("members").has(frontDoor)) {
+                        report.addViolation("dropped", view.atUs(), frontDoor + " is not in " + view.version());
                         return;
                     }
                 }
@@ -125,7 +136,7 @@
         }
     }
 
-    private static boolean isDuring(LogEntry view, Expectation expectation) {
-        return view.atUs() > expectation.atUs() && view.atUs() < expectation.untilUs();
+    private static boolean isWithinPeriod(LogEntry view, Expectation expectation) {
+        return view.atUs() > expectation.atUs() && view.atUs() < expectation.periodEndUs();
     }
 }
--- a/src/rig/java/hopdrum/rig/check/ViewMajorityChecker.java
+++ b/src/rig/java/hopdrum/rig/check/ViewMajorityChecker.java
@@ -9,26 +9,26 @@
 import java.util.function.Predicate;
 
 /**
- * Rule "majority": each view was accepted, in one ballot, by a majority of the voters of the view before it; the first by
- * all founders.
+ * Checks the rule "majority": each view was accepted, in one ballot, by a majority of the voters of the preceding view.
+ * The first view of an era was accepted by all founders.
  */
 final class ViewMajorityChecker {
     private static final String RULE = "majority";
 
-    /** A member and the voter identity under which it accepted. */
+    /** A member that accepted a proposal, and the voter identity under which it did. */
     private record Vote(String name, String voter) {}
 
-    /** What was voted on: the ballot and its content. */
+    /** A proposal that members vote on: the ballot, its proposer and the proposed members. */
     private record Proposal(String ballot, String proposer, String members) {}
 
-    /** Who may vote on a view, and how many of them must. */
+    /** The members that may vote on a view, and how many of them must accept it. */
     private record Electorate(Predicate<Vote> mayVote, int quorum) {}
 
     private final TrialLogs logs;
     private final TrialReport report;
-    private final Map<Version, Map<Proposal, Set<Vote>>> votes = new HashMap<>();
-    private final Map<Version, Set<Vote>> voters = new HashMap<>();
-    private final Map<Version, LogEntry> firstSeen = new LinkedHashMap<>();
+    private final Map<Version, Map<Proposal, Set<Vote>>> votesByVersion = new HashMap<>();
+    private final Map<Version, Set<Vote>> votersByVersion = new HashMap<>();
+    private final Map<Version, LogEntry> firstLogged = new LinkedHashMap<>();
 
     ViewMajorityChecker(TrialLogs logs, TrialReport report) {
         this.logs = logs;
@@ -36,24 +36,25 @@
     }
 
     void check() {
-        logs.doors().values().forEach(this::collect);
-        firstSeen.values().forEach(this::check);
+        logs.frontDoorLogs().values().forEach(this::collect);
+        firstLogged.values().forEach(this::check);
     }
 
     private void collect(List<LogEntry> log) {
         for (LogEntry entry : log) {
-            if (entry.is("accepted")) {
+            if (entry.hasEvent("accepted")) {
                 Proposal proposal = new Proposal(
                         entry.field("ballot").toString(),
                         entry.text("proposer"),
                         entry.field("members").toString());
-                votes.computeIfAbsent(entry.version(), version -> new HashMap<>())
+                votesByVersion
+                        .computeIfAbsent(entry.version(), version -> new HashMap<>())
                         .computeIfAbsent(proposal, key -> new HashSet<>())
                         .add(new Vote(entry.text("name"), entry.text("voter")));
-            } else if (entry.is("view")) {
-                voters.putIfAbsent(entry.version(), votersOf(entry));
-                if (!entry.text("how").equals("kept")) { // one read from the store was settled before
-                    firstSeen.merge(entry.version(), entry, LogEntry::earlier);
+            } else if (entry.hasEvent("view")) {
+                votersByVersion.putIfAbsent(entry.version(), votersOf(entry));
+                if (!entry.text("how").equals("kept")) { // a view read from the store was settled before
+                    firstLogged.merge(entry.version(), entry, LogEntry::earlier);
                 }
             }
         }
@@ -71,30 +72,33 @@
     private void check(LogEntry view) {
         Electorate electorate = electorateOf(view.version());
         if (electorate == null) {
-            report.violation(
-                    RULE, view.atUs(), view.text("name") + ": " + view.version() + " follows a view that nobody had");
+            report.addViolation(
+                    RULE,
+                    view.atUs(),
+                    view.text("name") + ": " + view.version() + " follows a view that no front door logged");
             return;
         }
-        long most = votes.getOrDefault(view.version(), Map.of()).values().stream()
-                .mapToLong(cast -> cast.stream().filter(electorate.mayVote).count())
+        long mostVotes = votesByVersion.getOrDefault(view.version(), Map.of()).values().stream()
+                .mapToLong(votesOfProposal ->
+                        votesOfProposal.stream().filter(electorate.mayVote).count())
                 .max()
                 .orElse(0);
-        if (most < electorate.quorum) {
-            report.violation(
+        if (mostVotes < electorate.quorum) {
+            report.addViolation(
                     RULE,
                     view.atUs(),
-                    view.text("name") + ": " + view.version() + " has " + most + " votes in one ballot, "
+                    view.text("name") + ": " + view.version() + " has at most " + mostVotes + " votes in one ballot, "
                             + electorate.quorum + " were needed");
         }
     }
 
-    /** Null if the view before is unknown. */
+    /** Returns the electorate of a view; null if no front door logged the preceding view. */
     private Electorate electorateOf(Version version) {
         if (version.number() == 1) {
             Set<String> founders = logs.setup().founders();
             return new Electorate(vote -> founders.contains(vote.name), founders.size());
         }
-        Set<Vote> entitled = voters.get(version.predecessor());
-        return entitled == null ? null : new Electorate(entitled::contains, entitled.size() / 2 + 1);
+        Set<Vote> previousVoters = votersByVersion.get(version.predecessor());
+        return previousVoters == null ? null : new Electorate(previousVoters::contains, previousVoters.size() / 2 + 1);
     }
 }
--- a/src/rig/java/hopdrum/rig/check/ViewOrderChecker.java
+++ b/src/rig/java/hopdrum/rig/check/ViewOrderChecker.java
@@ -6,15 +6,16 @@
 import java.util.Map;
 
 /**
- * Rules "one-view" (no era and number name two views), "order" (the numbers that one incarnation of a process logs never
- * fall) and "start" (the incarnations of one name grow).
+ * Checks the rules "one-view" (an era and number never identify two different views), "order" (the versions of the
+ * views that one incarnation of a front door logs never decrease) and "start" (the incarnation numbers of a front door
+ * increase).
  */
 final class ViewOrderChecker {
     private static final Version NO_VIEW = new Version(0, 0);
 
     private final TrialLogs logs;
     private final TrialReport report;
-    private final Map<Version, JsonNode> members = new HashMap<>(); // as they were logged first
+    private final Map<Version, JsonNode> membersByVersion = new HashMap<>(); // as first logged
 
     ViewOrderChecker(TrialLogs logs, TrialReport report) {
         this.logs = logs;
@@ -22,38 +23,40 @@
     }
 
     void check() {
-        logs.doors().forEach(this::check);
+        logs.frontDoorLogs().forEach(this::check);
     }
 
-    private void check(String door, List<LogEntry> log) {
+    private void check(String frontDoor, List<LogEntry> log) {
         Version latest = NO_VIEW;
         long start = 0;
         for (LogEntry entry : log) {
-            if (entry.is("starts")) {
+            if (entry.hasEvent("starts")) {
                 if (entry.number("start") <= start) {
-                    report.violation(
-                            "start", entry.atUs(), door + " starts as " + entry.field("start") + " after " + start);
+                    report.addViolation(
+                            "start",
+                            entry.atUs(),
+                            frontDoor + " starts as " + entry.field("start") + " after " + start);
                 }
                 start = entry.number("start");
                 latest = NO_VIEW;
-            } else if (entry.is("view")) {
-                checkMembers(door, entry);
+            } else if (entry.hasEvent("view")) {
+                checkMembers(frontDoor, entry);
                 if (entry.version().compareTo(latest) < 0) {
-                    report.violation(
-                            "order", entry.atUs(), door + " went back from " + latest + " to " + entry.version());
+                    report.addViolation(
+                            "order", entry.atUs(), frontDoor + " went back from " + latest + " to " + entry.version());
                 }
                 latest = entry.version();
             }
         }
     }
 
-    private void checkMembers(String door, LogEntry view) {
-        JsonNode before = members.putIfAbsent(view.version(), view.field("members"));
-        if (before != null && !before.equals(view.field("members"))) {
-            report.violation(
+    private void checkMembers(String frontDoor, LogEntry view) {
+        JsonNode firstMembers = membersByVersion.putIfAbsent(view.version(), view.field("members"));
+        if (firstMembers != null && !firstMembers.equals(view.field("members"))) {
+            report.addViolation(
                     "one-view",
                     view.atUs(),
-                    door + ": " + view.version() + " is " + view.field("members") + " and " + before);
+                    frontDoor + ": " + view.version() + " is " + view.field("members") + " and " + firstMembers);
         }
     }
 }
--- a/src/rig/java/hopdrum/rig/faulty/Fault.java
+++ b/src/rig/java/hopdrum/rig/faulty/Fault.java
@@ -2,45 +2,48 @@
 
 import java.util.Locale;
 
-/** A deliberate fault, or a reference for comparison; a trial file names it in lower case under {@code planted}. */
+/**
+ * A deliberate fault, or a reference for comparison. A trial file names the fault in lower case under the key
+ * {@code planted}.
+ */
 enum Fault {
     /** Holds its lease ten times as long as the fleet has agreed. */
     LONG_LEASE,
-    /** Tells peers of a view of itself alone that nobody has agreed to. */
+    /** Sends peers a view with the front door as its only member, which no majority has accepted. */
     LONE_VIEW,
-    /** Tells each peer of a different view under the same number. */
+    /** Sends each peer a different view under the same era and number. */
     TWO_VIEWS,
-    /** Logs that its view has gone back to number 0. */
+    /** Logs a view whose number has gone back to 0. */
     GOES_BACK,
-    /** Logs once more that it starts, with the same start. */
+    /** Logs its start a second time with the same incarnation number. */
     OLD_START,
-    /** Logs that it acts on all shards. */
+    /** Logs that the front door acts on all shards. */
     ACTS_ON_ALL,
-    /** Logs a division by terms that its partner has not agreed to. */
+    /** Logs a shard assignment under terms that the partner has not agreed to. */
     LONE_TERMS,
-    /** Forwards each request twice. */
+    /** Forwards each request to its backend twice. */
     TWICE,
-    /** Closes connections without an answer. */
+    /** Closes each connection without an answer. */
     SILENT,
-    /** Forwards all requests, whatever the quota. */
+    /** Forwards all requests, regardless of quotas. */
     LAVISH,
-    /** Forwards all requests and does not end at SIGTERM. */
+    /** Forwards all requests and does not exit on SIGTERM. */
     DEAF,
     /** Forwards each request to another operator's front door as well. */
     BOTH,
-    /** No fault: places requests by the true latencies, which it knows at once. */
+    /** Is no fault but a reference: places requests by the injected delays, which are known at once. */
     ALL_KNOWING,
-    /** No fault: places all requests at its own site's backends while these are reachable. */
+    /** Is no fault but a reference: places all requests at the own site's backends while these are reachable. */
     NEAREST;
 
-    /** The fault with this name in a trial file. */
+    /** Returns the fault that a trial file calls {@code key}, or throws an {@link IllegalArgumentException}. */
     static Fault of(String key) {
         for (Fault fault : values()) {
             if (fault.key().equals(key)) {
                 return fault;
             }
         }
-        throw new IllegalArgumentException("no such fault: " + key);
+        throw new IllegalArgumentException("unknown fault: " + key);
     }
 
     private String key() {
--- a/src/rig/java/hopdrum/rig/faulty/FaultyFrontDoor.java
+++ b/src/rig/java/hopdrum/rig/faulty/FaultyFrontDoor.java
@@ -10,16 +10,16 @@
 import java.nio.file.Path;
 
 /**
- * A front door of the rig's own, without a counter or a fleet: it forwards each request to one backend, whatever the
- * quota, and does so twice, not at all, or to another operator as well. A thread serves each connection, which carries
- * one request.
+ * A minimal front door of the rig, without a counter or a fleet. Regardless of quotas, it forwards each request to the
+ * first backend. Depending on the fault, it forwards requests twice, not at all, or to another operator as well. Each
+ * connection carries one request and is served by a thread of its own.
  */
 final class FaultyFrontDoor {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long DEAF_MS = 60_000; // longer than a trial waits for processes to end
+    private static final long EXIT_DELAY_MS = 60_000; // longer than a trial waits for a process to exit
     private static final String END_OF_HEAD = "\r\n\r\n";
     private static final String CONTENT_LENGTH = "Content-Length: ";
-    private static final String OTHER_OPERATORS_DOOR = "s0";
+    private static final String OTHER_OPERATORS_FRONT_DOOR = "s0";
 
     private final Fault fault;
     private final Path configFile = Path.of(System.getenv("LB_CONFIG"));
@@ -28,7 +28,7 @@
         this.fault = fault;
     }
 
-    /** Serves until the process is ended. */
+    /** Serves until the process ends. */
     void serve() throws IOException {
         JsonNode config = JSON.readTree(configFile.toFile());
         String backend = firstBackend(config.path("discovery").asText());
@@ -57,7 +57,7 @@
 
     private static void delayExit() {
         try {
-            Thread.sleep(DEAF_MS);
+            Thread.sleep(EXIT_DELAY_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -70,7 +70,7 @@
                 return;
             }
             if (fault == Fault.BOTH) {
-                forward(request, otherOperatorsDoor());
+                forward(request, otherOperatorsFrontDoor());
             }
             if (fault == Fault.TWICE) {
                 forward(request, backend);
@@ -78,13 +78,15 @@
             String response = forward(request, backend);
             client.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
         } catch (IOException e) {
-            // The client has left, or the backend has: a front door that fails answers nothing.
+            // The client or the backend closed its connection; the client gets no answer.
         }
     }
 
-    private String otherOperatorsDoor() throws IOException {
-        Path config =
-                configFile.getParent().resolveSibling(OTHER_OPERATORS_DOOR).resolve("config.json");
+    private String otherOperatorsFrontDoor() throws IOException {
+        Path config = configFile
+                .getParent()
+                .resolveSibling(OTHER_OPERATORS_FRONT_DOOR)
+                .resolve("config.json");
         return JSON.readTree(config.toFile()).path("listen").asText();
     }
 
@@ -95,7 +97,10 @@
         }
     }
 
-    /** Reads a message's head, and the body whose length the head states; what came until the end if it ends before. */
+    /**
+     * Reads the head of a message and the body whose length the head states. If the stream ends before, returns what
+     * was read until then.
+     */
     private static String readMessage(InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
         int headEnd = -1;
@@ -117,7 +122,9 @@
     }
 
     private static int contentLength(StringBuilder head) {
-        int at = head.indexOf(CONTENT_LENGTH);
-        return at < 0 ? 0 : Integer.parseInt(head.substring(at + CONTENT_LENGTH.length(), head.indexOf("\r", at)));
+        int start = head.indexOf(CONTENT_LENGTH);
+        return start < 0
+                ? 0
+                : Integer.parseInt(head.substring(start + CONTENT_LENGTH.length(), head.indexOf("\r", start)));
     }
 }
--- a/src/rig/java/hopdrum/rig/faulty/FaultyServer.java
+++ b/src/rig/java/hopdrum/rig/faulty/FaultyServer.java
@@ -6,18 +6,19 @@
 import java.nio.file.Path;
 
 /**
- * The command line that a trial starts for a door with a fault: the product itself with a fault beside it, a front door
- * that behaves badly, or a reference for the product's placement.
+ * The main class that a trial starts in place of the product for a front door with a planted fault. Depending on the
+ * fault, it runs the product with a fault added to its process, a faulty front door, or a reference for the product's
+ * placement.
  */
 public final class FaultyServer {
     private FaultyServer() {}
 
     /**
-     * Runs the server until it is told to end.
+     * Runs the server until the process is asked to end.
      *
-     * @param args the fault's name and the fleet's file
-     * @throws IOException if the configuration or the fleet's file cannot be read
-     * @throws IllegalArgumentException if there is no such fault
+     * @param args the fault's name and the path of the fleet file
+     * @throws IOException if the configuration or the fleet file cannot be read
+     * @throws IllegalArgumentException if no fault has this name
      */
     public static void main(String[] args) throws IOException {
         Fault fault = Fault.of(args[0]);
@@ -38,8 +39,8 @@
     }
 
     private static void serveWithLongLease(Path fleetFile) throws IOException {
-        Path own = fleetFile.resolveSibling("faulty.yaml");
-        Files.writeString(own, Files.readString(fleetFile).replaceAll("lease_ms: (\\d+)", "lease_ms: $10"));
-        serve(own);
+        Path longLeaseFile = fleetFile.resolveSibling("faulty.yaml");
+        Files.writeString(longLeaseFile, Files.readString(fleetFile).replaceAll("lease_ms: (\\d+)", "lease_ms: $10"));
+        serve(longLeaseFile);
     }
 }
--- a/src/rig/java/hopdrum/rig/faulty/ReferencePlacementServer.java
+++ b/src/rig/java/hopdrum/rig/faulty/ReferencePlacementServer.java
@@ -16,26 +16,28 @@
 import java.util.List;
 
 /**
- * The product with another source of latencies than its map, which the map is compared with: the true ones as the rig makes
- * them, at once; or none but its own site's, so that the nearest site always comes first. Its fleet runs beside as it
- * does.
+ * Runs the product with another source of latencies than its latency map, as a reference for the map. The latencies are
+ * either the delays that the rig injects, known at once, or zero for the front door's own site and very long for all
+ * others, so that the own site always comes first. The fleet protocol runs as in the product.
  */
 final class ReferencePlacementServer {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long FAR_US = 3_600_000_000L;
+    private static final long LAST_CHOICE_US = 3_600_000_000L; // one hour; the zone is chosen last
     private static final long ROUND_TRIP_US_PER_ONE_WAY_MS = 2_000;
-    private static final int POLL_MS = 20;
-    private static volatile ZoneLatencies latencies; // null until they are known
+    private static final int POLL_INTERVAL_MS = 20;
+    private static volatile ZoneLatencies latencies; // null until the injected delays are first read
 
     private ReferencePlacementServer() {}
 
     /**
-     * Serves until the process is told to end.
+     * Serves until the process is asked to end.
      *
-     * @param allKnowing whether it places by the true latencies; else the nearest site comes first
-     * @return the exit code
+     * @param fleetFile the fleet file of the front door
+     * @param usesInjectedDelays whether requests are placed by the injected delays; otherwise the own site comes first
+     * @return the exit code of the process
+     * @throws IOException if the fleet file cannot be read or is invalid
      */
-    static int serve(Path fleetFile, boolean allKnowing) throws IOException {
+    static int serve(Path fleetFile, boolean usesInjectedDelays) throws IOException {
         FleetFile file;
         try {
             file = FleetFile.read(fleetFile);
@@ -45,15 +47,16 @@
         return Server.serve(System.getenv("LB_CONFIG"), (config, loop) -> {
             Fleet fleet = Fleet.start(
                     file, AgreementTerms.NONE, 0, config.settings().ordinal(), config.seed(), loop.monotonicOffsetUs());
-            Path truthFile = fleetFile.toAbsolutePath().getParent().resolveSibling("ways.json");
-            Thread poller =
-                    new Thread(() -> pollTruth(truthFile, file.site(), config.zones(), allKnowing), "true-latencies");
+            Path injectedDelaysFile = fleetFile.toAbsolutePath().getParent().resolveSibling("ways.json");
+            Thread poller = new Thread(
+                    () -> pollInjectedDelays(injectedDelaysFile, file.site(), config.zones(), usesInjectedDelays),
+                    "true-latencies");
             poller.setDaemon(true);
             poller.start();
             return new Companion() {
                 @Override
-                public void frontDoorStarted(FrontDoor door) {
-                    door.setFleetSuppliers(fleet, () -> latencies);
+                public void frontDoorStarted(FrontDoor frontDoor) {
+                    frontDoor.setFleetSuppliers(fleet, () -> latencies);
                 }
 
                 @Override
@@ -69,30 +72,33 @@
         });
     }
 
-    private static void pollTruth(Path truthFile, String site, List<String> zones, boolean allKnowing) {
+    private static void pollInjectedDelays(
+            Path injectedDelaysFile, String site, List<String> zones, boolean usesInjectedDelays) {
         while (true) {
             try {
-                JsonNode truth = JSON.readTree(Files.readAllBytes(truthFile));
+                JsonNode injectedDelays = JSON.readTree(Files.readAllBytes(injectedDelaysFile));
                 latencies = new ZoneLatencies(zones.stream()
-                        .mapToLong(zone -> latencyUs(truth, site, zone, allKnowing))
+                        .mapToLong(zone -> latencyUs(injectedDelays, site, zone, usesInjectedDelays))
                         .toArray());
-                Thread.sleep(POLL_MS);
+                Thread.sleep(POLL_INTERVAL_MS);
             } catch (IOException e) {
-                System.err.println("reference placement: " + e); // the rig is about to write the file
+                // At the start of a trial, the rig may not have written the file yet.
+                System.err.println("reference placement: reading the injected delays failed: " + e);
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    private static long latencyUs(JsonNode truth, String site, String zone, boolean allKnowing) {
-        if (truth.path("lost").path(zone).asBoolean()) {
-            return FAR_US;
+    private static long latencyUs(JsonNode injectedDelays, String site, String zone, boolean usesInjectedDelays) {
+        if (injectedDelays.path("lost").path(zone).asBoolean()) {
+            return LAST_CHOICE_US;
         }
         if (zone.equals(site)) {
             return 0;
         }
-        double oneWayMs = truth.path("one_way_ms").path(site + "-" + zone).asDouble();
-        return allKnowing ? (long) (ROUND_TRIP_US_PER_ONE_WAY_MS * oneWayMs) : FAR_US;
+        double oneWayMs =
+                injectedDelays.path("one_way_ms").path(site + "-" + zone).asDouble();
+        return usesInjectedDelays ? (long) (ROUND_TRIP_US_PER_ONE_WAY_MS * oneWayMs) : LAST_CHOICE_US;
     }
 }
--- a/src/rig/java/hopdrum/rig/faulty/RogueMember.java
+++ b/src/rig/java/hopdrum/rig/faulty/RogueMember.java
@@ -20,12 +20,12 @@
 import java.util.Map;
 
 /**
- * Breaks a rule of the fleet once, beside the product in its process: forges a line of its log, or tells its peers of a
- * view that nobody has agreed to.
+ * Violates a rule of the fleet once, from a thread in the process of the product. Depending on the fault, the thread
+ * appends a forged line to the product's log, or sends peers a view that no majority has accepted.
  */
 final class RogueMember {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long DELAY_MS = 4_500; // the fleet has settled by then
+    private static final long DELAY_MS = 4_500; // the fleet has settled on a view by then
     private static final long FORGED_LEASE_US = 5_000_000;
     private static final String FORGED_AGREEMENT =
             "{\"revision\":9,\"moves\":1,\"epoch_ms\":60000,\"parties\":{\"north\":[1,1,0],\"south\":[1,1,0]}}";
@@ -38,58 +38,59 @@
         this.fleetFile = fleetFile;
     }
 
-    /** Starts the daemon thread that breaks the rule, some seconds from now. */
+    /** Starts the daemon thread that violates the rule after a delay of 4.5 seconds. */
     void startThread() {
-        Thread thread = new Thread(this::runDelayed, "fault");
+        Thread thread = new Thread(this::violateRuleAfterDelay, "fault");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void runDelayed() {
+    private void violateRuleAfterDelay() {
         try {
             Thread.sleep(DELAY_MS);
-            breakRule();
+            violateRule();
         } catch (IOException e) {
-            System.err.println("faulty server: " + e);
+            System.err.println("faulty server: violating the rule failed: " + e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void breakRule() throws IOException {
-        Path log = Path.of(setting("log"));
-        Map<String, ObjectNode> last = lastLineByEvent(log);
+    private void violateRule() throws IOException {
+        Path log = Path.of(readFleetSetting("log"));
+        Map<String, ObjectNode> lastLineByEvent = readLastLineByEvent(log);
         long nowUs = System.nanoTime() / 1000;
         switch (fault) {
-            case ACTS_ON_ALL -> forgeActsOnAll(log, last.get("acts"), nowUs);
-            case LONE_TERMS -> forgeDivision(log, last.get("division"), nowUs);
-            case GOES_BACK -> append(log, last.get("view").put("number", 0).put("mono_us", nowUs));
-            case OLD_START -> append(log, last.get("starts").put("mono_us", nowUs));
-            case LONE_VIEW, TWO_VIEWS -> sendViews(last.get("starts"), last.get("view"));
-            default -> throw new IllegalStateException("not a fault of a member: " + fault);
+            case ACTS_ON_ALL -> forgeActsOnAll(log, lastLineByEvent.get("acts"), nowUs);
+            case LONE_TERMS -> forgeDivision(log, lastLineByEvent.get("division"), nowUs);
+            case GOES_BACK ->
+                append(log, lastLineByEvent.get("view").put("number", 0).put("mono_us", nowUs));
+            case OLD_START -> append(log, lastLineByEvent.get("starts").put("mono_us", nowUs));
+            case LONE_VIEW, TWO_VIEWS -> sendForgedViews(lastLineByEvent.get("starts"), lastLineByEvent.get("view"));
+            default -> throw new IllegalStateException("not a fault of a fleet member: " + fault);
         }
     }
 
-    /** The value of a key that stands on a line of its own in the fleet's file. */
-    private String setting(String key) throws IOException {
+    /** Returns the value of a top-level key that has a line of its own in the fleet file. */
+    private String readFleetSetting(String key) throws IOException {
         String prefix = key + ": ";
         for (String line : Files.readAllLines(fleetFile)) {
             if (line.startsWith(prefix)) {
                 return line.substring(prefix.length());
             }
         }
-        throw new IOException("no " + key + " in " + fleetFile);
+        throw new IOException("no key " + key + " in " + fleetFile);
     }
 
     // ---- Forged log lines ----
 
-    private static Map<String, ObjectNode> lastLineByEvent(Path log) throws IOException {
-        Map<String, ObjectNode> last = new HashMap<>();
+    private static Map<String, ObjectNode> readLastLineByEvent(Path log) throws IOException {
+        Map<String, ObjectNode> lastLineByEvent = new HashMap<>();
         for (String line : Files.readAllLines(log)) {
             ObjectNode event = (ObjectNode) JSON.readTree(line);
-            last.put(event.path("event").asText(), event);
+            lastLineByEvent.put(event.path("event").asText(), event);
         }
-        return last;
+        return lastLineByEvent;
     }
 
     private static void forgeActsOnAll(Path log, ObjectNode acts, long nowUs) throws IOException {
@@ -114,9 +115,9 @@
         Files.writeString(log, JSON.writeValueAsString(line) + "\n", StandardOpenOption.APPEND);
     }
 
-    // ---- Views that nobody has agreed to ----
+    // ---- Views that no majority has accepted ----
 
-    private void sendViews(JsonNode starts, JsonNode view) throws IOException {
+    private void sendForgedViews(JsonNode starts, JsonNode view) throws IOException {
         Member self = new Member(
                 starts.path("name").asText(),
                 starts.path("start").asLong(),
@@ -125,8 +126,8 @@
                 starts.path("site").asText(),
                 starts.path("gateway").asInt(),
                 starts.path("address").asText());
-        String fleet = setting("fleet");
-        String[] peers = setting("seeds").replaceAll("[\\[\\]\" ]", "").split(",", -1);
+        String fleet = readFleetSetting("fleet");
+        String[] peers = readFleetSetting("seeds").replaceAll("[\\[\\]\" ]", "").split(",", -1);
         long number = view.path("number").asLong() + 1;
         for (int i = 0; i < peers.length; i++) {
             List<Member> members = new ArrayList<>(List.of(self));
@@ -139,7 +140,7 @@
         }
     }
 
-    /** Tells one peer, and no other, that the view is settled. */
+    /** Tells one peer that a view is settled. */
     private static void sendView(String address, String fleet, Member self, View view) throws IOException {
         try (Socket socket = LoopbackSockets.connect(address)) {
             for (Message message :
--- a/src/test/java/hopdrum/rig/TrialsIT.java
+++ b/src/test/java/hopdrum/rig/TrialsIT.java
@@ -19,11 +19,15 @@
 import org.junit.jupiter.api.TestFactory;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The short trials, with the jar as it was built, and the checker's own: each planted fault is caught. */
+/**
+ * Runs the short trials with the built jar and expects all rules to be kept. Runs the trials with planted faults and
+ * expects the checker to report the rules that these faults break, so that a checker which misses a violation fails
+ * here.
+ */
 class TrialsIT {
-    private static final int AT_ONCE = 3;
-    /** What a machine that is short of CPU for a moment can break; all other rules hold however slow it is. */
-    private static final Set<String> TIMED =
+    private static final int CONCURRENT_TRIALS = 3;
+    /** The rules that a shortage of CPU can break; all other rules hold on a machine of any speed. */
+    private static final Set<String> TIMED_RULES =
             Set.of("settled", "says", "map", "share", "in_time", "unchanged", "dropped", "shares", "owned", "refusal");
 
     private static final Path HOME = Path.of("").toAbsolutePath();
@@ -40,7 +44,7 @@
 
     @TestFactory
     List<DynamicTest> theShortTrialsKeepAllRules() throws IOException {
-        ExecutorService pool = Executors.newFixedThreadPool(AT_ONCE);
+        ExecutorService pool = Executors.newFixedThreadPool(CONCURRENT_TRIALS);
         List<DynamicTest> tests = new ArrayList<>();
         try (Stream<Path> trials = Files.list(HOME.resolve("trials/short"))) {
             for (Path trial : trials.sorted().toList()) {
@@ -56,52 +60,55 @@
         return tests;
     }
 
-    /** One that broke a timed rule beside others is named as flaky and played once more, alone and with another seed. */
+    /**
+     * Reports a trial as flaky if it broke a timed rule while other trials ran, and plays it once more with another
+     * seed. Any other outcome is returned as it is.
+     */
     private static List<String> playAgainIfTimedRuleBroke(Path trial, List<String> output)
             throws IOException, InterruptedException {
         String[] verdict = output.get(output.size() - 1).split(" ", -1);
-        if (verdict.length <= 2 || !TIMED.contains(verdict[2])) {
+        if (verdict.length <= 2 || !TIMED_RULES.contains(verdict[2])) {
             return output;
         }
         System.out.println("FLAKY " + trial.getFileName() + ": broke the timed rule " + verdict[2] + " once");
         return play(trial, 2);
     }
 
-    private static Set<String> broken(String trial) throws IOException, InterruptedException {
+    private static Set<String> brokenRules(String trial) throws IOException, InterruptedException {
         Path file = HOME.resolve("trials/planted/" + trial);
         assertThat(play(file, 1)).last().asString().startsWith("verdict: broken ");
         return TrialChecker.check(folder.resolve(file.getFileName() + "-1")).violatedRules();
     }
 
     @Test
-    void theCheckerCatchesFrontDoorsThatBreakTheRulesOnRpcs() throws Exception {
-        assertThat(broken("doors.yaml"))
+    void theCheckerCatchesFrontDoorsThatBreakTheRulesOnRequests() throws Exception {
+        assertThat(brokenRules("doors.yaml"))
                 .contains("answer", "once", "quota", "process", "settled", "says", "share", "in_time");
     }
 
     @Test
     void theCheckerCatchesALeaseThatIsHeldTooLong() throws Exception {
-        assertThat(broken("lease.yaml")).contains("claims");
+        assertThat(brokenRules("lease.yaml")).contains("claims");
     }
 
     @Test
-    void theCheckerCatchesViewsThatNobodyAgreedTo() throws Exception {
-        assertThat(broken("views.yaml")).contains("majority", "one-view", "dropped", "unchanged");
+    void theCheckerCatchesViewsThatNoMajorityAccepted() throws Exception {
+        assertThat(brokenRules("views.yaml")).contains("majority", "one-view", "dropped", "unchanged");
     }
 
     @Test
-    void theCheckerCatchesAMapThatLies() throws Exception {
-        assertThat(broken("map.yaml")).contains("map");
+    void theCheckerCatchesAFalseLatencyMap() throws Exception {
+        assertThat(brokenRules("map.yaml")).contains("map");
     }
 
     @Test
-    void theCheckerCatchesOwnersThatNobodyAgreedOnAndRpcsThatRunAtThem() throws Exception {
-        assertThat(broken("owners.yaml"))
+    void theCheckerCatchesOwnersWithoutAnAgreementAndRequestsExecutedAtTheirBackends() throws Exception {
+        assertThat(brokenRules("owners.yaml"))
                 .contains("one-owner", "owner", "one-operator", "agreed", "moves", "shares", "owned", "refusal");
     }
 
     @Test
-    void theCheckerCatchesNumbersThatFall() throws Exception {
-        assertThat(broken("logs.yaml")).contains("order", "start");
+    void theCheckerCatchesDecreasingVersionsAndIncarnationNumbers() throws Exception {
+        assertThat(brokenRules("logs.yaml")).contains("order", "start");
     }
 }
--- a/src/test/java/hopdrum/rig/check/TrialCheckerTest.java
+++ b/src/test/java/hopdrum/rig/check/TrialCheckerTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The checker over small logs made here. That it catches each fault of real processes is in TrialsIT. */
+/**
+ * Checks the verdicts of the trial checker on small hand-written logs, so that it neither misses a violation nor
+ * reports one that did not occur. TrialsIT checks that it catches each fault of real processes.
+ */
 class TrialCheckerTest {
     @TempDir
     Path folder;
@@ -39,7 +42,7 @@
                 + ",'era':9,'number':" + number + ",'members':" + members + ",'voters':{'a':1,'b':1}}";
     }
 
-    private static String rpc(int number, String status, long sentUs, long endedUs) {
+    private static String request(int number, String status, long sentUs, long endedUs) {
         return "{'event':'rpc','mono_us':" + endedUs + ",'rpc':'" + number + "','customer':1,'door':'a',"
                 + "'method':'once','sent_us':" + sentUs + ",'status':'" + status + "'}";
     }
@@ -66,29 +69,29 @@
     void logsThatKeepAllRulesHaveNoViolation() throws IOException {
         settle();
         rig.add("{'event':'step','mono_us':1000000,'do':'expect_settled','who':['a','b'],'more':{'within_s':1}}");
-        rig.add(rpc(1, "200", 1_000_000, 1_010_000));
+        rig.add(request(1, "200", 1_000_000, 1_010_000));
         TrialReport report = check();
         assertThat(report.firstViolation()).isEmpty();
         assertThat(report.measurements())
                 .containsExactly(
-                        "RPCs by status: {200=1}",
-                        "closest to the bound on a quota: 5.0 RPCs below it",
+                        "requests by status: {200=1}",
+                        "closest to the bound on a quota: 5.0 requests below it",
                         "settled 0.0 periods after 0.00 s: a b");
     }
 
     @Test
-    void theFirstViolationInTimeIsReportedAndAllAreNamed() throws IOException {
+    void theEarliestViolationIsReportedAndAllViolatedRulesAreNamed() throws IOException {
         settle();
         rig.add("{'event':'ran','mono_us':2500000,'rpc':'1','method':'once'}");
         rig.add("{'event':'ran','mono_us':2600000,'rpc':'1','method':'once'}");
         rig.add("{'event':'exited','mono_us':1500000,'door':'b','code':3}");
         TrialReport report = check();
-        assertThat(report.firstViolation()).contains("process at 0.50 s: b ended with code 3, told by nobody");
+        assertThat(report.firstViolation()).contains("process at 0.50 s: b exited with code 3 without a signal");
         assertThat(report.violatedRules()).containsExactly("once", "process");
     }
 
     @Test
-    void aViewWithoutAMajorityAndASecondContentOfOneViewAreCaught() throws IOException {
+    void aViewWithoutAMajorityAndTwoViewsUnderOneVersionAreCaught() throws IOException {
         settle();
         a.add(view("a", 40, 2, "{'a':5}"));
         b.add(view("b", 41, 2, "{'b':6}"));
@@ -97,7 +100,7 @@
     }
 
     @Test
-    void claimsOfMoreThanTheWholeAreCaughtWhileTheyOverlap() throws IOException {
+    void overlappingClaimsOfMoreThanTheWholeQuotaAreCaught() throws IOException {
         settle();
         a.add("{'event':'claim','mono_us':50,'operator':'north','of':1,'until_us':90}");
         b.add("{'event':'claim','mono_us':90,'operator':'north','of':1,'until_us':95}");
@@ -112,10 +115,10 @@
     }
 
     @Test
-    void anRpcWithoutAnAnswerIsOwedOneUnlessItsProcessWasPausedOrHadEnded() throws IOException {
+    void aRequestWithoutAnAnswerIsAViolationUnlessItsProcessWasPausedOrKilled() throws IOException {
         settle();
-        rig.add(rpc(1, "none", 2_000_000, 3_600_000));
-        assertThat(check().firstViolation()).contains("answer at 2.60 s: RPC 1 at a ended as none after 1600 ms");
+        rig.add(request(1, "none", 2_000_000, 3_600_000));
+        assertThat(check().firstViolation()).contains("answer at 2.60 s: request 1 at a ended as none after 1600 ms");
         rig.add("{'event':'signal','mono_us':2500000,'door':'a','which':'STOP'}");
         assertThat(check().firstViolation()).isEmpty();
         rig.remove(rig.size() - 1);
@@ -124,27 +127,30 @@
     }
 
     @Test
-    void moreRpcsThanTheQuotaAllowsInAWindowAreCaught() throws IOException {
+    void moreRequestsThanTheQuotaAllowsInAWindowAreCaught() throws IOException {
         settle();
-        for (int i = 0; i < 6; i++) { // two bursts of 2, and one for each of two gateways
-            rig.add(rpc(i, "200", 1_000_000, 1_000_000));
+        for (int i = 0; i < 6; i++) { // two bursts of 2 requests, and one request for each of two gateways
+            rig.add(request(i, "200", 1_000_000, 1_000_000));
         }
         assertThat(check().violatedRules()).isEmpty();
-        rig.add(rpc(6, "200", 1_000_000, 1_000_000));
-        assertThat(check().firstViolation()).contains("quota at 0.00 s: customer 1 had 7 RPCs in, 6.0 at most");
+        rig.add(request(6, "200", 1_000_000, 1_000_000));
+        assertThat(check().firstViolation())
+                .contains("quota at 0.00 s: customer 1 had 7 requests admitted, at most 6.0 are allowed");
     }
 
     @Test
-    void aLastLineThatWasCutOffIsNoFaultAndAFolderWithoutATrialIsOne() throws IOException {
+    void anIncompleteLastLineIsIgnoredAndAFolderWithoutATrialEventIsRejected() throws IOException {
         settle();
         a.add("{'event':'view','mono_us");
         assertThat(check().firstViolation()).isEmpty();
         rig.remove(0);
-        assertThatThrownBy(this::check).isInstanceOf(IOException.class).hasMessageStartingWith("no trial in ");
+        assertThatThrownBy(this::check)
+                .isInstanceOf(IOException.class)
+                .hasMessageStartingWith("no trial event in the log of the rig in ");
     }
 
     @Test
-    void theCheckerUsesNothingOfTheProgramThatItChecks() {
+    void theCheckerDoesNotDependOnTheProgramUnderTest() {
         JavaClasses checker = new ClassFileImporter().importPackages("hopdrum.rig.check");
         ArchRuleDefinition.noClasses()
                 .that()
