--- a/src/test/java/hopdrum/frontdoor/BackendResponseOverSocketsTest.java
+++ b/src/test/java/hopdrum/frontdoor/BackendResponseOverSocketsTest.java
@@ -3,7 +3,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
+import java.io.OutputStream;
 import java.io.UncheckedIOException;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -112,10 +115,12 @@
     @Test
     void aResponseThatNeverEndsDoesNotAffectOtherRequests() throws Exception {
         backend.responder = request -> {
+            Socket connection = backend.newestConnection(); // the endless response must not reach a later connection
             runInBackground(() -> {
-                backend.send(NO_LENGTH);
+                OutputStream out = connection.getOutputStream();
+                out.write(NO_LENGTH.getBytes(StandardCharsets.ISO_8859_1));
                 while (true) {
-                    backend.send("x".repeat(10_000));
+                    out.write("x".repeat(10_000).getBytes(StandardCharsets.ISO_8859_1));
                 }
             });
             return NO_RESPONSE;
